--- a/src/scheduling/program/program-table.ts
+++ b/src/scheduling/program/program-table.ts
@@ -46,7 +46,7 @@
 
 const ACCEPTED: ApplyResult = { accepted: true };
 /** Refusals of one program that are kept whole, for `explain`. */
-const MAX_REFUSALS_KEPT = 64;
+const MAX_DETAILED_REFUSALS = 64;
 /** Refusals after which a program is ended: their identifiers must all be kept, so that "not run" stays true. */
 const MAX_REFUSALS = 4_096;
 /** Refused programs that are kept, for `explain`. */
@@ -142,7 +142,7 @@
     const parent = command.parent && this.#programs.get(command.parent.program);
     if (command.parent && !parent) return rejected("parent-unknown");
     if (parent?.endedAtMs !== undefined) return rejected("program-ended");
-    const history = parent ? historyUpTo(parent, command.parent?.afterCall ?? 0) : [];
+    const history = parent ? inheritedHistory(parent, command.parent?.afterCall ?? 0) : [];
     this.#programs.set(command.program, {
       id: command.program,
       tenant: command.tenant,
@@ -242,7 +242,7 @@
     if (program.refusedCalls.includes(command.call)) return rejected("call-refused");
     program.refusedCalls.push(command.call);
     program.refusals.push({ id: command.call, problem: command.problem, decision: command.decision });
-    if (program.refusals.length > MAX_REFUSALS_KEPT) program.refusals.shift();
+    if (program.refusals.length > MAX_DETAILED_REFUSALS) program.refusals.shift();
     if (program.refusedCalls.length >= MAX_REFUSALS) this.#end(program.id, "limit", command.atMs);
     return ACCEPTED;
   }
@@ -260,12 +260,12 @@
     if (call.request?.type !== "completion") return;
     const { usage, text } = outcome.answer;
     for (const message of [...call.request.messages, { role: "assistant", content: text }]) {
-      program.history.push(this.#link(program, call.id, message));
+      program.history.push(this.#createHistoryEntry(program, call.id, message));
     }
     program.historyTokens = usage.promptTokens + usage.completionTokens;
   }
 
-  #link(program: ProgramRecord, call: string, message: ChatMessage): HistoryEntry {
+  #createHistoryEntry(program: ProgramRecord, call: string, message: ChatMessage): HistoryEntry {
     const index = program.history.length + 1;
     const previous = program.history.at(-1)?.hash ?? "";
     const hash = this.#hash(`${program.id}|${index}|${message.role}|${message.content}|${previous}`);
@@ -287,7 +287,7 @@
   return history.length === parent.history.length ? parent.historyTokens : messageTokensBound(history);
 }
 
-function historyUpTo(parent: ProgramRecord, afterCall: number): HistoryEntry[] {
+function inheritedHistory(parent: ProgramRecord, afterCall: number): HistoryEntry[] {
   const included = new Set(parent.calls.filter((call) => call.number <= afterCall).map((call) => call.id));
   const inherited = (entry: HistoryEntry) =>
     programOfCall(entry.call) !== parent.id || included.has(entry.call);
