--- a/src/scheduling/budget/budget-key.ts
+++ b/src/scheduling/budget/budget-key.ts
@@ -1,13 +1,13 @@
-/** For how long a budget lasts before it starts anew. */
+/** The period after which a budget is renewed; `total` budgets are never renewed. */
 export type BudgetWindow = "hour" | "day" | "total";
 
-/** ISO dates cut to the hour: `2026-12-02T07`. */
+/** Length of an ISO time truncated to the hour, such as `2026-12-02T07`. */
 const HOUR_LENGTH = 13;
-/** ISO dates cut to the day: `2026-12-02`. */
+/** Length of an ISO time truncated to the day, such as `2026-12-02`. */
 const DAY_LENGTH = 10;
 
 /**
- * The name of a tenant's budget for a template in the window that contains `isoTime`.
+ * Returns the name of a tenant's budget for a template, in the window that contains `isoTime`.
  * A call belongs to the window in which it was reserved.
  */
 export function budgetKey(tenant: string, template: string, window: BudgetWindow, isoTime: string): string {
--- a/src/scheduling/budget/commands.ts
+++ b/src/scheduling/budget/commands.ts
@@ -1,18 +1,18 @@
-/** Takes in what the lender granted this shard. */
+/** Records on the borrowing shard what the lender has granted it. */
 export interface TakeAllotment {
   readonly type: "takeAllotment";
   readonly budget: string;
   readonly grantedTotal: number;
 }
 
-/** Gives back what this shard does not need; committed before the lender is told. */
+/** Returns tokens that the borrowing shard does not need. Must be committed before the lender is told. */
 export interface ReturnAllotment {
   readonly type: "returnAllotment";
   readonly budget: string;
   readonly tokens: number;
 }
 
-/** Lends to a shard, on the ledger's shard. */
+/** Lends tokens to a borrowing shard. Applied on the shard that holds the budget's ledger. */
 export interface LendAllotment {
   readonly type: "lendAllotment";
   readonly budget: string;
@@ -21,7 +21,7 @@
   readonly wantedTotal: number;
 }
 
-/** Takes in a borrower's totals, on the ledger's shard. */
+/** Records a borrower's running totals. Applied on the shard that holds the budget's ledger. */
 export interface ReportLoan {
   readonly type: "reportLoan";
   readonly budget: string;
@@ -30,11 +30,11 @@
   readonly spentTotal: number;
 }
 
-/** Drops budgets whose window is over. */
+/** Removes budgets whose window is over. */
 export interface ForgetBudgets {
   readonly type: "forgetBudgets";
   readonly budgets: readonly string[];
 }
 
-/** The commands that change budgets. */
+/** Any command that changes a budget. */
 export type BudgetCommand = TakeAllotment | ReturnAllotment | LendAllotment | ReportLoan | ForgetBudgets;
--- a/src/scheduling/decision/decision.ts
+++ b/src/scheduling/decision/decision.ts
@@ -1,7 +1,7 @@
-/** What was decided about a call or a program. */
+/** The outcome of a decision about a call or a program. */
 export type Verdict = "placed" | "waited" | "refused";
 
-/** One runner that was considered, with its estimated cost in milliseconds. */
+/** One runner that was considered, with its estimated costs in ms. */
 export interface Alternative {
   readonly runner: string;
   readonly expectedWaitMs: number;
@@ -9,11 +9,11 @@
   readonly transferMs: number;
   readonly totalMs: number;
   readonly chosen: boolean;
-  /** Why it was considered, or why it fell out. */
+  /** Why the runner was considered, or why it was ruled out. */
   readonly note: string;
 }
 
-/** The facts that a decision was made from. Units are in the names. */
+/** The values on which a decision was based. Units are in the names. */
 export interface DecisionInputs {
   readonly tenant: string;
   readonly template: string;
@@ -27,14 +27,17 @@
   readonly limit?: { readonly name: string; readonly allowed: number; readonly reached: number };
 }
 
-/** Why a call went where it went, waited or was refused; kept with the program, so it outlives the node. */
+/**
+ * Explains why a call was placed on a runner, waited or was refused. Stored with the program, so that it survives the
+ * loss of the node.
+ */
 export interface Decision {
   readonly subject: string;
   readonly verdict: Verdict;
   readonly atMs: number;
   readonly node: string;
   readonly configurationVersion: number;
-  /** The rule that decided, in a few words. */
+  /** Short description of the rule that led to the verdict. */
   readonly rule: string;
   readonly inputs: DecisionInputs;
   readonly alternatives: readonly Alternative[];
--- a/src/scheduling/ids/brand.ts
+++ b/src/scheduling/ids/brand.ts
@@ -1,7 +1,7 @@
 declare const brand: unique symbol;
 
 /**
- * A value of one kind that the compiler keeps apart from values of other kinds, and from plain ones. Costs nothing at
- * run time; whoever reads a value from outside gives it its brand.
+ * A branded type: the compiler distinguishes it from values with other brands and from plain values. It has no cost at
+ * run time. The code that reads a value from outside the process casts it to its brand.
  */
 export type Brand<Value, Name extends string> = Value & { readonly [brand]: Name };
--- a/src/scheduling/ids/key-digest.ts
+++ b/src/scheduling/ids/key-digest.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./brand.ts";
 
-/** A one-way digest of an API key. The key itself is held nowhere, and can't be found from it. */
+/** A one-way digest of an API key. The key itself is not stored anywhere and cannot be derived from the digest. */
 export type KeyDigest = Brand<string, "KeyDigest">;
--- a/src/scheduling/ids/program-id.ts
+++ b/src/scheduling/ids/program-id.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./brand.ts";
 
-/** Names an agent program, as its caller does. */
+/** Identifies an agent program. Chosen by the caller. */
 export type ProgramId = Brand<string, "ProgramId">;
--- a/src/scheduling/ids/request-id.ts
+++ b/src/scheduling/ids/request-id.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./brand.ts";
 
-/** Names one try of a caller; a turn is named by the request that asked for it. */
+/** Identifies one attempt of a caller. A turn is identified by the request that asked for it. */
 export type RequestId = Brand<string, "RequestId">;
--- a/src/scheduling/ids/runner-id.ts
+++ b/src/scheduling/ids/runner-id.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./brand.ts";
 
-/** Names one start of a runner. */
+/** Identifies one start of a runner. A runner that restarts gets a new identifier. */
 export type RunnerId = Brand<string, "RunnerId">;
--- a/src/scheduling/ids/runner-name.ts
+++ b/src/scheduling/ids/runner-name.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./brand.ts";
 
-/** What the platform calls a runner. One that starts again may keep its name. */
+/** The platform's name for a runner. A runner that restarts may keep its name. */
 export type RunnerName = Brand<string, "RunnerName">;
--- a/src/scheduling/ids/tenant-name.ts
+++ b/src/scheduling/ids/tenant-name.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./brand.ts";
 
-/** What operators call a tenant. */
+/** A tenant's name, as configured by operators. */
 export type TenantName = Brand<string, "TenantName">;
--- a/src/scheduling/index.ts
+++ b/src/scheduling/index.ts
@@ -1,4 +1,4 @@
-/** The pure parts of scheduling, for embedding and for emulators. */
+/** The scheduling code that does no I/O, for embedding and for simulators. */
 export { type AdmissionRefusal, checkCall, checkProgram } from "./admission/check-call.ts";
 export { messageTokensBound, worstCaseTokens } from "./admission/worst-case-tokens.ts";
 export type { Alternative, Decision, DecisionInputs, Verdict } from "./decision/decision.ts";
--- a/src/scheduling/policy/effective-policy.ts
+++ b/src/scheduling/policy/effective-policy.ts
@@ -1,49 +1,49 @@
 import type { BudgetWindow } from "../budget/budget-key.ts";
 
-/** Classes of priority, most urgent first. */
+/** Priority classes, most urgent first. */
 export const PRIORITY_CLASSES = ["interactive", "deadline", "standard", "batch"] as const;
 
-/** The class of a template. */
+/** The priority class of a template. */
 export type PriorityClass = (typeof PRIORITY_CLASSES)[number];
 
-/** What a template allows a program and a tenant. */
+/** The limits that a template sets for each program and tenant. */
 export interface PolicyLimits {
-  /** Calls of one program. */
+  /** Maximum number of calls per program. */
   readonly turns: number;
-  /** Tokens of one program's history. */
+  /** Maximum number of tokens in a program's history. */
   readonly historyTokens: number;
-  /** Tokens that one completion may generate. */
+  /** Maximum number of tokens that one completion may generate. */
   readonly completionTokens: number;
-  /** Time from opening to the last call, in ms. */
+  /** Maximum time from the opening of a program to its last call, in ms. */
   readonly wallTimeMs: number;
-  /** Generations of child programs. */
+  /** Maximum number of generations of child programs. */
   readonly depth: number;
-  /** Programs of the tenant under this template that may be open on one shard. */
+  /** Maximum number of open programs per shard, for one tenant and this template. */
   readonly openPrograms: number;
 }
 
-/** How a template treats one service. */
+/** A template's rules for one service. */
 export interface ServicePolicy {
-  /** `METHOD path` patterns that may be repeated; `*` at the end matches any rest. */
+  /** `METHOD path` patterns of the calls that may be repeated; a trailing `*` matches any suffix. */
   readonly repeatable: readonly string[];
-  /** How long a call may take, in ms. */
+  /** Timeout of a call, in ms. */
   readonly timeoutMs: number;
 }
 
-/** A template with one tenant's parameters filled in. */
+/** A template with the parameters of one tenant filled in. */
 export interface EffectivePolicy {
   readonly tenant: string;
   readonly template: string;
   readonly models: readonly string[];
   readonly priorityClass: PriorityClass;
-  /** Share of capacity against other tenants. */
+  /** Share of the capacity, relative to other tenants. */
   readonly weight: number;
   readonly budget: { readonly tokens: number; readonly window: BudgetWindow };
   readonly limits: PolicyLimits;
   readonly services: Readonly<Record<string, ServicePolicy>>;
-  /** How long a program's cache is kept during a pause, in ms. */
+  /** How long a program's cache is kept while the program is idle, in ms. */
   readonly cacheKeepMs: number;
-  /** Deadline of a program from its opening, when the caller names none, in ms. */
+  /** Default deadline of a program, in ms after its opening; used when the caller sets none. */
   readonly deadlineMs: number | undefined;
 }
 
--- a/src/scheduling/program/call-record-of.ts
+++ b/src/scheduling/program/call-record-of.ts
@@ -1,7 +1,7 @@
 import type { IntendCall } from "./commands.ts";
 import type { CallRecord } from "./records.ts";
 
-/** The record that a committed intent leaves. */
+/** Creates the record of a call from its committed intent. */
 export function callRecordOf(command: IntendCall): CallRecord {
   return {
     id: command.call,
--- a/src/scheduling/program/commands.ts
+++ b/src/scheduling/program/commands.ts
@@ -2,7 +2,7 @@
 import type { Decision } from "../decision/decision.ts";
 import type { CallOutcome, CallRequest, EndReason, ForkPoint, Reservation } from "./records.ts";
 
-/** Opens a program. Opening one that exists with the same content changes nothing. */
+/** Opens a program. Opening an existing program again with the same content changes nothing. */
 export interface OpenProgram {
   readonly type: "openProgram";
   readonly program: string;
@@ -23,7 +23,7 @@
   readonly decision: Decision;
 }
 
-/** Ends a program; it takes no more calls. */
+/** Ends a program. An ended program accepts no more calls. */
 export interface EndProgram {
   readonly type: "endProgram";
   readonly program: string;
@@ -31,13 +31,13 @@
   readonly atMs: number;
 }
 
-/** Drops ended programs from memory. */
+/** Removes ended programs from memory. */
 export interface ForgetPrograms {
   readonly type: "forgetPrograms";
   readonly programs: readonly string[];
 }
 
-/** Records that a call is about to be sent. Must be committed before its first byte leaves. */
+/** Records that a call is about to be sent. Must be committed before the first byte of the call is sent. */
 export interface IntendCall {
   readonly type: "intendCall";
   readonly program: string;
@@ -47,7 +47,7 @@
   readonly requestHash: string;
   readonly repeatable: boolean;
   readonly reservation: Reservation;
-  /** Address of the node that carries the call out. */
+  /** Address of the node that executes the call. */
   readonly executor: string;
   readonly atMs: number;
 }
@@ -57,25 +57,25 @@
   readonly type: "retryCall";
   readonly call: string;
   readonly attempt: number;
-  /** Address of the node that carries the new attempt out. */
+  /** Address of the node that executes the new attempt. */
   readonly executor: string;
   readonly atMs: number;
 }
 
-/** Records how a call ended. Must be committed before the caller sees the end. */
+/** Records how a call ended. Must be committed before the caller sees the result. */
 export interface FinishCall {
   readonly type: "finishCall";
   readonly call: string;
   readonly attempt: number;
   readonly outcome: CallOutcome;
-  /** Tokens to charge; at most what was reserved. */
+  /** Tokens to charge, at most the reserved number. */
   readonly chargedTokens: number;
   readonly serviceMs: number;
   readonly decision: Decision;
   readonly atMs: number;
 }
 
-/** Records that a call was refused: from then on it can never run. */
+/** Records that a call was refused. A refused call can never run later. */
 export interface RefuseCall {
   readonly type: "refuseCall";
   readonly program: string;
@@ -85,7 +85,7 @@
   readonly atMs: number;
 }
 
-/** The commands that change programs. */
+/** Any command that changes a program. */
 export type ProgramCommand =
   | OpenProgram
   | RefuseProgram
--- a/src/scheduling/program/program-table.ts
+++ b/src/scheduling/program/program-table.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated state of all programs of one shard. Every replica applies the same commands in the same order,
- * so each command checks for itself whether it still holds: a leader that was overtaken proposes in vain.
+ * The replicated state of all programs of one shard. Every replica applies the same commands in the same order.
+ * Each command is checked again when it is applied, so that an outdated command of a replaced leader is rejected.
  */
 import type { AllotmentBook } from "../../coordination/budget-escrow/index.ts";
 import { messageTokensBound } from "../admission/worst-case-tokens.ts";
@@ -17,18 +17,18 @@
 import { programOfCall } from "./program-id.ts";
 import type { CallRecord, ChatMessage, HistoryEntry, ProgramRecord, RefusedProgram } from "./records.ts";
 
-/** What became of a command. */
+/** The result of applying a command. */
 export type ApplyResult =
   | { readonly accepted: true }
   | { readonly accepted: false; readonly reason: RejectReason };
 
-/** {@link ProgramTable} as plain data. */
+/** A snapshot of {@link ProgramTable}, as plain data. */
 export interface ProgramTableSnapshot {
   readonly programs: readonly ProgramRecord[];
   readonly refused: readonly RefusedProgram[];
 }
 
-/** Why a command was passed over. */
+/** Why a command was rejected. */
 export type RejectReason =
   | "program-unknown"
   | "program-ended"
@@ -45,14 +45,17 @@
   | "budget-short";
 
 const ACCEPTED: ApplyResult = { accepted: true };
-/** Refusals of one program that are kept whole, for `explain`. */
+/** Maximum number of refusals per program that are kept with their details, for `explain`. */
 const MAX_DETAILED_REFUSALS = 64;
-/** Refusals after which a program is ended: their identifiers must all be kept, so that "not run" stays true. */
+/**
+ * Number of refusals after which a program is ended. The identifiers of all refused calls must be kept, so that a call
+ * that was reported as "not run" never runs later.
+ */
 const MAX_REFUSALS = 4_096;
-/** Refused programs that are kept, for `explain`. */
+/** Maximum number of refused programs that are kept, for `explain`. */
 const MAX_REFUSED_PROGRAMS = 1_000;
 
-/** See the module's comment. */
+/** Stores the programs of one shard and applies committed commands to them. */
 export class ProgramTable {
   readonly #programs = new Map<string, ProgramRecord>();
   readonly #refusedPrograms = new Map<string, RefusedProgram>();
@@ -60,40 +63,40 @@
   readonly #hash: (text: string) => string;
 
   /**
-   * @param allotments the shard's share of the budgets, changed along with the programs
-   * @param hash for the chain of history entries
+   * @param allotments the budget tokens allotted to the shard, updated together with the programs
+   * @param hash computes the hash chains of the programs' histories
    */
   constructor(allotments: AllotmentBook, hash: (text: string) => string) {
     this.#allotments = allotments;
     this.#hash = hash;
   }
 
-  /** A program, if this shard knows it. */
+  /** Returns a program, or undefined if this shard does not have it. */
   get(program: string): ProgramRecord | undefined {
     return this.#programs.get(program);
   }
 
-  /** A call, if this shard knows it. */
+  /** Returns a call, or undefined if this shard does not have it. */
   call(call: string): CallRecord | undefined {
     return this.get(programOfCall(call))?.calls.find((record) => record.id === call);
   }
 
-  /** A program that was refused lately. */
+  /** Returns a recently refused program. */
   refused(program: string): RefusedProgram | undefined {
     return this.#refusedPrograms.get(program);
   }
 
-  /** Every program. */
+  /** Returns all programs. */
   all(): IterableIterator<ProgramRecord> {
     return this.#programs.values();
   }
 
-  /** How many programs are known. */
+  /** Number of programs. */
   get size(): number {
     return this.#programs.size;
   }
 
-  /** Carries out one committed command. */
+  /** Applies one committed command. */
   apply(command: ProgramCommand): ApplyResult {
     switch (command.type) {
       case "openProgram":
@@ -116,7 +119,7 @@
     }
   }
 
-  /** The table as plain data. */
+  /** Returns the table as plain data. */
   toSnapshot(): ProgramTableSnapshot {
     const programs = [...this.#programs.values()].map((program) => ({
       ...program,
@@ -128,7 +131,7 @@
     return { programs, refused: [...this.#refusedPrograms.values()] };
   }
 
-  /** Replaces the table. */
+  /** Replaces the table with a snapshot. */
   restore({ programs, refused }: ProgramTableSnapshot): void {
     this.#programs.clear();
     this.#refusedPrograms.clear();
@@ -201,7 +204,7 @@
     return ACCEPTED;
   }
 
-  /** The attempt before may have cost all that was reserved for it, so that is charged and reserved anew. */
+  /** Charges the previous attempt's whole reservation, because it may have used all of it, and reserves it again. */
   #retry(command: RetryCall): ApplyResult {
     const found = this.#openCall(command.call);
     if (!found) return rejected("call-unknown");
@@ -282,7 +285,10 @@
   program.calls[position] = changed;
 }
 
-/** An upper bound where the fork leaves out a part that an engine counted only together with the rest. */
+/**
+ * Returns the token count of an inherited history. A fork that omits part of the parent's history gets an upper bound,
+ * because the engine counted only the whole history.
+ */
 function inheritedTokens(parent: ProgramRecord, history: readonly HistoryEntry[]): number {
   return history.length === parent.history.length ? parent.historyTokens : messageTokensBound(history);
 }
--- a/src/scheduling/program/records.ts
+++ b/src/scheduling/program/records.ts
@@ -1,7 +1,7 @@
 import type { Problem } from "../../errors/problem.ts";
 import type { Decision } from "../decision/decision.ts";
 
-/** A message of a conversation, as in the chat completions interface. */
+/** A message of a conversation, as in the chat completions API. */
 export interface ChatMessage {
   readonly role: string;
   readonly content: string;
@@ -9,32 +9,32 @@
 
 /** A message kept in a program's history. */
 export interface HistoryEntry extends ChatMessage {
-  /** Position from 1. */
+  /** Position in the history, starting at 1. */
   readonly index: number;
-  /** The call that added it. */
+  /** Identifier of the call that added the message. */
   readonly call: string;
-  /** Hash over program, index, message and the previous entry's hash: a foreign entry would break the chain. */
+  /** Hash of program, index, message and the previous entry's hash. An entry of another program breaks the chain. */
   readonly hash: string;
 }
 
-/** Tokens that a call cost. */
+/** The tokens that a call used. */
 export interface Usage {
   readonly promptTokens: number;
   readonly completionTokens: number;
-  /** Prompt tokens that the engine found in its prefix cache. */
+  /** Prompt tokens that were found in the engine's prefix cache. */
   readonly cachedTokens: number;
 }
 
-/** A turn of the model. */
+/** A request for one turn of the model. */
 export interface CompletionRequest {
   readonly type: "completion";
   readonly model: string;
-  /** Only the new messages; the history is the scheduler's. */
+  /** Only the new messages; the scheduler holds the history. */
   readonly messages: readonly ChatMessage[];
   readonly maxTokens: number;
 }
 
-/** A call to a tool or application service. */
+/** A request to a tool or application service. */
 export interface ServiceRequest {
   readonly type: "service";
   readonly service: string;
@@ -43,14 +43,14 @@
   readonly contentType: string;
   readonly body: string;
   readonly idempotencyKey: string | undefined;
-  /** The caller forbids a second sending, whatever the template allows. */
+  /** Whether the caller forbids sending the request again, whatever the template allows. */
   readonly neverRepeat: boolean;
 }
 
-/** What a call asks for. */
+/** The request of a call. */
 export type CallRequest = CompletionRequest | ServiceRequest;
 
-/** The answer to a turn of the model. */
+/** The answer to a {@link CompletionRequest}. */
 export interface CompletionAnswer {
   readonly type: "completion";
   readonly text: string;
@@ -59,7 +59,7 @@
   readonly runner: string;
 }
 
-/** The answer of a service. */
+/** The answer to a {@link ServiceRequest}. */
 export interface ServiceAnswer {
   readonly type: "service";
   readonly status: number;
@@ -67,7 +67,7 @@
   readonly body: string;
 }
 
-/** A whole answer. */
+/** A complete answer to a call. */
 export type CallAnswer = CompletionAnswer | ServiceAnswer;
 
 /** How a call ended. */
@@ -75,24 +75,24 @@
   | { readonly type: "answered"; readonly answer: CallAnswer }
   | { readonly type: "failed"; readonly problem: Problem };
 
-/** Tokens set aside for a call before it may leave. */
+/** Tokens reserved for a call before it may be sent. */
 export interface Reservation {
   readonly budget: string;
   readonly tokens: number;
 }
 
-/** A call of a program, from its committed intent on. */
+/** A call of a program, recorded from the moment its intent is committed. */
 export interface CallRecord {
   readonly id: string;
   readonly number: number;
   readonly requestHash: string;
-  /** Dropped once the call has ended. */
+  /** Undefined after the call has ended. */
   readonly request: CallRequest | undefined;
-  /** Whether it may be sent to a back end a second time. */
+  /** Whether the call may be sent to a back end more than once. */
   readonly repeatable: boolean;
-  /** Counts the times it may have been sent; 1 is the first. */
+  /** Number of the current attempt, starting at 1. Each attempt may have reached a back end. */
   readonly attempt: number;
-  /** Address of the node that carries the call out; after a change of leader it may still be doing so. */
+  /** Address of the node that executes the call, possibly still after a change of leader. */
   readonly executor: string;
   readonly reservation: Reservation;
   readonly startedAtMs: number;
@@ -101,14 +101,14 @@
   readonly decision: Decision | undefined;
 }
 
-/** A call that was refused, and never ran nor will run. */
+/** A refused call, which never ran and never will. */
 export interface RefusalRecord {
   readonly id: string;
   readonly problem: Problem;
   readonly decision: Decision;
 }
 
-/** A program that was refused. */
+/** A refused program. */
 export interface RefusedProgram {
   readonly program: string;
   readonly tenant: string;
@@ -116,17 +116,17 @@
   readonly decision: Decision;
 }
 
-/** Where a child program's history was forked from. */
+/** The point in the parent's history from which a child program was forked. */
 export interface ForkPoint {
   readonly program: string;
-  /** The parent's call after which the fork was made; 0 for its start. */
+  /** Number of the parent's call after which the fork was made; 0 for the start of the parent. */
   readonly afterCall: number;
 }
 
 /** Why a program ended. */
 export type EndReason = "completed" | "abandoned" | "limit" | "operator";
 
-/** A program and everything that must outlive the node that runs it. */
+/** A program, with all state that must survive the loss of the node that runs it. */
 export interface ProgramRecord {
   readonly id: string;
   readonly tenant: string;
@@ -140,18 +140,18 @@
   endedAtMs: number | undefined;
   endReason: EndReason | undefined;
   lastActiveAtMs: number;
-  /** The number that the next call must have. */
+  /** Number that the next call must have. */
   nextNumber: number;
-  /** Tokens of the whole history, as the engine counted them. */
+  /** Tokens of the whole history, as counted by the engine. */
   historyTokens: number;
   /** Tokens charged so far. */
   chargedTokens: number;
-  /** Time spent in back ends so far, in ms; orders programs by attained service. */
+  /** Time spent in back ends so far, in ms; used to order programs by attained service. */
   attainedServiceMs: number;
   history: HistoryEntry[];
   calls: CallRecord[];
-  /** The newest refusals, whole. */
+  /** The most recent refusals, with their details. */
   refusals: RefusalRecord[];
-  /** The calls that were refused, all of them: none may run later. */
+  /** Identifiers of all refused calls, none of which may run later. */
   refusedCalls: string[];
 }
--- a/src/scheduling/shard-state.ts
+++ b/src/scheduling/shard-state.ts
@@ -4,10 +4,10 @@
 import type { ProgramCommand } from "./program/commands.ts";
 import { type ApplyResult, ProgramTable, type ProgramTableSnapshot } from "./program/program-table.ts";
 
-/** Every command that a shard replicates. */
+/** Any command that a shard replicates. */
 export type ShardCommand = ProgramCommand | BudgetCommand;
 
-/** {@link ShardState} as plain data. */
+/** A snapshot of {@link ShardState}, as plain data. */
 export interface ShardSnapshot {
   readonly programs: ProgramTableSnapshot;
   readonly allotments: readonly [string, Allotment][];
@@ -16,18 +16,21 @@
 
 const ACCEPTED: ApplyResult = { accepted: true };
 
-/** All replicated state of one shard: its programs, its share of budgets, and the ledgers it keeps for tenants. */
+/**
+ * The replicated state of one shard: its programs, the budget tokens allotted to it, and the ledger of the tenants'
+ * budgets that it lends to other shards.
+ */
 export class ShardState {
   readonly allotments = new AllotmentBook();
   readonly ledger = new BudgetLedger();
   readonly programs: ProgramTable;
 
-  /** @param hash for the chains of history entries */
+  /** @param hash computes the hash chains of the programs' histories */
   constructor(hash: (text: string) => string) {
     this.programs = new ProgramTable(this.allotments, hash);
   }
 
-  /** Carries out one committed command. */
+  /** Applies one committed command. */
   apply(command: ShardCommand): ApplyResult {
     switch (command.type) {
       case "takeAllotment":
@@ -50,7 +53,7 @@
     }
   }
 
-  /** The state as plain data, for a snapshot. */
+  /** Returns the state as plain data. */
   toSnapshot(): ShardSnapshot {
     return {
       programs: this.programs.toSnapshot(),
@@ -59,7 +62,7 @@
     };
   }
 
-  /** Replaces the state by a snapshot. */
+  /** Replaces the state with a snapshot. */
   restore(snapshot: ShardSnapshot): void {
     this.programs.restore(snapshot.programs);
     this.allotments.restore(snapshot.allotments);
