--- a/bench/mutations/tenant-mutations.ts
+++ b/bench/mutations/tenant-mutations.ts
@@ -10,8 +10,8 @@
     edits: [
       {
         file: "src/gateway/rates/rate-host.ts",
-        from: "RateLedger.after(this.#members.endedByMs(rival) ?? takenOverAtMs + DOUBT_MS);",
-        to: "RateLedger.after(takenOverAtMs - 30 * DOUBT_MS);",
+        from: "RateLimiter.stateWithoutHandOver(this.#members.endedByMs(rival) ?? takenOverAtMs + DOUBT_MS);",
+        to: "RateLimiter.stateWithoutHandOver(takenOverAtMs - 30 * DOUBT_MS);",
       },
     ],
     script,
@@ -22,8 +22,8 @@
     name: "tenants: an owner that is cut off gives out the whole rate",
     edits: [
       {
-        file: "src/coordination/request-rate/rate-ledger.ts",
-        from: "(share >= FULL_SHARE ? 1 : share)",
+        file: "src/coordination/request-rate/rate-limiter.ts",
+        from: "(share >= FULL_SHARE_THRESHOLD ? 1 : share)",
         to: "(share >= 0 ? 1 : share)",
       },
     ],
@@ -35,9 +35,9 @@
     name: "tenants: a lowered limit does not reach the owner",
     edits: [
       {
-        file: "src/coordination/request-rate/rate-ledger.ts",
-        from: "if (demand.limitVersion > account.limitVersion) {",
-        to: "if (demand.limitVersion > 1e9) {",
+        file: "src/coordination/request-rate/rate-limiter.ts",
+        from: "if (request.limitVersion > account.limitVersion) {",
+        to: "if (request.limitVersion > 1e9) {",
       },
     ],
     script,
@@ -55,7 +55,7 @@
       {
         file: "src/gateway/rates/rate-host.ts",
         from: "  #tidy(): void {",
-        to: "  #begun(partition: number): RateLedger {\n    const ledger = new RateLedger(this.#tolerance, RateLedger.after(0));\n    this.#ledgers.set(partition, { epoch: 0, ledger });\n    return ledger;\n  }\n\n  #tidy(): void {\n    if (this.#tolerance.slack >= 0) return;",
+        to: "  #begun(partition: number): RateLimiter {\n    const ledger = new RateLimiter(this.#tolerance, RateLimiter.stateWithoutHandOver(0));\n    this.#ledgers.set(partition, { epoch: 0, ledger });\n    return ledger;\n  }\n\n  #tidy(): void {\n    if (this.#tolerance.slack >= 0) return;",
       },
       {
         file: "src/gateway/partitions/partition-owners.ts",
@@ -97,7 +97,7 @@
     name: "tenants: an owner hands over full buckets",
     edits: [
       {
-        file: "src/coordination/request-rate/rate-ledger.ts",
+        file: "src/coordination/request-rate/rate-limiter.ts",
         from: "tokens.set(subject, bucket.tokens(limit, nowMs));",
         to: "tokens.set(subject, Math.max(bucket.tokens(limit, nowMs), 4 * limit.burst));",
       },
--- a/src/coordination/request-rate/rate-start.ts
+++ b/src/coordination/request-rate/initial-rate-state.ts
@@ -1,5 +1,5 @@
 /** What an owner of limits begins with. */
-export interface RateStart {
+export interface InitialRateState {
   /** Tokens of subjects, as the owner before has handed them over. */
   readonly tokens: ReadonlyMap<string, number>;
   /** Of that moment, in ms of the monotonic clock. */
--- a/src/coordination/request-rate/rate-ledger.ts
+++ b/src/coordination/request-rate/rate-limiter.ts
@@ -4,16 +4,17 @@
  * one. So a new owner starts with little, and its buckets fill only once the one before must have noticed. The first owner
  * of all starts with full buckets, and one that took over from an owner that ended as planned with what that one had left.
  *
- * Guarantee: as long as an owner that is cut off admits no more than its share (see {@link RateLedger.take}) from the end
+ * Guarantee: as long as an owner that is cut off admits no more than its share (see {@link RateLimiter.take}) from the end
  * of its successor's doubt on, all owners together stay within the limit and its tolerance in every window.
  *
  * Pure; times in ms of a monotonic clock.
  */
+
+import type { InitialRateState } from "./initial-rate-state.ts";
 import type { RateAnswer } from "./rate-answer.ts";
 import type { RateHandOver } from "./rate-hand-over.ts";
 import type { RateLimit } from "./rate-limit.ts";
-import type { RateQuestion } from "./rate-question.ts";
-import type { RateStart } from "./rate-start.ts";
+import type { RateRequestId } from "./rate-request-id.ts";
 import type { RateTolerance } from "./rate-tolerance.ts";
 import { TokenBucket } from "./token-bucket.ts";
 
@@ -22,14 +23,14 @@
  * Part of the tolerance that a new owner hands out on credit, when it reaches all members. An owner that dies is missed
  * after a second or more, so that at most three follow one another within a window of some seconds.
  */
-const CREDIT_PART = 1 / 3;
+const CREDIT_FRACTION = 1 / 3;
 /** Members out of reach up to this part of all take nothing from the rate: half of a tolerance of a tenth. */
-const FULL_SHARE = 0.95;
+const FULL_SHARE_THRESHOLD = 0.95;
 /** Bucket of a subject that has not asked for so long is full, and is dropped. */
 const IDLE_MS = 60_000;
 
 /** The last question of an asker, and what it was told. */
-interface AnsweredQuestion {
+interface AnsweredRequest {
   readonly number: number;
   readonly answer: RateAnswer;
 }
@@ -40,50 +41,50 @@
   /** Version of the configuration that the limit is from. */
   limitVersion: number;
   /** When the last of those that were turned away was told to come back. */
-  nextReturnMs: number;
-  lastAskedMs: number;
+  lastRetryAtMs: number;
+  lastRequestAtMs: number;
   /** By asker. */
-  readonly answered: Map<string, AnsweredQuestion>;
+  readonly answered: Map<string, AnsweredRequest>;
 }
 
 /** What a request for tokens says. */
-export interface RateDemand {
+export interface RateRequest {
   readonly subject: string;
   readonly wanted: number;
   readonly limit: RateLimit;
   /** Of the configuration that the limit is from; a newer one replaces it. */
   readonly limitVersion: number;
   /** A question that is repeated gets the answer that it had. Left out by askers that never repeat one. */
-  readonly question?: RateQuestion | undefined;
+  readonly requestId?: RateRequestId | undefined;
 }
 
 /** See the module's comment. */
-export class RateLedger {
+export class RateLimiter {
   readonly #accounts = new Map<string, Account>();
   readonly #tolerance: RateTolerance;
-  #start: RateStart;
+  #initialState: InitialRateState;
 
-  constructor(tolerance: RateTolerance, start: RateStart) {
+  constructor(tolerance: RateTolerance, initialState: InitialRateState) {
     this.#tolerance = tolerance;
-    this.#start = start;
+    this.#initialState = initialState;
   }
 
   /** The start of the first owner of all. */
-  static first(): RateStart {
+  static firstOwnerState(): InitialRateState {
     return { tokens: new Map(), tokensAtMs: 0, fillsFromMs: undefined };
   }
 
   /**
    * The start of an owner to which nothing was handed over.
    *
-   * @param doubtUntilMs until when the owner before may still admit requests
+   * @param overlapUntilMs until when the owner before may still admit requests
    */
-  static after(doubtUntilMs: number): RateStart {
-    return { tokens: new Map(), tokensAtMs: 0, fillsFromMs: doubtUntilMs };
+  static stateWithoutHandOver(overlapUntilMs: number): InitialRateState {
+    return { tokens: new Map(), tokensAtMs: 0, fillsFromMs: overlapUntilMs };
   }
 
   /** The start of an owner that took over as planned. */
-  static handedOver({ tokens, filledForMs }: RateHandOver, nowMs: number): RateStart {
+  static stateFromHandOver({ tokens, filledForMs }: RateHandOver, nowMs: number): InitialRateState {
     return {
       tokens: new Map(tokens),
       tokensAtMs: nowMs,
@@ -96,26 +97,26 @@
    *
    * @param share part of all members that this owner reaches: on two sides of a cut, both together give out the rate once
    */
-  take(demand: RateDemand, share: number, nowMs: number): RateAnswer {
-    const account = this.#accountOf(demand, share, nowMs);
-    const { question } = demand;
-    const before = question && account.answered.get(question.asker);
-    if (before && question.number <= before.number) return before.answer;
-    const answer = this.#take(account, demand, share, nowMs);
-    if (question) account.answered.set(question.asker, { number: question.number, answer });
+  take(request: RateRequest, share: number, nowMs: number): RateAnswer {
+    const account = this.#accountOf(request, share, nowMs);
+    const { requestId } = request;
+    const previous = requestId && account.answered.get(requestId.client);
+    if (previous && requestId.number <= previous.number) return previous.answer;
+    const answer = this.#take(account, request, share, nowMs);
+    if (requestId) account.answered.set(requestId.client, { number: requestId.number, answer });
     return answer;
   }
 
-  #take(account: Account, demand: RateDemand, share: number, nowMs: number): RateAnswer {
-    if (demand.limitVersion > account.limitVersion) {
-      account.limit = demand.limit;
-      account.limitVersion = demand.limitVersion;
+  #take(account: Account, request: RateRequest, share: number, nowMs: number): RateAnswer {
+    if (request.limitVersion > account.limitVersion) {
+      account.limit = request.limit;
+      account.limitVersion = request.limitVersion;
     }
-    account.lastAskedMs = nowMs;
-    const perSecond = account.limit.perSecond * (share >= FULL_SHARE ? 1 : share);
+    account.lastRequestAtMs = nowMs;
+    const perSecond = account.limit.perSecond * (share >= FULL_SHARE_THRESHOLD ? 1 : share);
     const limit = { perSecond, burst: account.limit.burst };
-    const granted = account.bucket.take(demand.wanted, limit, nowMs);
-    return this.#answer(account, demand.wanted - granted, granted, limit, nowMs);
+    const granted = account.bucket.take(request.wanted, limit, nowMs);
+    return this.#answer(account, request.wanted - granted, granted, limit, nowMs);
   }
 
   /**
@@ -123,18 +124,18 @@
    *
    * @param endedMs by when it had ended
    */
-  endDoubt(endedMs: number, nowMs: number): void {
-    const { fillsFromMs } = this.#start;
+  endOverlap(endedMs: number, nowMs: number): void {
+    const { fillsFromMs } = this.#initialState;
     if (fillsFromMs === undefined || fillsFromMs <= nowMs) return;
     const sinceMs = Math.min(endedMs, nowMs);
-    this.#start = { ...this.#start, fillsFromMs: sinceMs };
-    for (const { bucket } of this.#accounts.values()) bucket.fillSince(sinceMs);
+    this.#initialState = { ...this.#initialState, fillsFromMs: sinceMs };
+    for (const { bucket } of this.#accounts.values()) bucket.advanceFillStart(sinceMs);
   }
 
   /** What is left for the next owner. This one must admit nothing after it. */
   handOver(nowMs: number): RateHandOver {
-    const { fillsFromMs } = this.#start;
-    const tokens = new Map(this.#start.tokens);
+    const { fillsFromMs } = this.#initialState;
+    const tokens = new Map(this.#initialState.tokens);
     for (const [subject, { bucket, limit }] of this.#accounts)
       tokens.set(subject, bucket.tokens(limit, nowMs));
     return {
@@ -145,34 +146,41 @@
 
   /** Drops subjects that have long been silent. */
   forgetIdle(nowMs: number): void {
-    for (const [subject, { lastAskedMs }] of this.#accounts)
-      if (nowMs - lastAskedMs > IDLE_MS) this.#accounts.delete(subject);
+    for (const [subject, { lastRequestAtMs }] of this.#accounts)
+      if (nowMs - lastRequestAtMs > IDLE_MS) this.#accounts.delete(subject);
   }
 
   #answer(account: Account, refused: number, granted: number, limit: RateLimit, nowMs: number): RateAnswer {
     if (refused === 0) return { granted, retryAfterMs: 0, retryStepMs: 0 };
     const retryStepMs = MS_PER_S / limit.perSecond;
-    const soonestMs = nowMs + account.bucket.waitMs(limit, nowMs);
-    const afterOthersMs = account.nextReturnMs + retryStepMs;
+    const earliestRetryAtMs = nowMs + account.bucket.waitMs(limit, nowMs);
+    const afterPreviousMs = account.lastRetryAtMs + retryStepMs;
     // Nobody is told to wait for longer than a window: beyond it, times are given out once more from the start.
-    const lastOfThemMs = afterOthersMs + (refused - 1) * retryStepMs;
-    const isFar = lastOfThemMs > nowMs + this.#tolerance.windowMs;
-    const firstReturnMs = isFar ? soonestMs : Math.max(soonestMs, afterOthersMs);
-    account.nextReturnMs = firstReturnMs + (refused - 1) * retryStepMs;
-    return { granted, retryAfterMs: firstReturnMs - nowMs, retryStepMs };
+    const lastOfRefusedMs = afterPreviousMs + (refused - 1) * retryStepMs;
+    const exceedsWindow = lastOfRefusedMs > nowMs + this.#tolerance.windowMs;
+    const firstRetryAtMs = exceedsWindow ? earliestRetryAtMs : Math.max(earliestRetryAtMs, afterPreviousMs);
+    account.lastRetryAtMs = firstRetryAtMs + (refused - 1) * retryStepMs;
+    return { granted, retryAfterMs: firstRetryAtMs - nowMs, retryStepMs };
   }
 
-  #accountOf({ subject, limit, limitVersion }: RateDemand, share: number, nowMs: number): Account {
+  #accountOf({ subject, limit, limitVersion }: RateRequest, share: number, nowMs: number): Account {
     const known = this.#accounts.get(subject);
     if (known) return known;
     const bucket = this.#newBucket(subject, limit, share, nowMs);
-    const account = { bucket, limit, limitVersion, nextReturnMs: 0, lastAskedMs: nowMs, answered: new Map() };
+    const account = {
+      bucket,
+      limit,
+      limitVersion,
+      lastRetryAtMs: 0,
+      lastRequestAtMs: nowMs,
+      answered: new Map(),
+    };
     this.#accounts.set(subject, account);
     return account;
   }
 
   #newBucket(subject: string, limit: RateLimit, share: number, nowMs: number): TokenBucket {
-    const { tokens, tokensAtMs, fillsFromMs } = this.#start;
+    const { tokens, tokensAtMs, fillsFromMs } = this.#initialState;
     const left = tokens.get(subject);
     if (left !== undefined) return new TokenBucket(left, tokensAtMs);
     if (fillsFromMs === undefined) return new TokenBucket(Math.max(1, limit.burst) * share, nowMs);
@@ -182,7 +190,7 @@
   /** What may be admitted although the owner before may have admitted all that the limit allows. */
   #creditOf({ perSecond, burst }: RateLimit): number {
     const { windowMs, overage, slack } = this.#tolerance;
-    const inWindow = (perSecond * windowMs) / MS_PER_S + burst;
-    return CREDIT_PART * (inWindow * overage + slack);
+    const allowedInWindow = (perSecond * windowMs) / MS_PER_S + burst;
+    return CREDIT_FRACTION * (allowedInWindow * overage + slack);
   }
 }
--- a/src/coordination/request-rate/token-bucket.ts
+++ b/src/coordination/request-rate/token-bucket.ts
@@ -26,7 +26,7 @@
   }
 
   /** Tokens come in earlier than was thought: from this moment on. */
-  fillSince(fillsFromMs: number): void {
+  advanceFillStart(fillsFromMs: number): void {
     this.#filledAtMs = Math.min(this.#filledAtMs, fillsFromMs);
   }
 
--- a/src/gateway/rates/rate-host.ts
+++ b/src/gateway/rates/rate-host.ts
@@ -4,9 +4,9 @@
  * in the buckets to the next one, in the row by which it lets go: a tenant below its limit must not notice a restart.
  */
 import {
+  type InitialRateState,
   type RateHandOver,
-  RateLedger,
-  type RateStart,
+  RateLimiter,
   type RateTolerance,
 } from "../../coordination/request-rate/index.ts";
 import { delay, repeat } from "../../runtime/clock.ts";
@@ -34,13 +34,13 @@
 /** How the buckets of a partition begin, and why so. */
 interface GroundedStart {
   readonly grounds: RateGrounds;
-  readonly start: RateStart;
+  readonly start: InitialRateState;
 }
 
 /** The ledger of a partition, and the ownership that it is for. */
 interface PartitionLedger {
   readonly epoch: number;
-  readonly ledger: RateLedger;
+  readonly ledger: RateLimiter;
   /** The owner before, as long as it may still admit requests; undefined if there is none, or it has ended. */
   readonly rival: string | undefined;
   /** Whether it was handed over: nothing more is admitted. */
@@ -84,8 +84,8 @@
     while (this.#isUnsure(partition)) await this.#confirmOnce(partition);
     const { ledger, isClosed } = this.#ledgerOf(partition);
     if (isClosed) throw new RedirectSignal(this.#partitions.ownerOf(partition));
-    const question = number === undefined ? undefined : { asker: from.instance, number };
-    const demand = { subject: tenant, wanted, limit, limitVersion, question };
+    const requestId = number === undefined ? undefined : { client: from.instance, number };
+    const demand = { subject: tenant, wanted, limit, limitVersion, requestId };
     return ledger.take(demand, this.#members.reachedShare, this.#context.clock.monotonicMs());
   }
 
@@ -103,7 +103,7 @@
     const known = this.#ledgers.get(partition);
     if (known?.epoch === epoch) return this.#withoutDoubt(partition, known);
     const { grounds, start } = this.#startOf(ownership);
-    const ledger = new RateLedger(this.#tolerance, start);
+    const ledger = new RateLimiter(this.#tolerance, start);
     this.#logStart(partition, epoch, grounds);
     const begun = { epoch, ledger, rival: ownership.rival, isClosed: false };
     this.#ledgers.set(partition, begun);
@@ -111,12 +111,12 @@
   }
 
   #startOf({ isReleased, rates, rival, takenOverAtMs }: PartitionOwnership): GroundedStart {
-    if (rates) return { grounds: "handed over", start: RateLedger.handedOver(rates, takenOverAtMs) };
-    if (isReleased) return { grounds: "released", start: RateLedger.after(takenOverAtMs) };
-    if (rival === undefined) return { grounds: "first", start: RateLedger.first() };
+    if (rates) return { grounds: "handed over", start: RateLimiter.stateFromHandOver(rates, takenOverAtMs) };
+    if (isReleased) return { grounds: "released", start: RateLimiter.stateWithoutHandOver(takenOverAtMs) };
+    if (rival === undefined) return { grounds: "first", start: RateLimiter.firstOwnerState() };
     const endedMs = this.#members.endedByMs(rival);
-    if (endedMs !== undefined) return { grounds: "ended", start: RateLedger.after(endedMs) };
-    return { grounds: "doubt", start: RateLedger.after(takenOverAtMs + DOUBT_MS) };
+    if (endedMs !== undefined) return { grounds: "ended", start: RateLimiter.stateWithoutHandOver(endedMs) };
+    return { grounds: "doubt", start: RateLimiter.stateWithoutHandOver(takenOverAtMs + DOUBT_MS) };
   }
 
   #logStart(partition: number, epoch: number, grounds: RateGrounds): void {
@@ -127,7 +127,7 @@
   #withoutDoubt(partition: number, known: PartitionLedger): PartitionLedger {
     const endedMs = known.rival === undefined ? undefined : this.#members.endedByMs(known.rival);
     if (endedMs === undefined) return known;
-    known.ledger.endDoubt(endedMs, this.#context.clock.monotonicMs());
+    known.ledger.endOverlap(endedMs, this.#context.clock.monotonicMs());
     const certain = { ...known, rival: undefined };
     this.#ledgers.set(partition, certain);
     return certain;
@@ -176,7 +176,7 @@
     if (!ownership) return;
     const { epoch } = ownership;
     const nowMs = clock.monotonicMs();
-    const ledger = new RateLedger(this.#tolerance, RateLedger.after(nowMs + DOUBT_MS));
+    const ledger = new RateLimiter(this.#tolerance, RateLimiter.stateWithoutHandOver(nowMs + DOUBT_MS));
     const isClosed = this.#ledgers.get(partition)?.isClosed ?? false;
     this.#ledgers.set(partition, { epoch, ledger, rival: undefined, isClosed });
     this.#logStart(partition, epoch, "standstill");
--- a/test/contract/request-rate.test.ts
+++ b/test/contract/request-rate.test.ts
@@ -4,8 +4,8 @@
 import { mostInWindow } from "../../bench/simulation/most-in-window.ts";
 import { windowCounts } from "../../bench/simulation/window-counts.ts";
 import {
-  RateLedger,
   type RateLimit,
+  RateLimiter,
   type RateTolerance,
   TokenBucket,
 } from "../../src/coordination/request-rate/index.ts";
@@ -14,9 +14,9 @@
 const TOLERANCE: RateTolerance = { windowMs: 5_000, overage: 0.1, slack: 20 };
 const SMALL: RateLimit = { perSecond: 2, burst: 2 };
 const LARGE: RateLimit = { perSecond: 60, burst: 60 };
-const DOUBT_MS = 2_000;
+const OVERLAP_MS = 2_000;
 
-function demand(wanted: number, limit: RateLimit, limitVersion = 1) {
+function request(wanted: number, limit: RateLimit, limitVersion = 1) {
   return { subject: "tenant", wanted, limit, limitVersion };
 }
 
@@ -49,19 +49,19 @@
 describe("owner of limits", () => {
   for (const limit of [SMALL, LARGE]) {
     it(`admits all that comes below the limit, ${limit.perSecond}/s`, () => {
-      const ledger = new RateLedger(TOLERANCE, RateLedger.after(0));
+      const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
       const stepMs = 1_000 / (limit.perSecond * 0.9);
       for (let nowMs = 10_000; nowMs < 70_000; nowMs += stepMs)
-        expect(ledger.take(demand(1, limit), 1, nowMs).granted).toEqual(1);
+        expect(limiter.take(request(1, limit), 1, nowMs).granted).toEqual(1);
     });
 
     it(`admits the limit, and no more, of what comes above it, ${limit.perSecond}/s`, () => {
-      const ledger = new RateLedger(TOLERANCE, RateLedger.after(0));
+      const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
       const random = new SeededRandomSource(1);
       const admitted: number[] = [];
       for (let nowMs = 10_000; nowMs < 70_000; nowMs += 1) {
         if (random.unit() >= (limit.perSecond * 7.5) / 1_000) continue;
-        if (ledger.take(demand(1, limit), 1, nowMs).granted === 1) admitted.push(nowMs);
+        if (limiter.take(request(1, limit), 1, nowMs).granted === 1) admitted.push(nowMs);
       }
       expect(admitted.length >= 0.98 * 60 * limit.perSecond).toEqual(true);
       expect(mostAdmitted(admitted) <= boundOf(limit)).toEqual(true);
@@ -69,108 +69,117 @@
   }
 
   it("admits a burst at once where nobody has admitted anything before", () => {
-    const ledger = new RateLedger({ ...TOLERANCE, overage: 0, slack: 0 }, RateLedger.first());
-    expect(ledger.take(demand(LARGE.burst, LARGE), 1, 1_000).granted).toEqual(LARGE.burst);
-    expect(ledger.take(demand(1, LARGE), 1, 1_000).granted).toEqual(0);
-    expect(ledger.take({ ...demand(1, SMALL), subject: "other" }, 1, 1_000).granted).toEqual(1);
-    const successor = new RateLedger({ ...TOLERANCE, overage: 0, slack: 0 }, RateLedger.after(1_000));
-    expect(successor.take(demand(1, LARGE), 1, 1_000).granted).toEqual(0);
+    const limiter = new RateLimiter({ ...TOLERANCE, overage: 0, slack: 0 }, RateLimiter.firstOwnerState());
+    expect(limiter.take(request(LARGE.burst, LARGE), 1, 1_000).granted).toEqual(LARGE.burst);
+    expect(limiter.take(request(1, LARGE), 1, 1_000).granted).toEqual(0);
+    expect(limiter.take({ ...request(1, SMALL), subject: "other" }, 1, 1_000).granted).toEqual(1);
+    const successor = new RateLimiter(
+      { ...TOLERANCE, overage: 0, slack: 0 },
+      RateLimiter.stateWithoutHandOver(1_000),
+    );
+    expect(successor.take(request(1, LARGE), 1, 1_000).granted).toEqual(0);
   });
 
   // Guards against callers that are told to stay away for longer than a window, since many were turned away together.
   it("tells none of those that it turns away together to wait for longer than a window", () => {
-    const ledger = new RateLedger(TOLERANCE, RateLedger.after(0));
+    const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
     const limit = { perSecond: 10, burst: 5 };
     for (let nowMs = 1_000; nowMs < 6_000; nowMs += 150) {
-      const { granted, retryAfterMs, retryStepMs } = ledger.take(demand(14, limit), 1, nowMs);
+      const { granted, retryAfterMs, retryStepMs } = limiter.take(request(14, limit), 1, nowMs);
       const longestMs = retryAfterMs + (14 - granted - 1) * retryStepMs;
       expect(longestMs).toBeLessThanOrEqual(TOLERANCE.windowMs);
     }
   });
 
   it("counts a question once that is asked again, and one of another asker beside it", () => {
-    const ledger = new RateLedger({ ...TOLERANCE, overage: 0, slack: 0 }, RateLedger.first());
-    const ask = (wanted: number, asker: string, number: number) =>
-      ledger.take({ ...demand(wanted, LARGE), question: { asker, number } }, 1, 1_000).granted;
+    const limiter = new RateLimiter({ ...TOLERANCE, overage: 0, slack: 0 }, RateLimiter.firstOwnerState());
+    const ask = (wanted: number, client: string, number: number) =>
+      limiter.take({ ...request(wanted, LARGE), requestId: { client, number } }, 1, 1_000).granted;
     expect([ask(30, "a", 1), ask(30, "a", 1), ask(20, "b", 1)]).toEqual([30, 30, 20]);
     // One that was overtaken by the next question of its asker counts for nothing.
     expect([ask(15, "a", 2), ask(30, "a", 1), ask(15, "a", 2), ask(15, "a", 3)]).toEqual([10, 10, 10, 0]);
   });
 
   it("tells those that it turns away to come back one after the other, when there will be room", () => {
-    const ledger = new RateLedger({ ...TOLERANCE, overage: 0, slack: 0 }, RateLedger.after(0));
-    expect(ledger.take(demand(100, LARGE), 1, 1_000).granted).toEqual(60);
-    const first = ledger.take(demand(6, LARGE), 1, 1_000);
+    const limiter = new RateLimiter(
+      { ...TOLERANCE, overage: 0, slack: 0 },
+      RateLimiter.stateWithoutHandOver(0),
+    );
+    expect(limiter.take(request(100, LARGE), 1, 1_000).granted).toEqual(60);
+    const first = limiter.take(request(6, LARGE), 1, 1_000);
     expect([first.granted, Math.round(first.retryAfterMs), Math.round(first.retryStepMs)]).toEqual([
       0, 683, 17,
     ]);
-    const second = ledger.take(demand(1, LARGE), 1, 1_000);
+    const second = limiter.take(request(1, LARGE), 1, 1_000);
     expect(Math.round(second.retryAfterMs)).toEqual(783);
     const returned = Array.from({ length: 6 }, (_, index) => {
       const atMs = 1_000 + first.retryAfterMs + index * first.retryStepMs;
-      return ledger.take(demand(1, LARGE), 1, atMs).granted;
+      return limiter.take(request(1, LARGE), 1, atMs).granted;
     });
     expect(returned).toEqual([1, 1, 1, 1, 1, 1]);
   });
 
   it("takes a lower limit from whoever knows the newer configuration, and never the older one again", () => {
-    const ledger = new RateLedger(TOLERANCE, RateLedger.after(0));
-    ledger.take(demand(1, LARGE, 1), 1, 10_000);
-    expect(ledger.take(demand(100, SMALL, 2), 1, 10_001).granted).toEqual(2);
-    expect(ledger.take(demand(100, LARGE, 1), 1, 11_001).granted).toEqual(2);
+    const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
+    limiter.take(request(1, LARGE, 1), 1, 10_000);
+    expect(limiter.take(request(100, SMALL, 2), 1, 10_001).granted).toEqual(2);
+    expect(limiter.take(request(100, LARGE, 1), 1, 11_001).granted).toEqual(2);
   });
 
   it("drops subjects that are silent, whose buckets are full when they come back", () => {
-    const ledger = new RateLedger(TOLERANCE, RateLedger.after(0));
-    ledger.take(demand(60, LARGE), 1, 10_000);
-    ledger.forgetIdle(80_000);
-    expect(ledger.take(demand(100, LARGE), 1, 80_000).granted).toEqual(60);
+    const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
+    limiter.take(request(60, LARGE), 1, 10_000);
+    limiter.forgetIdle(80_000);
+    expect(limiter.take(request(100, LARGE), 1, 80_000).granted).toEqual(60);
   });
 });
 
 describe("owners of one limit", () => {
   it("hand over what is left, so that a tenant notices nothing of it", () => {
     const limits = { ...TOLERANCE, overage: 0, slack: 0 };
-    const before = new RateLedger(limits, RateLedger.first());
-    expect(before.take(demand(45, LARGE), 1, 1_000).granted).toEqual(45);
+    const before = new RateLimiter(limits, RateLimiter.firstOwnerState());
+    expect(before.take(request(45, LARGE), 1, 1_000).granted).toEqual(45);
     const handOver = before.handOver(1_100);
-    const after = new RateLedger(limits, RateLedger.handedOver(handOver, 1_200));
+    const after = new RateLimiter(limits, RateLimiter.stateFromHandOver(handOver, 1_200));
     // 15 left, 6 come in 100 ms before the hand-over and 18 in 300 ms after it.
-    expect(after.take(demand(60, LARGE), 1, 1_500).granted).toEqual(39);
-    expect(after.take({ ...demand(60, LARGE), subject: "silent so far" }, 1, 1_500).granted).toEqual(60);
+    expect(after.take(request(60, LARGE), 1, 1_500).granted).toEqual(39);
+    expect(after.take({ ...request(60, LARGE), subject: "silent so far" }, 1, 1_500).granted).toEqual(60);
   });
 
   it("doubt no longer once the one before is known to have ended", () => {
     const limits = { ...TOLERANCE, overage: 0, slack: 0 };
-    const ledger = new RateLedger(limits, RateLedger.after(3_000));
-    expect(ledger.take(demand(60, LARGE), 1, 1_200).granted).toEqual(0);
-    ledger.endDoubt(1_000, 1_200);
-    expect(ledger.take(demand(60, LARGE), 1, 1_250).granted).toEqual(15);
-    expect(ledger.take({ ...demand(60, LARGE), subject: "silent so far" }, 1, 1_300).granted).toEqual(18);
-    ledger.endDoubt(0, 1_300);
-    expect(ledger.take(demand(60, LARGE), 1, 1_300).granted).toEqual(3);
+    const limiter = new RateLimiter(limits, RateLimiter.stateWithoutHandOver(3_000));
+    expect(limiter.take(request(60, LARGE), 1, 1_200).granted).toEqual(0);
+    limiter.endOverlap(1_000, 1_200);
+    expect(limiter.take(request(60, LARGE), 1, 1_250).granted).toEqual(15);
+    expect(limiter.take({ ...request(60, LARGE), subject: "silent so far" }, 1, 1_300).granted).toEqual(18);
+    limiter.endOverlap(0, 1_300);
+    expect(limiter.take(request(60, LARGE), 1, 1_300).granted).toEqual(3);
   });
 
   it("hand over their doubts too", () => {
     const limits = { ...TOLERANCE, overage: 0, slack: 0 };
-    const before = new RateLedger(limits, RateLedger.after(1_000));
-    const early = new RateLedger(limits, RateLedger.handedOver(before.handOver(500), 600));
-    expect(early.take(demand(60, LARGE), 1, 1_100).granted).toEqual(0);
-    expect(early.take(demand(60, LARGE), 1, 1_600).granted).toEqual(30);
+    const before = new RateLimiter(limits, RateLimiter.stateWithoutHandOver(1_000));
+    const early = new RateLimiter(limits, RateLimiter.stateFromHandOver(before.handOver(500), 600));
+    expect(early.take(request(60, LARGE), 1, 1_100).granted).toEqual(0);
+    expect(early.take(request(60, LARGE), 1, 1_600).granted).toEqual(30);
   });
 
   for (const limit of [SMALL, LARGE])
     for (const gapMs of [300, 1_200, 4_900])
       it(`stay within it when each hands over after ${gapMs} ms, ${limit.perSecond}/s`, () => {
         const limits = { ...TOLERANCE, overage: 0, slack: 0 };
-        let ledger = new RateLedger(limits, RateLedger.first());
+        let limiter = new RateLimiter(limits, RateLimiter.firstOwnerState());
         let turn = 0;
         const admitted = admittedBy(limit, gapMs, (nowMs) => {
           const next = Math.floor(nowMs / gapMs);
           if (next !== turn)
-            ledger = new RateLedger(limits, RateLedger.handedOver(ledger.handOver(nowMs - 20), nowMs));
+            limiter = new RateLimiter(
+              limits,
+              RateLimiter.stateFromHandOver(limiter.handOver(nowMs - 20), nowMs),
+            );
           turn = next;
-          return [{ ledger, reached: 1 }];
+          return [{ limiter, reached: 1 }];
         });
         expect(mostAdmitted(admitted) <= limit.perSecond * 5 + limit.burst).toEqual(true);
         expect(admitted.length >= 0.9 * 30 * limit.perSecond).toEqual(true);
@@ -180,17 +189,17 @@
   function admittedBy(
     limit: RateLimit,
     seed: number,
-    owners: (nowMs: number) => readonly { readonly ledger: RateLedger; readonly reached: number }[],
+    owners: (nowMs: number) => readonly { readonly limiter: RateLimiter; readonly reached: number }[],
   ): number[] {
     const random = new SeededRandomSource(seed);
     const admitted: number[] = [];
     for (let nowMs = 10_000; nowMs < 40_000; nowMs += 1) {
       if (random.unit() >= (limit.perSecond * 7.5) / 1_000) continue;
       let place = random.unit();
-      for (const { ledger, reached } of owners(nowMs)) {
+      for (const { limiter, reached } of owners(nowMs)) {
         place -= reached;
         if (place >= 0) continue;
-        if (ledger.take(demand(1, limit), reached, nowMs).granted === 1) admitted.push(nowMs);
+        if (limiter.take(request(1, limit), reached, nowMs).granted === 1) admitted.push(nowMs);
         break;
       }
     }
@@ -200,13 +209,14 @@
   for (const limit of [SMALL, LARGE])
     for (const gapMs of [300, 1_200, 2_500, 4_900, 8_000])
       it(`stay within it when each dies after ${gapMs} ms, ${limit.perSecond}/s`, () => {
-        const ledgers = new Map<number, RateLedger>();
+        const limiters = new Map<number, RateLimiter>();
         const admitted = admittedBy(limit, gapMs, (nowMs) => {
           const turn = Math.floor(nowMs / gapMs);
-          const ledger =
-            ledgers.get(turn) ?? new RateLedger(TOLERANCE, RateLedger.after(turn * gapMs + DOUBT_MS));
-          ledgers.set(turn, ledger);
-          return [{ ledger, reached: 1 }];
+          const limiter =
+            limiters.get(turn) ??
+            new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(turn * gapMs + OVERLAP_MS));
+          limiters.set(turn, limiter);
+          return [{ limiter, reached: 1 }];
         });
         // Three may follow within a window on credit; one more costs a third of the tolerance each.
         const further = Math.max(0, Math.ceil(TOLERANCE.windowMs / gapMs) - 3);
@@ -217,15 +227,15 @@
   for (const limit of [SMALL, LARGE])
     for (const reached of [0.1, 0.35, 0.6])
       it(`stay within it when one is cut off with ${reached} of the gateways, ${limit.perSecond}/s`, () => {
-        const before = new RateLedger(TOLERANCE, RateLedger.after(0));
-        const after = new RateLedger(TOLERANCE, RateLedger.after(20_000 + DOUBT_MS));
+        const before = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
+        const after = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(20_000 + OVERLAP_MS));
         const admitted = admittedBy(limit, 1, (nowMs) => {
-          if (nowMs < 18_500) return [{ ledger: before, reached: 1 }];
+          if (nowMs < 18_500) return [{ limiter: before, reached: 1 }];
           // Neither side has noticed the cut; the other side's gateways find no owner.
-          if (nowMs < 20_000) return [{ ledger: before, reached: 1 }];
+          if (nowMs < 20_000) return [{ limiter: before, reached: 1 }];
           return [
-            { ledger: before, reached },
-            { ledger: after, reached: 1 - reached },
+            { limiter: before, reached },
+            { limiter: after, reached: 1 - reached },
           ];
         });
         expect(mostAdmitted(admitted) <= boundOf(limit)).toEqual(true);
