--- a/src/coordination/request-rate/initial-rate-state.ts
+++ b/src/coordination/request-rate/initial-rate-state.ts
@@ -1,12 +1,12 @@
-/** What an owner of limits begins with. */
+/** The state with which a limit owner begins. */
 export interface InitialRateState {
-  /** Tokens of subjects, as the owner before has handed them over. */
+  /** Tokens by subject, as handed over by the previous owner. */
   readonly tokens: ReadonlyMap<string, number>;
-  /** Of that moment, in ms of the monotonic clock. */
+  /** Time at which these token counts applied, in ms of the monotonic clock. */
   readonly tokensAtMs: number;
   /**
-   * Since when the buckets of all other subjects fill, after they began with the credit, in ms of the monotonic clock;
-   * undefined if they are full. In the future as long as the owner before may still admit requests.
+   * Time from which the buckets of all other subjects fill, in ms of the monotonic clock; they start with the credit.
+   * Undefined if they are full. It is in the future as long as the previous owner may still admit requests.
    */
   readonly fillsFromMs: number | undefined;
 }
--- a/src/coordination/request-rate/rate-answer.ts
+++ b/src/coordination/request-rate/rate-answer.ts
@@ -1,8 +1,8 @@
-/** How many of the requests that were asked for may go on, and when the others should come back. */
+/** How many of the wanted requests are granted, and when the refused ones should be retried. */
 export interface RateAnswer {
   readonly granted: number;
-  /** Time until the first of the others may come, in ms. */
+  /** Time until the first refused request may be retried, in ms. */
   readonly retryAfterMs: number;
-  /** How much later each of them comes than the one before, in ms. */
+  /** Interval between the retries of the refused requests, in ms. */
   readonly retryStepMs: number;
 }
--- a/src/coordination/request-rate/rate-hand-over.ts
+++ b/src/coordination/request-rate/rate-hand-over.ts
@@ -1,7 +1,7 @@
-/** What an owner of limits leaves to the next one, as plain data. */
+/** The state that a limit owner hands over to its successor, as plain data. */
 export interface RateHandOver {
-  /** Tokens left, by subject. */
+  /** Remaining tokens by subject. */
   readonly tokens: readonly (readonly [string, number])[];
-  /** How long the buckets of all other subjects have been filling, in ms; undefined if they are full. */
+  /** For how long the buckets of all other subjects have been filling, in ms; undefined if they are full. */
   readonly filledForMs: number | undefined;
 }
--- a/src/coordination/request-rate/rate-limit.ts
+++ b/src/coordination/request-rate/rate-limit.ts
@@ -1,4 +1,4 @@
-/** How many requests may be admitted: in any time span, `perSecond` for each second and `burst` on top. */
+/** A limit on admitted requests: `perSecond` for each second of any time span, plus `burst`. */
 export interface RateLimit {
   readonly perSecond: number;
   readonly burst: number;
--- a/src/coordination/request-rate/rate-limiter.ts
+++ b/src/coordination/request-rate/rate-limiter.ts
@@ -1,15 +1,16 @@
 /**
- * Who of many subjects may send requests now, as the one owner of their limits decides it. Owners follow one another, and
- * a new one knows nothing of what the one before has admitted; that one may even go on for a while, cut off from the new
- * one. So a new owner starts with little, and its buckets fill only once the one before must have noticed. The first owner
- * of all starts with full buckets, and one that took over from an owner that ended as planned with what that one had left.
+ * Rate limiting of many subjects by the single owner of their limits. When the owner changes, the new one doesn't know
+ * what its predecessor has admitted, and a predecessor on the other side of a network partition may go on admitting
+ * requests for a while. This period is called the overlap. A new owner therefore starts with a small credit, and its
+ * buckets fill only after the overlap, when the predecessor must have noticed that it was replaced. The very first
+ * owner starts with full buckets. An owner that takes over from one that shut down as planned continues with the
+ * remaining tokens of its predecessor.
  *
- * Guarantee: as long as an owner that is cut off admits no more than its share (see {@link RateLimiter.take}) from the end
- * of its successor's doubt on, all owners together stay within the limit and its tolerance in every window.
+ * Guarantee: in every window, all owners together stay within the limit and its tolerance, provided that a replaced
+ * owner which is cut off admits no more than its share (see {@link RateLimiter.take}) from the end of the overlap on.
  *
- * Pure; times in ms of a monotonic clock.
+ * Pure; times are in ms of a monotonic clock.
  */
-
 import type { InitialRateState } from "./initial-rate-state.ts";
 import type { RateAnswer } from "./rate-answer.ts";
 import type { RateHandOver } from "./rate-hand-over.ts";
@@ -20,16 +21,19 @@
 
 const MS_PER_S = 1_000;
 /**
- * Part of the tolerance that a new owner hands out on credit, when it reaches all members. An owner that dies is missed
- * after a second or more, so that at most three follow one another within a window of some seconds.
+ * Fraction of the tolerance that a new owner may grant as credit when it reaches all members. The loss of an owner is
+ * detected after a second or more, so at most three owners follow one another within a window of a few seconds.
  */
 const CREDIT_FRACTION = 1 / 3;
-/** Members out of reach up to this part of all take nothing from the rate: half of a tolerance of a tenth. */
+/**
+ * An owner that reaches at least this fraction of the members grants the full rate. The 5 % of the members that may be
+ * out of reach then use up at most half of a tolerance of 10 %.
+ */
 const FULL_SHARE_THRESHOLD = 0.95;
-/** Bucket of a subject that has not asked for so long is full, and is dropped. */
+/** A subject without requests for this long is removed: its bucket is full again. */
 const IDLE_MS = 60_000;
 
-/** The last question of an asker, and what it was told. */
+/** The last request of a client, and its answer. */
 interface AnsweredRequest {
   readonly number: number;
   readonly answer: RateAnswer;
@@ -38,27 +42,29 @@
 interface Account {
   readonly bucket: TokenBucket;
   limit: RateLimit;
-  /** Version of the configuration that the limit is from. */
+  /** Version of the configuration from which the limit was read. */
   limitVersion: number;
-  /** When the last of those that were turned away was told to come back. */
+  /** The latest retry time that was assigned to a refused request. */
   lastRetryAtMs: number;
   lastRequestAtMs: number;
-  /** By asker. */
+  /** Last answered requests by client. */
   readonly answered: Map<string, AnsweredRequest>;
 }
 
-/** What a request for tokens says. */
+/** A request to admit a number of requests of one subject. */
 export interface RateRequest {
   readonly subject: string;
   readonly wanted: number;
   readonly limit: RateLimit;
-  /** Of the configuration that the limit is from; a newer one replaces it. */
+  /** Version of the configuration from which the limit was read; the limit of a newer version replaces older ones. */
   readonly limitVersion: number;
-  /** A question that is repeated gets the answer that it had. Left out by askers that never repeat one. */
+  /**
+   * Identifies the request: a repeated one gets the same answer again. Omitted by clients that never repeat requests.
+   */
   readonly requestId?: RateRequestId | undefined;
 }
 
-/** See the module's comment. */
+/** Limits the request rates of many subjects, as the owner of their limits. */
 export class RateLimiter {
   readonly #accounts = new Map<string, Account>();
   readonly #tolerance: RateTolerance;
@@ -69,21 +75,21 @@
     this.#initialState = initialState;
   }
 
-  /** The start of the first owner of all. */
+  /** Returns the initial state of the very first owner: all buckets are full. */
   static firstOwnerState(): InitialRateState {
     return { tokens: new Map(), tokensAtMs: 0, fillsFromMs: undefined };
   }
 
   /**
-   * The start of an owner to which nothing was handed over.
+   * Returns the initial state of an owner to which nothing was handed over.
    *
-   * @param overlapUntilMs until when the owner before may still admit requests
+   * @param overlapUntilMs time until which the previous owner may still admit requests
    */
   static stateWithoutHandOver(overlapUntilMs: number): InitialRateState {
     return { tokens: new Map(), tokensAtMs: 0, fillsFromMs: overlapUntilMs };
   }
 
-  /** The start of an owner that took over as planned. */
+  /** Returns the initial state of an owner that took over from one that shut down as planned. */
   static stateFromHandOver({ tokens, filledForMs }: RateHandOver, nowMs: number): InitialRateState {
     return {
       tokens: new Map(tokens),
@@ -93,9 +99,10 @@
   }
 
   /**
-   * Admits as many of the requests as the limit allows now.
+   * Admits as many of the wanted requests as the limit allows now.
    *
-   * @param share part of all members that this owner reaches: on two sides of a cut, both together give out the rate once
+   * @param share fraction of all members that this owner reaches; owners on both sides of a network partition together
+   * give out the rate only once
    */
   take(request: RateRequest, share: number, nowMs: number): RateAnswer {
     const account = this.#accountOf(request, share, nowMs);
@@ -120,9 +127,9 @@
   }
 
   /**
-   * The owner before has ended, and admits nothing any more: buckets fill since then.
+   * Ends the overlap early, because the previous owner is known to have ended: buckets fill from that time on.
    *
-   * @param endedMs by when it had ended
+   * @param endedMs time by which the previous owner had ended
    */
   endOverlap(endedMs: number, nowMs: number): void {
     const { fillsFromMs } = this.#initialState;
@@ -132,7 +139,7 @@
     for (const { bucket } of this.#accounts.values()) bucket.advanceFillStart(sinceMs);
   }
 
-  /** What is left for the next owner. This one must admit nothing after it. */
+  /** Returns the state for the next owner. This owner must admit nothing afterwards. */
   handOver(nowMs: number): RateHandOver {
     const { fillsFromMs } = this.#initialState;
     const tokens = new Map(this.#initialState.tokens);
@@ -144,7 +151,7 @@
     };
   }
 
-  /** Drops subjects that have long been silent. */
+  /** Removes subjects that have sent no requests for a long time. */
   forgetIdle(nowMs: number): void {
     for (const [subject, { lastRequestAtMs }] of this.#accounts)
       if (nowMs - lastRequestAtMs > IDLE_MS) this.#accounts.delete(subject);
@@ -155,7 +162,8 @@
     const retryStepMs = MS_PER_S / limit.perSecond;
     const earliestRetryAtMs = nowMs + account.bucket.waitMs(limit, nowMs);
     const afterPreviousMs = account.lastRetryAtMs + retryStepMs;
-    // Nobody is told to wait for longer than a window: beyond it, times are given out once more from the start.
+    // No request is told to wait longer than a window: beyond it, retry times are assigned from the earliest time
+    // again.
     const lastOfRefusedMs = afterPreviousMs + (refused - 1) * retryStepMs;
     const exceedsWindow = lastOfRefusedMs > nowMs + this.#tolerance.windowMs;
     const firstRetryAtMs = exceedsWindow ? earliestRetryAtMs : Math.max(earliestRetryAtMs, afterPreviousMs);
@@ -187,7 +195,7 @@
     return new TokenBucket(this.#creditOf(limit) * share, fillsFromMs);
   }
 
-  /** What may be admitted although the owner before may have admitted all that the limit allows. */
+  /** Tokens that a new owner may grant even if the previous owner has granted everything that the limit allows. */
   #creditOf({ perSecond, burst }: RateLimit): number {
     const { windowMs, overage, slack } = this.#tolerance;
     const allowedInWindow = (perSecond * windowMs) / MS_PER_S + burst;
--- a/src/coordination/request-rate/rate-request-id.ts
+++ b/src/coordination/request-rate/rate-request-id.ts
@@ -1,6 +1,6 @@
-/** A question that may be asked again: its answer may be lost, or come late. */
+/** Identifies a request that the client may repeat, because its answer may be lost or late. */
 export interface RateRequestId {
   readonly client: string;
-  /** Rises with each new question of the asker. */
+  /** Increases with each new request of the client. */
   readonly number: number;
 }
--- a/src/coordination/request-rate/token-bucket.ts
+++ b/src/coordination/request-rate/token-bucket.ts
@@ -1,23 +1,24 @@
 /**
- * A token bucket: tokens come in at a rate and are kept up to a number; each request takes one. It may start with more
- * than it keeps later, and tokens may come in only from some moment on. Pure; times in ms of a monotonic clock.
+ * A token bucket: it is refilled at a constant rate up to its capacity, and each request takes one token. It may start
+ * with more tokens than its capacity, and the refill may start at a later time. Pure; times are in ms of a monotonic
+ * clock.
  */
 import type { RateLimit } from "./rate-limit.ts";
 
 const MS_PER_S = 1_000;
 
-/** See the module's comment. */
+/** Holds the tokens of one subject. */
 export class TokenBucket {
   #tokens: number;
   #filledAtMs: number;
 
-  /** @param fillsFromMs when tokens begin to come in */
+  /** @param fillsFromMs time at which the refill starts */
   constructor(tokens: number, fillsFromMs: number) {
     this.#tokens = tokens;
     this.#filledAtMs = fillsFromMs;
   }
 
-  /** Takes up to `wanted` whole tokens; returns how many there were. */
+  /** Takes up to `wanted` whole tokens; returns the number taken. */
   take(wanted: number, limit: RateLimit, nowMs: number): number {
     this.#fill(limit, nowMs);
     const taken = Math.min(wanted, Math.floor(this.#tokens));
@@ -25,18 +26,18 @@
     return taken;
   }
 
-  /** Tokens come in earlier than was thought: from this moment on. */
+  /** Moves the start of the refill to an earlier time. */
   advanceFillStart(fillsFromMs: number): void {
     this.#filledAtMs = Math.min(this.#filledAtMs, fillsFromMs);
   }
 
-  /** How many tokens there are, parts included. */
+  /** Returns the number of tokens, including fractions. */
   tokens(limit: RateLimit, nowMs: number): number {
     this.#fill(limit, nowMs);
     return this.#tokens;
   }
 
-  /** Time until there is a whole token, in ms. */
+  /** Returns the time until a whole token is available, in ms. */
   waitMs({ perSecond }: RateLimit, nowMs: number): number {
     const missing = Math.max(0, 1 - this.#tokens);
     return Math.max(0, this.#filledAtMs - nowMs) + (missing / perSecond) * MS_PER_S;
@@ -46,7 +47,7 @@
     if (nowMs <= this.#filledAtMs) return;
     const added = ((nowMs - this.#filledAtMs) / MS_PER_S) * perSecond;
     this.#filledAtMs = nowMs;
-    // A bucket that keeps less than one token would never give one.
+    // A bucket with a capacity below one token would never grant a request.
     this.#tokens = Math.min(this.#tokens + added, Math.max(1, burst));
   }
 }
--- a/test/contract/request-rate.test.ts
+++ b/test/contract/request-rate.test.ts
@@ -1,4 +1,7 @@
-/** Tenants' limits: what one owner admits, and what several that follow one another, or are cut apart, admit together. */
+/**
+ * Rate limits of tenants: what a single owner admits, and what several owners admit together when they follow one
+ * another or are separated by a network partition.
+ */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { mostInWindow } from "../../bench/simulation/most-in-window.ts";
@@ -20,18 +23,18 @@
   return { subject: "tenant", wanted, limit, limitVersion };
 }
 
-/** Most that may be admitted in a window. */
+/** Returns the maximum number of requests that may be admitted in a window. */
 function boundOf(limit: RateLimit): number {
   return mostInWindow(limit, TOLERANCE);
 }
 
-/** The most that was admitted in any window. */
+/** Returns the largest number of requests that were admitted in any window. */
 function mostAdmitted(admittedAtMs: readonly number[]): number {
   return Math.max(0, ...windowCounts(admittedAtMs, TOLERANCE.windowMs).map(({ count }) => count));
 }
 
 describe("token bucket", () => {
-  it("gives what has come in, up to what it keeps", () => {
+  it("grants the refilled tokens, up to its capacity", () => {
     const bucket = new TokenBucket(0, 0);
     expect(bucket.take(5, LARGE, 0)).toEqual(0);
     expect(bucket.take(500, LARGE, 500)).toEqual(30);
@@ -39,23 +42,23 @@
     expect(bucket.waitMs(LARGE, 60_000)).toEqual(1_000 / 60);
   });
 
-  it("gives single tokens where the limit is below one", () => {
+  it("grants single tokens when the limit is below one per second", () => {
     const bucket = new TokenBucket(0, 0);
     const rare: RateLimit = { perSecond: 0.25, burst: 0 };
     expect([2_000, 4_000, 6_000, 8_000].map((atMs) => bucket.take(1, rare, atMs))).toEqual([0, 1, 0, 1]);
   });
 });
 
-describe("owner of limits", () => {
+describe("rate limiter with one owner", () => {
   for (const limit of [SMALL, LARGE]) {
-    it(`admits all that comes below the limit, ${limit.perSecond}/s`, () => {
+    it(`admits all requests below the limit, ${limit.perSecond}/s`, () => {
       const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
       const stepMs = 1_000 / (limit.perSecond * 0.9);
       for (let nowMs = 10_000; nowMs < 70_000; nowMs += stepMs)
         expect(limiter.take(request(1, limit), 1, nowMs).granted).toEqual(1);
     });
 
-    it(`admits the limit, and no more, of what comes above it, ${limit.perSecond}/s`, () => {
+    it(`admits exactly the limit when more requests arrive, ${limit.perSecond}/s`, () => {
       const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
       const random = new SeededRandomSource(1);
       const admitted: number[] = [];
@@ -68,7 +71,7 @@
     });
   }
 
-  it("admits a burst at once where nobody has admitted anything before", () => {
+  it("admits a burst at once when there was no owner before", () => {
     const limiter = new RateLimiter({ ...TOLERANCE, overage: 0, slack: 0 }, RateLimiter.firstOwnerState());
     expect(limiter.take(request(LARGE.burst, LARGE), 1, 1_000).granted).toEqual(LARGE.burst);
     expect(limiter.take(request(1, LARGE), 1, 1_000).granted).toEqual(0);
@@ -80,8 +83,8 @@
     expect(successor.take(request(1, LARGE), 1, 1_000).granted).toEqual(0);
   });
 
-  // Guards against callers that are told to stay away for longer than a window, since many were turned away together.
-  it("tells none of those that it turns away together to wait for longer than a window", () => {
+  // Guards against retry times beyond a window, which many requests refused together could be given.
+  it("assigns no retry time beyond a window to requests that are refused together", () => {
     const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
     const limit = { perSecond: 10, burst: 5 };
     for (let nowMs = 1_000; nowMs < 6_000; nowMs += 150) {
@@ -91,16 +94,16 @@
     }
   });
 
-  it("counts a question once that is asked again, and one of another asker beside it", () => {
+  it("counts a repeated request once, and that of another client separately", () => {
     const limiter = new RateLimiter({ ...TOLERANCE, overage: 0, slack: 0 }, RateLimiter.firstOwnerState());
     const ask = (wanted: number, client: string, number: number) =>
       limiter.take({ ...request(wanted, LARGE), requestId: { client, number } }, 1, 1_000).granted;
     expect([ask(30, "a", 1), ask(30, "a", 1), ask(20, "b", 1)]).toEqual([30, 30, 20]);
-    // One that was overtaken by the next question of its asker counts for nothing.
+    // A request that arrives after a later one of the same client is not counted.
     expect([ask(15, "a", 2), ask(30, "a", 1), ask(15, "a", 2), ask(15, "a", 3)]).toEqual([10, 10, 10, 0]);
   });
 
-  it("tells those that it turns away to come back one after the other, when there will be room", () => {
+  it("assigns refused requests one retry time after the other, when tokens will be available", () => {
     const limiter = new RateLimiter(
       { ...TOLERANCE, overage: 0, slack: 0 },
       RateLimiter.stateWithoutHandOver(0),
@@ -119,14 +122,14 @@
     expect(returned).toEqual([1, 1, 1, 1, 1, 1]);
   });
 
-  it("takes a lower limit from whoever knows the newer configuration, and never the older one again", () => {
+  it("adopts a lower limit of a newer configuration, and never returns to the older one", () => {
     const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
     limiter.take(request(1, LARGE, 1), 1, 10_000);
     expect(limiter.take(request(100, SMALL, 2), 1, 10_001).granted).toEqual(2);
     expect(limiter.take(request(100, LARGE, 1), 1, 11_001).granted).toEqual(2);
   });
 
-  it("drops subjects that are silent, whose buckets are full when they come back", () => {
+  it("removes idle subjects, whose buckets are full when they return", () => {
     const limiter = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
     limiter.take(request(60, LARGE), 1, 10_000);
     limiter.forgetIdle(80_000);
@@ -134,19 +137,19 @@
   });
 });
 
-describe("owners of one limit", () => {
-  it("hand over what is left, so that a tenant notices nothing of it", () => {
+describe("rate limiter with several owners", () => {
+  it("hands over the remaining tokens, so that a tenant notices no change", () => {
     const limits = { ...TOLERANCE, overage: 0, slack: 0 };
     const before = new RateLimiter(limits, RateLimiter.firstOwnerState());
     expect(before.take(request(45, LARGE), 1, 1_000).granted).toEqual(45);
     const handOver = before.handOver(1_100);
     const after = new RateLimiter(limits, RateLimiter.stateFromHandOver(handOver, 1_200));
-    // 15 left, 6 come in 100 ms before the hand-over and 18 in 300 ms after it.
+    // 15 tokens remain, 6 are refilled in the 100 ms before the hand-over and 18 in the 300 ms after it.
     expect(after.take(request(60, LARGE), 1, 1_500).granted).toEqual(39);
     expect(after.take({ ...request(60, LARGE), subject: "silent so far" }, 1, 1_500).granted).toEqual(60);
   });
 
-  it("doubt no longer once the one before is known to have ended", () => {
+  it("ends the overlap when the previous owner is known to have ended", () => {
     const limits = { ...TOLERANCE, overage: 0, slack: 0 };
     const limiter = new RateLimiter(limits, RateLimiter.stateWithoutHandOver(3_000));
     expect(limiter.take(request(60, LARGE), 1, 1_200).granted).toEqual(0);
@@ -157,7 +160,7 @@
     expect(limiter.take(request(60, LARGE), 1, 1_300).granted).toEqual(3);
   });
 
-  it("hand over their doubts too", () => {
+  it("hands over an overlap that has not ended", () => {
     const limits = { ...TOLERANCE, overage: 0, slack: 0 };
     const before = new RateLimiter(limits, RateLimiter.stateWithoutHandOver(1_000));
     const early = new RateLimiter(limits, RateLimiter.stateFromHandOver(before.handOver(500), 600));
@@ -167,7 +170,7 @@
 
   for (const limit of [SMALL, LARGE])
     for (const gapMs of [300, 1_200, 4_900])
-      it(`stay within it when each hands over after ${gapMs} ms, ${limit.perSecond}/s`, () => {
+      it(`stays within the limit when each owner hands over after ${gapMs} ms, ${limit.perSecond}/s`, () => {
         const limits = { ...TOLERANCE, overage: 0, slack: 0 };
         let limiter = new RateLimiter(limits, RateLimiter.firstOwnerState());
         let turn = 0;
@@ -185,7 +188,10 @@
         expect(admitted.length >= 0.9 * 30 * limit.perSecond).toEqual(true);
       });
 
-  /** Demand at several times the limit, of which `share` reaches the first owner and the rest the second. */
+  /**
+   * Sends requests at several times the limit, divided among the owners by their `reached` fractions. Returns the times
+   * at which requests were admitted.
+   */
   function admittedBy(
     limit: RateLimit,
     seed: number,
@@ -208,7 +214,7 @@
 
   for (const limit of [SMALL, LARGE])
     for (const gapMs of [300, 1_200, 2_500, 4_900, 8_000])
-      it(`stay within it when each dies after ${gapMs} ms, ${limit.perSecond}/s`, () => {
+      it(`stays within the tolerance when each owner dies after ${gapMs} ms, ${limit.perSecond}/s`, () => {
         const limiters = new Map<number, RateLimiter>();
         const admitted = admittedBy(limit, gapMs, (nowMs) => {
           const turn = Math.floor(nowMs / gapMs);
@@ -218,7 +224,7 @@
           limiters.set(turn, limiter);
           return [{ limiter, reached: 1 }];
         });
-        // Three may follow within a window on credit; one more costs a third of the tolerance each.
+        // The credit of three owners fits into a window; each further owner costs another third of the tolerance.
         const further = Math.max(0, Math.ceil(TOLERANCE.windowMs / gapMs) - 3);
         const credit = (boundOf(limit) - (limit.perSecond * 5 + limit.burst)) / 3;
         expect(mostAdmitted(admitted) <= boundOf(limit) + further * credit).toEqual(true);
@@ -226,12 +232,12 @@
 
   for (const limit of [SMALL, LARGE])
     for (const reached of [0.1, 0.35, 0.6])
-      it(`stay within it when one is cut off with ${reached} of the gateways, ${limit.perSecond}/s`, () => {
+      it(`stays within the tolerance when one is cut off with ${reached} of the gateways, ${limit.perSecond}/s`, () => {
         const before = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(0));
         const after = new RateLimiter(TOLERANCE, RateLimiter.stateWithoutHandOver(20_000 + OVERLAP_MS));
         const admitted = admittedBy(limit, 1, (nowMs) => {
           if (nowMs < 18_500) return [{ limiter: before, reached: 1 }];
-          // Neither side has noticed the cut; the other side's gateways find no owner.
+          // Neither side has detected the network partition yet; gateways on the other side find no owner.
           if (nowMs < 20_000) return [{ limiter: before, reached: 1 }];
           return [
             { limiter: before, reached },
