--- a/bench/mutations/gateway-mutations.ts
+++ b/bench/mutations/gateway-mutations.ts
@@ -10,7 +10,7 @@
     edits: [
       {
         file: "src/gateway/partitions/owned-partition.ts",
-        from: 'if (account.holds(grant.revision)) return Promise.resolve("recorded");',
+        from: 'if (account.isRevisionStored(grant.revision)) return Promise.resolve("recorded");',
         to: 'if (grant.type === "granted") return Promise.resolve("recorded");',
       },
     ],
@@ -36,7 +36,7 @@
     edits: [
       {
         file: "src/coordination/token-account/token-account.ts",
-        from: "if (this.#listed.has(turn)) this.#heldBack.set(turn, most - tokens);",
+        from: "if (this.#possiblyStoredTurns.has(turn)) this.#withheld.set(turn, maxTokens - tokens);",
         to: "",
       },
     ],
--- a/bench/mutations/soak-mutations.ts
+++ b/bench/mutations/soak-mutations.ts
@@ -10,7 +10,7 @@
     edits: [
       {
         file: "src/gateway/partitions/owned-partition.ts",
-        from: 'if (account.holds(grant.revision)) return Promise.resolve("recorded");',
+        from: 'if (account.isRevisionStored(grant.revision)) return Promise.resolve("recorded");',
         to: 'if (grant.type === "granted") return Promise.resolve("recorded");',
       },
     ],
--- a/src/coordination/token-account/index.ts
+++ b/src/coordination/token-account/index.ts
@@ -2,5 +2,5 @@
   type AccountSnapshot,
   type StoredAccount,
   TokenAccount,
-  type TurnGrant,
+  type TurnAdmission,
 } from "./token-account.ts";
--- a/src/coordination/token-account/token-account.ts
+++ b/src/coordination/token-account/token-account.ts
@@ -6,7 +6,7 @@
  */
 
 /** Largest part of what is left of a budget that is set aside for turns to come: it is lost with its owner. */
-const AHEAD_PART = 0.5;
+const MAX_AHEAD_FRACTION = 0.5;
 
 /** What is stored of an account. Everything in it counts as spent. */
 export interface StoredAccount {
@@ -15,10 +15,10 @@
   /** Tokens that are set aside for turns to come. */
   readonly ahead: number;
   /** Turns under way, with the most that each may generate. */
-  readonly open: readonly (readonly [turn: string, most: number])[];
+  readonly open: readonly (readonly [turn: string, maxTokens: number])[];
 }
 
-/** What the store must hold. Give it back to {@link TokenAccount.stored} once the store holds it. */
+/** What the store must hold. Give it back to {@link TokenAccount.markStored} once the store holds it. */
 export interface AccountSnapshot {
   /** Its place in the order of the account's changes. */
   readonly revision: number;
@@ -28,7 +28,7 @@
 }
 
 /** Whether a turn may run. */
-export type TurnGrant =
+export type TurnAdmission =
   /** It may, once the store holds a snapshot of at least this revision. */
   | { readonly type: "granted"; readonly revision: number }
   | { readonly type: "exhausted"; readonly spent: number };
@@ -42,13 +42,13 @@
   /** Tokens that count as spent by the next snapshot. */
   #total: number;
   /** The newest snapshot that the store holds, without its content. */
-  #recorded: Pick<AccountSnapshot, "revision" | "total">;
+  #confirmed: Pick<AccountSnapshot, "revision" | "total">;
   /** Turns that the store may name as under way. */
-  #listed: ReadonlySet<string>;
+  #possiblyStoredTurns: ReadonlySet<string>;
   /** The newest snapshot: the store may hold it although it has not said so. */
-  #newest: AccountSnapshot | undefined;
+  #newestSnapshot: AccountSnapshot | undefined;
   /** What turns have left unused that the store may still name as under way. */
-  readonly #heldBack = new Map<string, number>();
+  readonly #withheld = new Map<string, number>();
 
   /**
    * @param stored what the store has of it. What the owner that wrote it had set aside, it may have granted since: that
@@ -56,21 +56,21 @@
    */
   constructor(stored?: StoredAccount) {
     this.#settled = stored === undefined ? 0 : stored.settled + stored.ahead;
-    for (const [turn, most] of stored?.open ?? []) this.#open.set(turn, most);
-    this.#listed = new Set(this.#open.keys());
+    for (const [turn, maxTokens] of stored?.open ?? []) this.#open.set(turn, maxTokens);
+    this.#possiblyStoredTurns = new Set(this.#open.keys());
     this.#total = this.committed;
-    this.#recorded = { revision: 0, total: this.#total };
+    this.#confirmed = { revision: 0, total: this.#total };
   }
 
   /** Tokens that count as spent: settled ones, and the most of every turn under way. */
   get committed(): number {
     let sum = this.#settled;
-    for (const most of this.#open.values()) sum += most;
+    for (const maxTokens of this.#open.values()) sum += maxTokens;
     return sum;
   }
 
   /** Whether tokens are set aside that no turn uses. */
-  get holdsAhead(): boolean {
+  get hasTokensAhead(): boolean {
     return this.#total > this.committed;
   }
 
@@ -80,25 +80,25 @@
   }
 
   /** Whether the store holds a snapshot of at least this revision. */
-  holds(revision: number): boolean {
-    return this.#recorded.revision >= revision;
+  isRevisionStored(revision: number): boolean {
+    return this.#confirmed.revision >= revision;
   }
 
   /**
    * Asks for a turn. The same turn may ask again and gets the same answer.
    *
-   * @param most the most tokens that the turn may generate
+   * @param maxTokens the most tokens that the turn may generate
    * @param budget all tokens that the program's turns may generate
    * @param aheadTurns for how many turns more tokens are set aside along with this one
    */
-  admit(turn: string, most: number, budget: number, aheadTurns: number): TurnGrant {
+  admit(turn: string, maxTokens: number, budget: number, aheadTurns: number): TurnAdmission {
     if (this.#open.has(turn)) return grant(this.#revision);
     const committed = this.committed;
-    if (committed + most > budget) return { type: "exhausted", spent: committed };
-    const isSetAside = this.#available >= most;
-    this.#open.set(turn, most);
-    if (isSetAside) return grant(this.#recorded.revision);
-    this.#raise(tokensAhead(most, aheadTurns, budget - committed - most));
+    if (committed + maxTokens > budget) return { type: "exhausted", spent: committed };
+    const isCoveredAhead = this.#available >= maxTokens;
+    this.#open.set(turn, maxTokens);
+    if (isCoveredAhead) return grant(this.#confirmed.revision);
+    this.#raiseTotal(tokensAhead(maxTokens, aheadTurns, budget - committed - maxTokens));
     return grant(this.#revision);
   }
 
@@ -106,25 +106,25 @@
    * Ends a turn with what its caller was handed; a turn that is not known is passed over. Returns whether it was known.
    */
   settle(turn: string, tokens: number): boolean {
-    const most = this.#open.get(turn);
-    if (most === undefined) return false;
+    const maxTokens = this.#open.get(turn);
+    if (maxTokens === undefined) return false;
     this.#open.delete(turn);
     this.#settled += tokens;
-    if (this.#listed.has(turn)) this.#heldBack.set(turn, most - tokens);
+    if (this.#possiblyStoredTurns.has(turn)) this.#withheld.set(turn, maxTokens - tokens);
     return true;
   }
 
   /**
    * Sets tokens aside for the next turns when few are left, or much is held back. Returns whether the store must be told.
    */
-  replenish(most: number, budget: number, aheadTurns: number): boolean {
-    const isWritten = this.#recorded.revision < this.#revision;
-    const hasEnough = this.#available >= (aheadTurns / 2) * most;
-    if (isWritten || (hasEnough && this.#heldBackTokens <= aheadTurns * most)) return false;
-    const ahead = tokensAhead(most, aheadTurns, budget - this.committed);
+  replenish(maxTokens: number, budget: number, aheadTurns: number): boolean {
+    const isWritePending = this.#confirmed.revision < this.#revision;
+    const hasEnough = this.#available >= (aheadTurns / 2) * maxTokens;
+    if (isWritePending || (hasEnough && this.#withheldTokens <= aheadTurns * maxTokens)) return false;
+    const ahead = tokensAhead(maxTokens, aheadTurns, budget - this.committed);
     const total = Math.max(this.#total, this.committed + ahead);
-    if (total - this.committed - this.#available < most) return false;
-    this.#raise(ahead);
+    if (total - this.committed - this.#available < maxTokens) return false;
+    this.#raiseTotal(ahead);
     return true;
   }
 
@@ -137,34 +137,35 @@
       account: { settled: this.#settled, ahead, open: [...this.#open] },
       total: committed + ahead,
     };
-    this.#newest = snapshot;
-    this.#listed = new Set([...this.#listed, ...this.#open.keys()]);
+    this.#newestSnapshot = snapshot;
+    this.#possiblyStoredTurns = new Set([...this.#possiblyStoredTurns, ...this.#open.keys()]);
     return snapshot;
   }
 
   /** The store holds a snapshot. */
-  stored(snapshot: AccountSnapshot): void {
+  markStored(snapshot: AccountSnapshot): void {
     const { revision, total } = snapshot;
-    if (revision < this.#recorded.revision) return;
-    this.#recorded = { revision, total };
-    const named = [snapshot, this.#newest].flatMap((one) => one?.account.open ?? []);
-    this.#listed = new Set(named.map(([turn]) => turn));
-    for (const turn of this.#heldBack.keys()) if (!this.#listed.has(turn)) this.#heldBack.delete(turn);
+    if (revision < this.#confirmed.revision) return;
+    this.#confirmed = { revision, total };
+    const openTurns = [snapshot, this.#newestSnapshot].flatMap((one) => one?.account.open ?? []);
+    this.#possiblyStoredTurns = new Set(openTurns.map(([turn]) => turn));
+    for (const turn of this.#withheld.keys())
+      if (!this.#possiblyStoredTurns.has(turn)) this.#withheld.delete(turn);
   }
 
   /** Tokens that the store counts as spent, and that may be granted: what turns have left unused is among them. */
   get #available(): number {
-    return this.#recorded.total - this.committed - this.#heldBackTokens;
+    return this.#confirmed.total - this.committed - this.#withheldTokens;
   }
 
-  get #heldBackTokens(): number {
+  get #withheldTokens(): number {
     let sum = 0;
-    for (const left of this.#heldBack.values()) sum += left;
+    for (const unused of this.#withheld.values()) sum += unused;
     return sum;
   }
 
   /** The store must be told that at least `ahead` tokens beyond the committed ones count as spent. */
-  #raise(ahead: number): void {
+  #raiseTotal(ahead: number): void {
     this.#total = Math.max(this.#total, this.committed + ahead);
     this.#revision += 1;
   }
@@ -174,12 +175,12 @@
  * Tokens to set aside for turns to come: those of whole turns, and never more than a part of what is left. What a lost
  * owner had set aside counts as spent, so a program must keep enough to go on after one owner's loss.
  */
-function tokensAhead(most: number, aheadTurns: number, left: number): number {
-  if (most <= 0 || left <= 0) return 0;
-  const affordable = Math.floor((left * AHEAD_PART) / most);
-  return Math.min(aheadTurns, affordable) * most;
+function tokensAhead(maxTokens: number, aheadTurns: number, remaining: number): number {
+  if (maxTokens <= 0 || remaining <= 0) return 0;
+  const affordable = Math.floor((remaining * MAX_AHEAD_FRACTION) / maxTokens);
+  return Math.min(aheadTurns, affordable) * maxTokens;
 }
 
-function grant(revision: number): TurnGrant {
+function grant(revision: number): TurnAdmission {
   return { type: "granted", revision };
 }
--- a/src/gateway/partitions/owned-partition.ts
+++ b/src/gateway/partitions/owned-partition.ts
@@ -135,7 +135,7 @@
     this.#releasing = true;
     const accounts = new Map<ProgramId, WritableAccount>();
     for (const [program, { account }] of this.#programs) {
-      if (account.holdsAhead) accounts.set(program, releasedAccount(account));
+      if (account.hasTokensAhead) accounts.set(program, releasedAccount(account));
     }
     await this.#writer.release(accounts, handOverRates);
   }
@@ -163,7 +163,7 @@
     const { aheadTurns } = this.#context.settings.budget;
     const grant = account.admit(turn, budget.most, budget.tokens, aheadTurns);
     if (grant.type === "exhausted") return "exhausted";
-    if (account.holds(grant.revision)) return Promise.resolve("recorded");
+    if (account.isRevisionStored(grant.revision)) return Promise.resolve("recorded");
     const waitMs = this.#context.settings.timing.ownerWaitMs - ANSWER_MS;
     const late = delay(this.#context.clock, waitMs).then(() => "late" as const);
     return Promise.race([this.#writer.writeAccount(request.program, account), late]);
@@ -200,8 +200,8 @@
 function releasedAccount(account: TokenAccount): WritableAccount {
   return {
     revision: account.revision,
-    holds: (revision) => account.holds(revision),
+    isRevisionStored: (revision) => account.isRevisionStored(revision),
     snapshot: () => account.snapshot(true),
-    stored: (snapshot) => account.stored(snapshot),
+    markStored: (snapshot) => account.markStored(snapshot),
   };
 }
--- a/src/gateway/partitions/partition-writer.ts
+++ b/src/gateway/partitions/partition-writer.ts
@@ -31,10 +31,10 @@
 /** What the writer needs of a program's account. */
 export interface WritableAccount {
   readonly revision: number;
-  holds(revision: number): boolean;
+  isRevisionStored(revision: number): boolean;
   snapshot(releaseAhead: boolean): AccountSnapshot;
   /** The store has the snapshot. */
-  stored(snapshot: AccountSnapshot): void;
+  markStored(snapshot: AccountSnapshot): void;
 }
 
 /** How a write ended. */
@@ -132,7 +132,7 @@
     while (this.#dirty.size > 0 && !this.#lost) {
       const writes = this.#takeDirty();
       if (!(await this.#transact(writes, { instance: this.#parts.context.instance }))) break;
-      for (const { account, snapshot } of writes) account.stored(snapshot);
+      for (const { account, snapshot } of writes) account.markStored(snapshot);
       this.#settleRecorded();
     }
     this.#running = false;
@@ -150,7 +150,7 @@
 
   /** Answers those whose accounts are recorded as they were when they asked. */
   #settleRecorded(): void {
-    this.#settle(({ account, revision }) => account.holds(revision), "recorded");
+    this.#settle(({ account, revision }) => account.isRevisionStored(revision), "recorded");
   }
 
   #settle(isMeant: (waiter: Waiter) => boolean, outcome: WriteOutcome): void {
--- a/test/contract/partition-writer.test.ts
+++ b/test/contract/partition-writer.test.ts
@@ -164,9 +164,9 @@
     expect(await storedTokens()).toEqual(400);
     const released = {
       revision: account.revision,
-      holds: () => true,
+      isRevisionStored: () => true,
       snapshot: () => account.snapshot(true),
-      stored: () => undefined,
+      markStored: () => undefined,
     };
     await writer.release(new Map([[PROGRAM, released]]), () => undefined);
     expect(await storedTokens()).toEqual(100);
--- a/test/contract/token-account.test.ts
+++ b/test/contract/token-account.test.ts
@@ -4,12 +4,12 @@
 import { type StoredAccount, TokenAccount } from "../../src/coordination/token-account/index.ts";
 
 const BUDGET = 1_000;
-const MOST = 200;
+const MAX_TOKENS = 200;
 
 /** Stores what the account wants stored, and gives it back. */
 function store(account: TokenAccount): StoredAccount {
   const snapshot = account.snapshot();
-  account.stored(snapshot);
+  account.markStored(snapshot);
   return snapshot.account;
 }
 
@@ -17,25 +17,25 @@
   it("grants turns until their most would not fit any more", () => {
     const account = new TokenAccount();
     for (let turn = 0; turn < 5; turn += 1) {
-      expect(account.admit(`turn-${turn}`, MOST, BUDGET, 0).type).toEqual("granted");
+      expect(account.admit(`turn-${turn}`, MAX_TOKENS, BUDGET, 0).type).toEqual("granted");
     }
-    expect(account.admit("turn-5", MOST, BUDGET, 0)).toEqual({ type: "exhausted", spent: 1_000 });
+    expect(account.admit("turn-5", MAX_TOKENS, BUDGET, 0)).toEqual({ type: "exhausted", spent: 1_000 });
   });
 
   it("gives back what a turn did not use", () => {
     const account = new TokenAccount();
-    for (let turn = 0; turn < 5; turn += 1) account.admit(`turn-${turn}`, MOST, BUDGET, 0);
+    for (let turn = 0; turn < 5; turn += 1) account.admit(`turn-${turn}`, MAX_TOKENS, BUDGET, 0);
     account.settle("turn-0", 50);
-    expect(account.admit("turn-5", MOST, BUDGET, 0).type).toEqual("exhausted");
+    expect(account.admit("turn-5", MAX_TOKENS, BUDGET, 0).type).toEqual("exhausted");
     account.settle("turn-1", 50);
-    expect(account.admit("turn-5", MOST, BUDGET, 0).type).toEqual("granted");
+    expect(account.admit("turn-5", MAX_TOKENS, BUDGET, 0).type).toEqual("granted");
   });
 
   it("counts a turn once, however often it asks and ends", () => {
     const account = new TokenAccount();
-    account.admit("turn", MOST, BUDGET, 0);
-    account.admit("turn", MOST, BUDGET, 0);
-    expect(account.committed).toEqual(MOST);
+    account.admit("turn", MAX_TOKENS, BUDGET, 0);
+    account.admit("turn", MAX_TOKENS, BUDGET, 0);
+    expect(account.committed).toEqual(MAX_TOKENS);
     expect(account.settle("turn", 10)).toEqual(true);
     expect(account.settle("turn", 10)).toEqual(false);
     expect(account.committed).toEqual(10);
@@ -43,28 +43,28 @@
 
   it("asks for the store before a turn that was not set aside, and not for one that was", () => {
     const account = new TokenAccount();
-    const first = account.admit("turn-1", MOST, BUDGET, 1);
-    expect(first.type === "granted" && account.holds(first.revision)).toEqual(false);
+    const first = account.admit("turn-1", MAX_TOKENS, BUDGET, 1);
+    expect(first.type === "granted" && account.isRevisionStored(first.revision)).toEqual(false);
     store(account);
-    expect(first.type === "granted" && account.holds(first.revision)).toEqual(true);
-    const second = account.admit("turn-2", MOST, BUDGET, 1);
-    expect(second.type === "granted" && account.holds(second.revision)).toEqual(true);
-    const third = account.admit("turn-3", MOST, BUDGET, 1);
-    expect(third.type === "granted" && account.holds(third.revision)).toEqual(false);
+    expect(first.type === "granted" && account.isRevisionStored(first.revision)).toEqual(true);
+    const second = account.admit("turn-2", MAX_TOKENS, BUDGET, 1);
+    expect(second.type === "granted" && account.isRevisionStored(second.revision)).toEqual(true);
+    const third = account.admit("turn-3", MAX_TOKENS, BUDGET, 1);
+    expect(third.type === "granted" && account.isRevisionStored(third.revision)).toEqual(false);
   });
 
   it("does not take a snapshot for stored that is older than the grant", () => {
     const account = new TokenAccount();
-    account.admit("turn-1", MOST, BUDGET, 0);
+    account.admit("turn-1", MAX_TOKENS, BUDGET, 0);
     const snapshot = account.snapshot();
-    const grant = account.admit("turn-2", MOST, BUDGET, 0);
-    account.stored(snapshot);
-    expect(grant.type === "granted" && account.holds(grant.revision)).toEqual(false);
+    const grant = account.admit("turn-2", MAX_TOKENS, BUDGET, 0);
+    account.markStored(snapshot);
+    expect(grant.type === "granted" && account.isRevisionStored(grant.revision)).toEqual(false);
   });
 
   it("counts what a lost owner had set aside as spent for good, and its turn under way until the end is told", () => {
     const account = new TokenAccount();
-    account.admit("turn-1", MOST, BUDGET, 2);
+    account.admit("turn-1", MAX_TOKENS, BUDGET, 2);
     const taken = new TokenAccount(store(account));
     expect(taken.committed).toEqual(600);
     expect(taken.settle("turn-1", 30)).toEqual(true);
@@ -74,16 +74,16 @@
 
   it("charges a turn under way once, though it asks the new owner again", () => {
     const account = new TokenAccount();
-    account.admit("turn-1", MOST, BUDGET, 0);
+    account.admit("turn-1", MAX_TOKENS, BUDGET, 0);
     const taken = new TokenAccount(store(account));
-    const again = taken.admit("turn-1", MOST, BUDGET, 0);
-    expect(again.type === "granted" && taken.holds(again.revision)).toEqual(true);
-    expect(taken.committed).toEqual(MOST);
+    const again = taken.admit("turn-1", MAX_TOKENS, BUDGET, 0);
+    expect(again.type === "granted" && taken.isRevisionStored(again.revision)).toEqual(true);
+    expect(taken.committed).toEqual(MAX_TOKENS);
   });
 
   it("takes turns that are under way over from an owner that has let go", () => {
     const account = new TokenAccount();
-    account.admit("turn-1", MOST, BUDGET, 2);
+    account.admit("turn-1", MAX_TOKENS, BUDGET, 2);
     const taken = new TokenAccount(account.snapshot(true).account);
     expect(taken.committed).toEqual(200);
     expect(taken.settle("turn-1", 30)).toEqual(true);
@@ -98,62 +98,67 @@
   ];
   for (const [budgetTurns, aheadTurns, leftAfterLoss] of SMALL_BUDGETS) {
     it(`leaves ${leftAfterLoss} of ${budgetTurns} turns to a program whose owner is lost in the first`, () => {
-      const budget = budgetTurns * MOST;
+      const budget = budgetTurns * MAX_TOKENS;
       const account = new TokenAccount();
-      account.admit("turn-0", MOST, budget, aheadTurns);
+      account.admit("turn-0", MAX_TOKENS, budget, aheadTurns);
       const taken = new TokenAccount(store(account));
       let granted = 0;
-      while (taken.admit(`turn-${granted + 1}`, MOST, budget, aheadTurns).type === "granted") granted += 1;
+      while (taken.admit(`turn-${granted + 1}`, MAX_TOKENS, budget, aheadTurns).type === "granted")
+        granted += 1;
       expect(granted).toEqual(leftAfterLoss);
     });
   }
 
   it("sets nothing aside when it lets go", () => {
     const account = new TokenAccount();
-    account.admit("turn-1", MOST, BUDGET, 2);
-    expect(account.snapshot(true).account).toEqual({ settled: 0, ahead: 0, open: [["turn-1", MOST]] });
+    account.admit("turn-1", MAX_TOKENS, BUDGET, 2);
+    expect(account.snapshot(true).account).toEqual({
+      settled: 0,
+      ahead: 0,
+      open: [["turn-1", MAX_TOKENS]],
+    });
   });
 
   it("grants what is set aside while the store is being told of more", () => {
     const account = new TokenAccount();
-    account.admit("turn-1", MOST, 10 * BUDGET, 2);
+    account.admit("turn-1", MAX_TOKENS, 10 * BUDGET, 2);
     store(account);
-    account.admit("turn-2", MOST, 10 * BUDGET, 2);
-    account.settle("turn-2", MOST);
-    expect(account.replenish(MOST, 10 * BUDGET, 4)).toEqual(true);
-    const third = account.admit("turn-3", MOST, 10 * BUDGET, 2);
-    expect(third.type === "granted" && account.holds(third.revision)).toEqual(true);
+    account.admit("turn-2", MAX_TOKENS, 10 * BUDGET, 2);
+    account.settle("turn-2", MAX_TOKENS);
+    expect(account.replenish(MAX_TOKENS, 10 * BUDGET, 4)).toEqual(true);
+    const third = account.admit("turn-3", MAX_TOKENS, 10 * BUDGET, 2);
+    expect(third.type === "granted" && account.isRevisionStored(third.revision)).toEqual(true);
   });
 
   it("grants what a turn left unused at once, unless the store names the turn as under way", () => {
     const account = new TokenAccount();
-    account.admit("turn-1", MOST, BUDGET, 1);
+    account.admit("turn-1", MAX_TOKENS, BUDGET, 1);
     store(account);
-    account.admit("turn-2", MOST, BUDGET, 1);
+    account.admit("turn-2", MAX_TOKENS, BUDGET, 1);
     account.settle("turn-2", 0);
-    const third = account.admit("turn-3", MOST, BUDGET, 1);
-    expect(third.type === "granted" && account.holds(third.revision)).toEqual(true);
+    const third = account.admit("turn-3", MAX_TOKENS, BUDGET, 1);
+    expect(third.type === "granted" && account.isRevisionStored(third.revision)).toEqual(true);
     account.settle("turn-1", 0);
-    const fourth = account.admit("turn-4", MOST, BUDGET, 1);
-    expect(fourth.type === "granted" && account.holds(fourth.revision)).toEqual(false);
+    const fourth = account.admit("turn-4", MAX_TOKENS, BUDGET, 1);
+    expect(fourth.type === "granted" && account.isRevisionStored(fourth.revision)).toEqual(false);
     store(account);
-    expect(fourth.type === "granted" && account.holds(fourth.revision)).toEqual(true);
+    expect(fourth.type === "granted" && account.isRevisionStored(fourth.revision)).toEqual(true);
   });
 
   it("has the store told when much is held back, so that a new owner does not count it as spent", () => {
     const account = new TokenAccount();
-    for (let turn = 0; turn < 4; turn += 1) account.admit(`turn-${turn}`, MOST, 2 * BUDGET, 1);
+    for (let turn = 0; turn < 4; turn += 1) account.admit(`turn-${turn}`, MAX_TOKENS, 2 * BUDGET, 1);
     store(account);
     for (let turn = 0; turn < 4; turn += 1) account.settle(`turn-${turn}`, 20);
-    expect(account.replenish(MOST, 2 * BUDGET, 1)).toEqual(true);
-    expect(new TokenAccount(store(account)).committed <= 80 + 5 * MOST).toEqual(true);
-    expect(account.replenish(MOST, 2 * BUDGET, 1)).toEqual(false);
+    expect(account.replenish(MAX_TOKENS, 2 * BUDGET, 1)).toEqual(true);
+    expect(new TokenAccount(store(account)).committed <= 80 + 5 * MAX_TOKENS).toEqual(true);
+    expect(account.replenish(MAX_TOKENS, 2 * BUDGET, 1)).toEqual(false);
   });
 
   it("leaves a program a turn that its budget holds, once the ends of named turns are known after a loss", () => {
     const step = fc.record({
       kind: fc.constantFrom("admit", "settle", "store", "replenish"),
-      used: fc.integer({ min: 0, max: MOST }),
+      used: fc.integer({ min: 0, max: MAX_TOKENS }),
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), fc.integer({ min: 0, max: 4 }), (steps, ahead) => {
@@ -162,7 +167,10 @@
         const open: string[] = [];
         const ended = new Map<string, number>();
         for (const [index, { kind, used }] of steps.entries()) {
-          if (kind === "admit" && account.admit(`turn-${index}`, MOST, BUDGET, ahead).type === "granted") {
+          if (
+            kind === "admit" &&
+            account.admit(`turn-${index}`, MAX_TOKENS, BUDGET, ahead).type === "granted"
+          ) {
             stored = store(account);
             open.push(`turn-${index}`);
           }
@@ -172,13 +180,13 @@
             ended.set(turn, used);
           }
           if (kind === "store") stored = store(account);
-          if (kind === "replenish") account.replenish(MOST, BUDGET, ahead);
+          if (kind === "replenish") account.replenish(MAX_TOKENS, BUDGET, ahead);
         }
         const taken = new TokenAccount(stored);
         for (const [turn, tokens] of ended) taken.settle(turn, tokens);
-        const spent = [...ended.values()].reduce((sum, tokens) => sum + tokens, open.length * MOST);
-        const isHeld = spent + MOST <= BUDGET;
-        expect(!isHeld || taken.admit("next", MOST, BUDGET, ahead).type === "granted").toEqual(true);
+        const spent = [...ended.values()].reduce((sum, tokens) => sum + tokens, open.length * MAX_TOKENS);
+        const isHeld = spent + MAX_TOKENS <= BUDGET;
+        expect(!isHeld || taken.admit("next", MAX_TOKENS, BUDGET, ahead).type === "granted").toEqual(true);
       }),
       { seed: 1, numRuns: 2_000 },
     );
@@ -196,8 +204,8 @@
         "handedOver",
         "replenish",
       ),
-      used: fc.integer({ min: 0, max: MOST }),
-      most: fc.integer({ min: 1, max: MOST }),
+      used: fc.integer({ min: 0, max: MAX_TOKENS }),
+      maxTokens: fc.integer({ min: 1, max: MAX_TOKENS }),
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), fc.integer({ min: 0, max: 3 }), (steps, ahead) => {
@@ -207,25 +215,25 @@
         let turns = 0;
         const open: [string, number][] = [];
         const ended: [string, number][] = [];
-        for (const { kind, used, most } of steps) {
+        for (const { kind, used, maxTokens } of steps) {
           if (kind === "admit") {
             const turn = `turn-${turns++}`;
-            const grant = account.admit(turn, most, BUDGET, ahead);
+            const grant = account.admit(turn, maxTokens, BUDGET, ahead);
             if (grant.type !== "granted") continue;
             // Granted means: stored first, unless it was set aside before.
-            if (!account.holds(grant.revision)) stored = store(account);
-            open.push([turn, most]);
+            if (!account.isRevisionStored(grant.revision)) stored = store(account);
+            open.push([turn, maxTokens]);
           }
           if (kind === "settle") {
-            const [turn, most] = open.shift() ?? ["none", 0];
-            const tokens = Math.min(used, most);
+            const [turn, maxTokens] = open.shift() ?? ["none", 0];
+            const tokens = Math.min(used, maxTokens);
             account.settle(turn, tokens);
             ended.push([turn, tokens]);
             handedOut += tokens;
           }
           // The gateway that served a turn may not have heard that its end was taken in.
           if (kind === "settleAgain") for (const [turn, tokens] of ended) account.settle(turn, tokens);
-          if (kind === "replenish") account.replenish(most, BUDGET, ahead);
+          if (kind === "replenish") account.replenish(maxTokens, BUDGET, ahead);
           if (kind === "store") stored = store(account);
           if (kind === "storeUnanswered") stored = account.snapshot().account;
           if (kind === "ownerLost") account = new TokenAccount(stored);
@@ -234,7 +242,7 @@
             account = new TokenAccount(stored);
           }
         }
-        for (const [, most] of open) handedOut += most;
+        for (const [, maxTokens] of open) handedOut += maxTokens;
         expect(handedOut <= BUDGET).toEqual(true);
       }),
       { seed: 1, numRuns: 2_000 },
