--- a/src/coordination/token-account/token-account.ts
+++ b/src/coordination/token-account/token-account.ts
@@ -1,58 +1,59 @@
 /**
- * The count of tokens of one program, at the owner of its partition. Tokens are set aside in the store before they are
- * granted, so that a new owner, which finds only what was stored, never grants them twice. What turns leave unused of them
- * is granted again without the store: a program goes on for several turns while the store is away. Only what a turn leaves
- * that the store names as under way waits for the store: a new owner finds that turn and may be told its end again. Pure.
+ * Token accounting of one program, kept by the owner of its partition. Tokens are reserved in the store before they are
+ * granted. A new owner reads only the stored state, so it never grants them a second time. Tokens that a turn leaves
+ * unused are granted again without a write to the store, so that a program can run several turns while the store is
+ * unavailable. There is one exception: the unused tokens of a turn that the store lists as open are withheld until the
+ * store has been updated, because a new owner finds this turn and may be told its end again. Pure.
  */
 
-/** Largest part of what is left of a budget that is set aside for turns to come: it is lost with its owner. */
+/** Largest fraction of the remaining budget that is reserved for future turns. It is lost when the owner is lost. */
 const MAX_AHEAD_FRACTION = 0.5;
 
-/** What is stored of an account. Everything in it counts as spent. */
+/** The stored state of an account. Everything in it counts as spent. */
 export interface StoredAccount {
   /** Tokens of turns that have ended. */
   readonly settled: number;
-  /** Tokens that are set aside for turns to come. */
+  /** Tokens that are reserved for future turns. */
   readonly ahead: number;
-  /** Turns under way, with the most that each may generate. */
+  /** Open turns, with the maximum number of tokens that each may generate. */
   readonly open: readonly (readonly [turn: string, maxTokens: number])[];
 }
 
-/** What the store must hold. Give it back to {@link TokenAccount.markStored} once the store holds it. */
+/** A state of the account to be stored. Pass it to {@link TokenAccount.markStored} after it has been stored. */
 export interface AccountSnapshot {
-  /** Its place in the order of the account's changes. */
+  /** Revision of the account at the time of the snapshot. */
   readonly revision: number;
   readonly account: StoredAccount;
-  /** All tokens that count as spent by it; never less than in a snapshot before, until the owner lets go. */
+  /** All tokens that the snapshot counts as spent; never decreases until the owner releases the partition. */
   readonly total: number;
 }
 
-/** Whether a turn may run. */
+/** The result of admitting a turn. */
 export type TurnAdmission =
-  /** It may, once the store holds a snapshot of at least this revision. */
+  /** The turn may run once a snapshot of at least this revision is stored. */
   | { readonly type: "granted"; readonly revision: number }
   | { readonly type: "exhausted"; readonly spent: number };
 
-/** See the module's comment. */
+/** Counts the tokens of one program and decides which of its turns may run. */
 export class TokenAccount {
   #settled: number;
   readonly #open = new Map<string, number>();
-  /** Counts the changes that the store must know of before anything more is granted. */
+  /** Counts the changes that must be stored before more tokens are granted. */
   #revision = 0;
-  /** Tokens that count as spent by the next snapshot. */
+  /** Tokens that the next snapshot counts as spent. */
   #total: number;
-  /** The newest snapshot that the store holds, without its content. */
+  /** Revision and total of the newest snapshot that is known to be stored. */
   #confirmed: Pick<AccountSnapshot, "revision" | "total">;
-  /** Turns that the store may name as under way. */
+  /** Turns that the stored state may list as open. */
   #possiblyStoredTurns: ReadonlySet<string>;
-  /** The newest snapshot: the store may hold it although it has not said so. */
+  /** The newest snapshot. It may be stored already, although this has not been confirmed. */
   #newestSnapshot: AccountSnapshot | undefined;
-  /** What turns have left unused that the store may still name as under way. */
+  /** Unused tokens of ended turns that the stored state may still list as open. */
   readonly #withheld = new Map<string, number>();
 
   /**
-   * @param stored what the store has of it. What the owner that wrote it had set aside, it may have granted since: that
-   * counts as spent for good. The turns under way that it names count with their most until their end is told.
+   * @param stored the stored state. Tokens that the previous owner had reserved for future turns count as spent for
+   * good, because it may have granted them since. Open turns count with their maximum until their end is reported.
    */
   constructor(stored?: StoredAccount) {
     this.#settled = stored === undefined ? 0 : stored.settled + stored.ahead;
@@ -62,34 +63,34 @@
     this.#confirmed = { revision: 0, total: this.#total };
   }
 
-  /** Tokens that count as spent: settled ones, and the most of every turn under way. */
+  /** Tokens that count as spent: the settled ones, and the maximum of every open turn. */
   get committed(): number {
     let sum = this.#settled;
     for (const maxTokens of this.#open.values()) sum += maxTokens;
     return sum;
   }
 
-  /** Whether tokens are set aside that no turn uses. */
+  /** Whether tokens are reserved that no turn uses. */
   get hasTokensAhead(): boolean {
     return this.#total > this.committed;
   }
 
-  /** Counts the changes that the store must know of before anything more is granted. */
+  /** Number of changes that must be stored before more tokens are granted. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Whether the store holds a snapshot of at least this revision. */
+  /** Whether a snapshot of at least this revision is known to be stored. */
   isRevisionStored(revision: number): boolean {
     return this.#confirmed.revision >= revision;
   }
 
   /**
-   * Asks for a turn. The same turn may ask again and gets the same answer.
+   * Admits a turn if the budget allows it. Admitting an open turn again has no effect.
    *
-   * @param maxTokens the most tokens that the turn may generate
-   * @param budget all tokens that the program's turns may generate
-   * @param aheadTurns for how many turns more tokens are set aside along with this one
+   * @param maxTokens maximum number of tokens that the turn may generate
+   * @param budget maximum number of tokens that all turns of the program may generate
+   * @param aheadTurns number of future turns for which tokens are reserved along with this one
    */
   admit(turn: string, maxTokens: number, budget: number, aheadTurns: number): TurnAdmission {
     if (this.#open.has(turn)) return grant(this.#revision);
@@ -103,7 +104,8 @@
   }
 
   /**
-   * Ends a turn with what its caller was handed; a turn that is not known is passed over. Returns whether it was known.
+   * Ends a turn and charges the tokens that its caller received. An unknown turn is ignored. Returns whether the turn
+   * was known.
    */
   settle(turn: string, tokens: number): boolean {
     const maxTokens = this.#open.get(turn);
@@ -115,7 +117,8 @@
   }
 
   /**
-   * Sets tokens aside for the next turns when few are left, or much is held back. Returns whether the store must be told.
+   * Reserves tokens for the next turns when few are available or many are withheld. Returns whether the store must be
+   * updated.
    */
   replenish(maxTokens: number, budget: number, aheadTurns: number): boolean {
     const isWritePending = this.#confirmed.revision < this.#revision;
@@ -128,7 +131,7 @@
     return true;
   }
 
-  /** What the store must hold; with `releaseAhead`, nothing stays set aside for turns to come. */
+  /** Returns the state to store. With `releaseAhead`, no tokens stay reserved for future turns. */
   snapshot(releaseAhead = false): AccountSnapshot {
     const { committed } = this;
     const ahead = releaseAhead ? 0 : this.#total - committed;
@@ -142,7 +145,7 @@
     return snapshot;
   }
 
-  /** The store holds a snapshot. */
+  /** Records that a snapshot has been stored. */
   markStored(snapshot: AccountSnapshot): void {
     const { revision, total } = snapshot;
     if (revision < this.#confirmed.revision) return;
@@ -153,7 +156,7 @@
       if (!this.#possiblyStoredTurns.has(turn)) this.#withheld.delete(turn);
   }
 
-  /** Tokens that the store counts as spent, and that may be granted: what turns have left unused is among them. */
+  /** Tokens that the store counts as spent and that may still be granted, including the unused ones of ended turns. */
   get #available(): number {
     return this.#confirmed.total - this.committed - this.#withheldTokens;
   }
@@ -164,7 +167,7 @@
     return sum;
   }
 
-  /** The store must be told that at least `ahead` tokens beyond the committed ones count as spent. */
+  /** Requires a write to the store that counts at least `ahead` tokens beyond the committed ones as spent. */
   #raiseTotal(ahead: number): void {
     this.#total = Math.max(this.#total, this.committed + ahead);
     this.#revision += 1;
@@ -172,8 +175,9 @@
 }
 
 /**
- * Tokens to set aside for turns to come: those of whole turns, and never more than a part of what is left. What a lost
- * owner had set aside counts as spent, so a program must keep enough to go on after one owner's loss.
+ * Returns the number of tokens to reserve for future turns: those of whole turns, and never more than a fraction of the
+ * remaining budget. Tokens reserved by a lost owner count as spent, so enough of the budget must remain for the program
+ * to continue after the loss of one owner.
  */
 function tokensAhead(maxTokens: number, aheadTurns: number, remaining: number): number {
   if (maxTokens <= 0 || remaining <= 0) return 0;
--- a/test/contract/token-account.test.ts
+++ b/test/contract/token-account.test.ts
@@ -6,7 +6,7 @@
 const BUDGET = 1_000;
 const MAX_TOKENS = 200;
 
-/** Stores what the account wants stored, and gives it back. */
+/** Marks a snapshot of the account as stored, and returns the stored state. */
 function store(account: TokenAccount): StoredAccount {
   const snapshot = account.snapshot();
   account.markStored(snapshot);
@@ -14,7 +14,7 @@
 }
 
 describe("token account", () => {
-  it("grants turns until their most would not fit any more", () => {
+  it("grants turns until the maximum of the next one exceeds the budget", () => {
     const account = new TokenAccount();
     for (let turn = 0; turn < 5; turn += 1) {
       expect(account.admit(`turn-${turn}`, MAX_TOKENS, BUDGET, 0).type).toEqual("granted");
@@ -22,7 +22,7 @@
     expect(account.admit("turn-5", MAX_TOKENS, BUDGET, 0)).toEqual({ type: "exhausted", spent: 1_000 });
   });
 
-  it("gives back what a turn did not use", () => {
+  it("makes the unused tokens of a turn available again", () => {
     const account = new TokenAccount();
     for (let turn = 0; turn < 5; turn += 1) account.admit(`turn-${turn}`, MAX_TOKENS, BUDGET, 0);
     account.settle("turn-0", 50);
@@ -31,7 +31,7 @@
     expect(account.admit("turn-5", MAX_TOKENS, BUDGET, 0).type).toEqual("granted");
   });
 
-  it("counts a turn once, however often it asks and ends", () => {
+  it("counts a turn once, however often it is admitted and settled", () => {
     const account = new TokenAccount();
     account.admit("turn", MAX_TOKENS, BUDGET, 0);
     account.admit("turn", MAX_TOKENS, BUDGET, 0);
@@ -41,7 +41,7 @@
     expect(account.committed).toEqual(10);
   });
 
-  it("asks for the store before a turn that was not set aside, and not for one that was", () => {
+  it("requires a write before a turn without reserved tokens, and none before one with them", () => {
     const account = new TokenAccount();
     const first = account.admit("turn-1", MAX_TOKENS, BUDGET, 1);
     expect(first.type === "granted" && account.isRevisionStored(first.revision)).toEqual(false);
@@ -53,7 +53,7 @@
     expect(third.type === "granted" && account.isRevisionStored(third.revision)).toEqual(false);
   });
 
-  it("does not take a snapshot for stored that is older than the grant", () => {
+  it("does not count a grant as stored by an older snapshot", () => {
     const account = new TokenAccount();
     account.admit("turn-1", MAX_TOKENS, BUDGET, 0);
     const snapshot = account.snapshot();
@@ -62,7 +62,7 @@
     expect(grant.type === "granted" && account.isRevisionStored(grant.revision)).toEqual(false);
   });
 
-  it("counts what a lost owner had set aside as spent for good, and its turn under way until the end is told", () => {
+  it("counts tokens reserved by a lost owner as spent for good, and its open turn until the end is reported", () => {
     const account = new TokenAccount();
     account.admit("turn-1", MAX_TOKENS, BUDGET, 2);
     const taken = new TokenAccount(store(account));
@@ -72,7 +72,7 @@
     expect(taken.committed).toEqual(430);
   });
 
-  it("charges a turn under way once, though it asks the new owner again", () => {
+  it("charges an open turn once, although it is admitted again by the new owner", () => {
     const account = new TokenAccount();
     account.admit("turn-1", MAX_TOKENS, BUDGET, 0);
     const taken = new TokenAccount(store(account));
@@ -81,7 +81,7 @@
     expect(taken.committed).toEqual(MAX_TOKENS);
   });
 
-  it("takes turns that are under way over from an owner that has let go", () => {
+  it("takes over open turns from an owner that released the account", () => {
     const account = new TokenAccount();
     account.admit("turn-1", MAX_TOKENS, BUDGET, 2);
     const taken = new TokenAccount(account.snapshot(true).account);
@@ -97,7 +97,7 @@
     [6, 2, 3],
   ];
   for (const [budgetTurns, aheadTurns, leftAfterLoss] of SMALL_BUDGETS) {
-    it(`leaves ${leftAfterLoss} of ${budgetTurns} turns to a program whose owner is lost in the first`, () => {
+    it(`leaves ${leftAfterLoss} of ${budgetTurns} turns to a program whose owner is lost during the first`, () => {
       const budget = budgetTurns * MAX_TOKENS;
       const account = new TokenAccount();
       account.admit("turn-0", MAX_TOKENS, budget, aheadTurns);
@@ -109,7 +109,7 @@
     });
   }
 
-  it("sets nothing aside when it lets go", () => {
+  it("reserves nothing for future turns when it is released", () => {
     const account = new TokenAccount();
     account.admit("turn-1", MAX_TOKENS, BUDGET, 2);
     expect(account.snapshot(true).account).toEqual({
@@ -119,7 +119,7 @@
     });
   });
 
-  it("grants what is set aside while the store is being told of more", () => {
+  it("grants reserved tokens while a larger reservation is being stored", () => {
     const account = new TokenAccount();
     account.admit("turn-1", MAX_TOKENS, 10 * BUDGET, 2);
     store(account);
@@ -130,7 +130,7 @@
     expect(third.type === "granted" && account.isRevisionStored(third.revision)).toEqual(true);
   });
 
-  it("grants what a turn left unused at once, unless the store names the turn as under way", () => {
+  it("grants the unused tokens of a turn at once, unless the store lists the turn as open", () => {
     const account = new TokenAccount();
     account.admit("turn-1", MAX_TOKENS, BUDGET, 1);
     store(account);
@@ -145,7 +145,7 @@
     expect(fourth.type === "granted" && account.isRevisionStored(fourth.revision)).toEqual(true);
   });
 
-  it("has the store told when much is held back, so that a new owner does not count it as spent", () => {
+  it("requires a write when many tokens are withheld, so that a new owner does not count them as spent", () => {
     const account = new TokenAccount();
     for (let turn = 0; turn < 4; turn += 1) account.admit(`turn-${turn}`, MAX_TOKENS, 2 * BUDGET, 1);
     store(account);
@@ -155,7 +155,7 @@
     expect(account.replenish(MAX_TOKENS, 2 * BUDGET, 1)).toEqual(false);
   });
 
-  it("leaves a program a turn that its budget holds, once the ends of named turns are known after a loss", () => {
+  it("grants a turn that fits the budget after the loss of an owner, once the ends of open turns are reported", () => {
     const step = fc.record({
       kind: fc.constantFrom("admit", "settle", "store", "replenish"),
       used: fc.integer({ min: 0, max: MAX_TOKENS }),
@@ -192,7 +192,7 @@
     );
   });
 
-  it("never grants more than the budget in all, whoever dies when", () => {
+  it("never grants more than the budget in total, whenever owners are lost", () => {
     const step = fc.record({
       kind: fc.constantFrom(
         "admit",
@@ -220,7 +220,7 @@
             const turn = `turn-${turns++}`;
             const grant = account.admit(turn, maxTokens, BUDGET, ahead);
             if (grant.type !== "granted") continue;
-            // Granted means: stored first, unless it was set aside before.
+            // A turn runs only after the grant is stored, unless its tokens were reserved before.
             if (!account.isRevisionStored(grant.revision)) stored = store(account);
             open.push([turn, maxTokens]);
           }
@@ -231,7 +231,7 @@
             ended.push([turn, tokens]);
             handedOut += tokens;
           }
-          // The gateway that served a turn may not have heard that its end was taken in.
+          // The gateway that served a turn may report its end again, because it missed the confirmation.
           if (kind === "settleAgain") for (const [turn, tokens] of ended) account.settle(turn, tokens);
           if (kind === "replenish") account.replenish(maxTokens, BUDGET, ahead);
           if (kind === "store") stored = store(account);
