--- a/examples/embed/snapshot-relay.ts
+++ b/examples/embed/snapshot-relay.ts
@@ -5,8 +5,8 @@
 export function runSnapshotRelayExample(): [boolean, number] {
   const reader = new SnapshotRelay(500);
   const other = new SnapshotRelay(500);
-  const news = reader.read("digest-1", 1_000, 1_020);
-  const asked = other.worthAsking(news, 1_050);
+  const news = reader.recordRead("digest-1", 1_000, 1_020);
+  const asked = other.shouldRequest(news, 1_050);
   const answer = { digest: reader.digest, ageMs: reader.ageMs(1_060) };
   if (asked) other.adopt(answer, 1_050, 1_070);
   return [asked, other.ageMs(1_200)];
--- a/src/coordination/adaptive-timeout/adaptive-timeout.ts
+++ b/src/coordination/adaptive-timeout/adaptive-timeout.ts
@@ -5,18 +5,18 @@
 
 /** Between which times a time-out moves, and where it begins. */
 export interface TimeoutBounds {
-  readonly firstMs: number;
+  readonly initialMs: number;
   readonly minMs: number;
   readonly maxMs: number;
 }
 
 /** For calls of a store that works on several at a time. */
-const USUAL_BOUNDS: TimeoutBounds = { firstMs: 250, minMs: 100, maxMs: 1_000 };
+const DEFAULT_BOUNDS: TimeoutBounds = { initialMs: 250, minMs: 100, maxMs: 1_000 };
 /** Weight of the newest sample in the smoothed time. */
 const TIME_WEIGHT = 0.25;
 /** Weight of the newest sample in the smoothed deviation. */
 const DEVIATION_WEIGHT = 0.25;
-const DEVIATIONS = 4;
+const DEVIATION_MULTIPLIER = 4;
 
 /** See the module's comment. Times in ms. */
 export class AdaptiveTimeout {
@@ -25,9 +25,9 @@
   #deviationMs = 0;
   #currentMs: number;
 
-  constructor(bounds = USUAL_BOUNDS) {
+  constructor(bounds = DEFAULT_BOUNDS) {
     this.#bounds = bounds;
-    this.#currentMs = bounds.firstMs;
+    this.#currentMs = bounds.initialMs;
   }
 
   /** How long to wait now. */
@@ -36,7 +36,7 @@
   }
 
   /** A call was answered. */
-  answered(elapsedMs: number): void {
+  recordAnswer(elapsedMs: number): void {
     if (this.#smoothedMs === undefined) {
       this.#smoothedMs = elapsedMs;
       this.#deviationMs = elapsedMs / 2;
@@ -45,15 +45,15 @@
       this.#deviationMs += (Math.abs(difference) - this.#deviationMs) * DEVIATION_WEIGHT;
       this.#smoothedMs += difference * TIME_WEIGHT;
     }
-    this.#currentMs = this.#bounded(this.#smoothedMs + DEVIATIONS * this.#deviationMs);
+    this.#currentMs = this.#clamp(this.#smoothedMs + DEVIATION_MULTIPLIER * this.#deviationMs);
   }
 
   /** A call was not answered in the time that this gave. */
-  expired(): void {
-    this.#currentMs = this.#bounded(2 * this.#currentMs);
+  recordExpiry(): void {
+    this.#currentMs = this.#clamp(2 * this.#currentMs);
   }
 
-  #bounded(timeMs: number): number {
+  #clamp(timeMs: number): number {
     return Math.min(this.#bounds.maxMs, Math.max(this.#bounds.minMs, timeMs));
   }
 }
--- a/src/coordination/fenced-copies/fenced-copies.ts
+++ b/src/coordination/fenced-copies/fenced-copies.ts
@@ -8,7 +8,7 @@
 interface HeldCopy<Copy> {
   readonly epoch: number;
   /** Number of the append that brought it, counted by the owner. */
-  readonly append: number;
+  readonly appendNumber: number;
   readonly bytes: number;
   readonly copy: Copy;
 }
@@ -57,20 +57,21 @@
   append(
     partition: number,
     fence: OwnerFence,
-    append: number,
+    appendNumber: number,
     copies: readonly AppendedCopy<Copy>[],
   ): "kept" | "fenced" | "full" {
     const bytes = copies.reduce((sum, copy) => sum + copy.bytes, 0);
     if (!this.admit(partition, fence)) return "fenced";
     if (this.#bytes + bytes > this.#maxBytes) return "full";
-    const held = this.#partition(partition);
-    for (const copy of copies) this.#keep(held, copy.key, { ...copy, epoch: fence.epoch, append });
+    const held = this.#copiesOf(partition);
+    for (const copy of copies)
+      this.#keepNewest(held, copy.key, { ...copy, epoch: fence.epoch, appendNumber });
     return "kept";
   }
 
   /** Whether an owner is the newest one that is known here; older ones are refused from then on. */
   admit(partition: number, fence: OwnerFence): boolean {
-    const held = this.#partition(partition);
+    const held = this.#copiesOf(partition);
     if (fence.epoch < held.fence.epoch) return false;
     if (fence.epoch === held.fence.epoch && fence.owner !== held.fence.owner) return false;
     held.fence = fence;
@@ -79,21 +80,21 @@
 
   /** Epoch of the newest owner that is known here. */
   epochOf(partition: number): number {
-    return this.#partition(partition).fence.epoch;
+    return this.#copiesOf(partition).fence.epoch;
   }
 
   /** All copies of a partition, for a new owner; undefined when a newer one is known. */
   seal(partition: number, fence: OwnerFence): Copy[] | undefined {
     if (!this.admit(partition, fence)) return undefined;
-    return [...this.#partition(partition).copies.values()].map(({ copy }) => copy);
+    return [...this.#copiesOf(partition).copies.values()].map(({ copy }) => copy);
   }
 
   /** Everything of epochs before `epoch`, and of `epoch` up to the append `through`, is in the store by now. */
-  drop(partition: number, epoch: number, through: number): void {
+  drop(partition: number, epoch: number, lastAppend: number): void {
     const held = this.#partitions.get(partition);
     if (!held) return;
     for (const [key, copy] of held.copies) {
-      if (copy.epoch > epoch || (copy.epoch === epoch && copy.append > through)) continue;
+      if (copy.epoch > epoch || (copy.epoch === epoch && copy.appendNumber > lastAppend)) continue;
       held.copies.delete(key);
       this.#bytes -= copy.bytes;
     }
@@ -108,7 +109,7 @@
     return undefined;
   }
 
-  #partition(partition: number): PartitionCopies<Copy> {
+  #copiesOf(partition: number): PartitionCopies<Copy> {
     const known = this.#partitions.get(partition);
     if (known) return known;
     const held = { fence: { epoch: 0, owner: "" }, copies: new Map<string, HeldCopy<Copy>>() };
@@ -117,10 +118,11 @@
   }
 
   /** Appends may overtake each other: the newer one of a record stays. */
-  #keep(held: PartitionCopies<Copy>, key: string, copy: HeldCopy<Copy>): void {
+  #keepNewest(held: PartitionCopies<Copy>, key: string, copy: HeldCopy<Copy>): void {
     const known = held.copies.get(key);
     const isOlder =
-      known && (known.epoch > copy.epoch || (known.epoch === copy.epoch && known.append > copy.append));
+      known &&
+      (known.epoch > copy.epoch || (known.epoch === copy.epoch && known.appendNumber > copy.appendNumber));
     if (isOlder) return;
     this.#bytes += copy.bytes - (known?.bytes ?? 0);
     held.copies.set(key, copy);
--- a/src/coordination/liveness/peer-liveness.ts
+++ b/src/coordination/liveness/peer-liveness.ts
@@ -4,7 +4,7 @@
  */
 interface PeerState {
   lastHeardMs: number;
-  refused: boolean;
+  isConnectionRefused: boolean;
 }
 
 /** See the module's comment. Peers are keyed by address. */
@@ -18,30 +18,30 @@
   }
 
   /** A heartbeat arrived. */
-  heard(address: string, nowMs: number): void {
-    this.#peers.set(address, { lastHeardMs: nowMs, refused: false });
+  recordHeartbeat(address: string, nowMs: number): void {
+    this.#peers.set(address, { lastHeardMs: nowMs, isConnectionRefused: false });
   }
 
   /** A connection to the peer was refused: nobody listens there now. */
-  refused(address: string): void {
+  recordRefusedConnection(address: string): void {
     const peer = this.#peers.get(address);
-    if (peer) peer.refused = true;
+    if (peer) peer.isConnectionRefused = true;
   }
 
   /** Whether the peer counts as alive. */
-  alive(address: string, nowMs: number): boolean {
+  isAlive(address: string, nowMs: number): boolean {
     return nowMs < this.aliveUntilMs(address);
   }
 
   /** Until when the peer counts as alive if nothing more is heard of it, in ms; minus infinity if it does not. */
   aliveUntilMs(address: string): number {
     const peer = this.#peers.get(address);
-    if (peer === undefined || peer.refused) return Number.NEGATIVE_INFINITY;
+    if (peer === undefined || peer.isConnectionRefused) return Number.NEGATIVE_INFINITY;
     return peer.lastHeardMs + this.#suspectAfterMs;
   }
 
   /** This node itself stood still: what peers sent meanwhile has not been read yet, so nobody counts as silent. */
-  resume(nowMs: number): void {
+  recordOwnPause(nowMs: number): void {
     for (const peer of this.#peers.values()) peer.lastHeardMs = nowMs;
   }
 
--- a/src/coordination/partition-ownership/ownership-map.ts
+++ b/src/coordination/partition-ownership/ownership-map.ts
@@ -18,10 +18,10 @@
   }
 
   /** Records what an owner says of itself. Returns whether it is news. */
-  learn(partition: number, ownership: Ownership): boolean {
+  recordOwner(partition: number, ownership: Ownership): boolean {
     const known = this.#owners.get(partition);
     if (known && known.epoch >= ownership.epoch) return false;
-    if (known) this.#drop(partition, known.instance);
+    if (known) this.#remove(partition, known.instance);
     this.#owners.set(partition, ownership);
     const partitions = this.#partitions.get(ownership.instance);
     if (partitions) partitions.add(partition);
@@ -31,25 +31,25 @@
 
   /** Forgets an owner that has released the partition, or is gone. */
   forget(partition: number, instance: string): void {
-    if (this.#owners.get(partition)?.instance === instance) this.#drop(partition, instance);
+    if (this.#owners.get(partition)?.instance === instance) this.#remove(partition, instance);
   }
 
   /** Records all partitions that an incarnation owns: those that it does not name, it has released. */
-  learnAll(instance: string, owned: readonly (readonly [partition: number, epoch: number])[]): void {
+  recordAllOwned(instance: string, owned: readonly (readonly [partition: number, epoch: number])[]): void {
     const known = this.#partitions.get(instance);
     if (known) {
       const named = new Set(owned.map(([partition]) => partition));
-      for (const partition of [...known]) if (!named.has(partition)) this.#drop(partition, instance);
+      for (const partition of [...known]) if (!named.has(partition)) this.#remove(partition, instance);
     }
-    for (const [partition, epoch] of owned) this.learn(partition, { instance, epoch });
+    for (const [partition, epoch] of owned) this.recordOwner(partition, { instance, epoch });
   }
 
   /** Forgets everything that an incarnation owned. */
   forgetInstance(instance: string): void {
-    for (const partition of [...(this.#partitions.get(instance) ?? [])]) this.#drop(partition, instance);
+    for (const partition of [...(this.#partitions.get(instance) ?? [])]) this.#remove(partition, instance);
   }
 
-  #drop(partition: number, instance: string): void {
+  #remove(partition: number, instance: string): void {
     this.#owners.delete(partition);
     const partitions = this.#partitions.get(instance);
     partitions?.delete(partition);
--- a/src/coordination/snapshot-relay/index.ts
+++ b/src/coordination/snapshot-relay/index.ts
@@ -1,1 +1,1 @@
-export { type SnapshotNews, SnapshotRelay } from "./snapshot-relay.ts";
+export { type SnapshotAnnouncement, SnapshotRelay } from "./snapshot-relay.ts";
--- a/src/coordination/snapshot-relay/snapshot-relay.ts
+++ b/src/coordination/snapshot-relay/snapshot-relay.ts
@@ -8,7 +8,7 @@
  */
 
 /** What is told to others about a reading. */
-export interface SnapshotNews {
+export interface SnapshotAnnouncement {
   readonly digest: string;
   /** Time since the reading began, in ms. */
   readonly ageMs: number;
@@ -16,13 +16,13 @@
 
 /** See the module's comment. */
 export class SnapshotRelay {
-  readonly #leastGainMs: number;
+  readonly #minGainMs: number;
   #digest = "";
   #readAtMs = Number.NEGATIVE_INFINITY;
 
-  /** @param leastGainMs how much fresher a reading of the same content must be to be worth asking for, in ms */
-  constructor(leastGainMs: number) {
-    this.#leastGainMs = leastGainMs;
+  /** @param minGainMs how much fresher a reading of the same content must be to be worth asking for, in ms */
+  constructor(minGainMs: number) {
+    this.#minGainMs = minGainMs;
   }
 
   /** The digest of the content that is held. */
@@ -41,15 +41,15 @@
   }
 
   /** This member has read the source itself. Returns what to tell others. */
-  read(digest: string, readAtMs: number, nowMs: number): SnapshotNews {
-    this.#hold(digest, readAtMs);
+  recordRead(digest: string, readAtMs: number, nowMs: number): SnapshotAnnouncement {
+    this.#replaceIfNewer(digest, readAtMs);
     return { digest, ageMs: this.ageMs(nowMs) };
   }
 
   /** Another member told of a reading. Returns whether to ask that member for it. */
-  worthAsking(news: SnapshotNews, nowMs: number): boolean {
+  shouldRequest(news: SnapshotAnnouncement, nowMs: number): boolean {
     const gainMs = this.ageMs(nowMs) - news.ageMs;
-    return news.digest === this.#digest ? gainMs >= this.#leastGainMs : gainMs > 0;
+    return news.digest === this.#digest ? gainMs >= this.#minGainMs : gainMs > 0;
   }
 
   /**
@@ -57,12 +57,12 @@
    *
    * @param askedAtMs when the question was sent: the age in the answer was true at that time or later
    */
-  adopt(answer: SnapshotNews, askedAtMs: number, nowMs: number): SnapshotNews {
-    this.#hold(answer.digest, askedAtMs - answer.ageMs);
+  adopt(answer: SnapshotAnnouncement, askedAtMs: number, nowMs: number): SnapshotAnnouncement {
+    this.#replaceIfNewer(answer.digest, askedAtMs - answer.ageMs);
     return { digest: this.#digest, ageMs: this.ageMs(nowMs) };
   }
 
-  #hold(digest: string, readAtMs: number): void {
+  #replaceIfNewer(digest: string, readAtMs: number): void {
     if (readAtMs < this.#readAtMs) return;
     this.#digest = digest;
     this.#readAtMs = readAtMs;
--- a/src/gateway/configuration/routing-watch.ts
+++ b/src/gateway/configuration/routing-watch.ts
@@ -90,7 +90,7 @@
 
   #confirm(askedAtMs: number): void {
     if (!this.#table || this.#isSpoilt) return;
-    this.#snapshot.read(
+    this.#snapshot.recordRead(
       String(this.#table.configuration.version),
       askedAtMs,
       this.#context.clock.monotonicMs(),
--- a/src/gateway/members/member-view.ts
+++ b/src/gateway/members/member-view.ts
@@ -81,7 +81,7 @@
 
   /** Whether a gateway is heard directly. */
   isHeard(address: string): boolean {
-    return this.#liveness.alive(address, this.#nowMs);
+    return this.#liveness.isAlive(address, this.#nowMs);
   }
 
   /**
@@ -102,7 +102,7 @@
   heard(address: string, instance: string, status: MemberStatus): Member {
     const member = this.#remember(address, instance, status);
     if (!this.isHeard(address)) this.#aliveNow = undefined;
-    this.#liveness.heard(address, this.#nowMs);
+    this.#liveness.recordHeartbeat(address, this.#nowMs);
     return member;
   }
 
@@ -128,7 +128,7 @@
 
   /** Nobody listens at an address. */
   refused(address: string): void {
-    this.#liveness.refused(address);
+    this.#liveness.recordRefusedConnection(address);
     this.#aliveNow = undefined;
     this.noticeSilence();
   }
@@ -222,7 +222,7 @@
     const nowMs = this.#nowMs;
     if (!this.#standstill.look(nowMs)) return;
     this.#aliveNow = undefined;
-    this.#liveness.resume(nowMs);
+    this.#liveness.recordOwnPause(nowMs);
     this.#vouchers.resume(nowMs);
   }
 
--- a/src/gateway/partitions/partition-host.ts
+++ b/src/gateway/partitions/partition-host.ts
@@ -179,7 +179,7 @@
   /** Takes in what another gateway owns. */
   learn(member: Member): void {
     const { owned } = member.status;
-    this.#owners.learnAll(member.instance, owned);
+    this.#owners.recordAllOwned(member.instance, owned);
     for (const [partition, epoch] of owned) {
       const mine = this.#owned.get(partition);
       if (mine && mine.epoch < epoch) mine.stop();
@@ -355,7 +355,7 @@
     this.#claimed.delete(partition);
     this.#owned.set(partition, owned);
     this.#ownerships.set(partition, taken);
-    this.#owners.learn(partition, { instance, epoch });
+    this.#owners.recordOwner(partition, { instance, epoch });
     log.info({ partition, epoch, isReleased, programs: stored.accounts.size }, "partition taken over");
     this.#members.tick();
   }
--- a/src/gateway/partitions/transaction-sender.ts
+++ b/src/gateway/partitions/transaction-sender.ts
@@ -47,7 +47,7 @@
         if (started < maxTries) timer = this.#context.clock.schedule(this.#patienceMs, again);
       };
       const again = () => {
-        this.#health.writeTimeout.expired();
+        this.#health.writeTimeout.recordExpiry();
         begin();
       };
       begin();
@@ -63,7 +63,7 @@
     const startedMs = clock.monotonicMs();
     const outcome = await platform.store.transact(transaction);
     const elapsedMs = clock.monotonicMs() - startedMs;
-    if (isAnswer(outcome)) this.#health.writeTimeout.answered(elapsedMs);
+    if (isAnswer(outcome)) this.#health.writeTimeout.recordAnswer(elapsedMs);
     metrics.storeWritten(outcome.type, elapsedMs);
     this.#health.note(outcome);
     return outcome;
--- a/src/gateway/partitions/usual-time.ts
+++ b/src/gateway/partitions/usual-time.ts
@@ -19,6 +19,6 @@
 
   /** A call was answered. */
   answered(elapsedMs: number): void {
-    this.#timeout.answered(Math.min(elapsedMs, MAX_FACTOR * this.ms));
+    this.#timeout.recordAnswer(Math.min(elapsedMs, MAX_FACTOR * this.ms));
   }
 }
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -34,7 +34,7 @@
  * is only busy; too long, and each loses as much to one that is gone.
  * The first questions wait for the longest time: they often come many at once, and nothing is known of the dispatcher yet.
  */
-const ANSWER_BOUNDS: TimeoutBounds = { firstMs: 150, minMs: 20, maxMs: 150 };
+const ANSWER_BOUNDS: TimeoutBounds = { initialMs: 150, minMs: 20, maxMs: 150 };
 /** A call that has waited for so many times what was announced, and a few ms, asks whether its dispatcher is there. */
 const OVERDUE_FACTOR = 1.5;
 const OVERDUE_MS = 20;
@@ -157,8 +157,8 @@
     const reply = await this.#parts.rpc.ask(dispatcher.address, "askPlace", request, currentMs);
     this.#unanswered -= 1;
     const tookMs = this.#nowMs - askedAtMs;
-    if (reply.type !== "timeout") this.#answerTime.answered(tookMs);
-    else if (tookMs >= currentMs) this.#answerTime.expired();
+    if (reply.type !== "timeout") this.#answerTime.recordAnswer(tookMs);
+    else if (tookMs >= currentMs) this.#answerTime.recordExpiry();
     if (question.isOver) this.#onLateReply(question, dispatcher, reply);
     else this.#onReply(question, dispatcher, reply, Math.max(0, tookMs - currentMs));
     if (this.#unanswered === 0) this.#giveBackEarly(this.#nowMs);
--- a/src/messages/message.ts
+++ b/src/messages/message.ts
@@ -1,4 +1,4 @@
-import type { SnapshotNews } from "../coordination/snapshot-relay/index.ts";
+import type { SnapshotAnnouncement } from "../coordination/snapshot-relay/index.ts";
 import type { AbandonCall, CallEvent, SubmitCall } from "./call-messages.ts";
 import type { RpcRequest, RpcResponse } from "./rpc-messages.ts";
 import type { ShardAcknowledgements, ShardHeartbeats, ShardMessage } from "./shard-messages.ts";
@@ -13,7 +13,7 @@
 /** Somebody has read the platform's list of machines. */
 export interface MachineListNews {
   readonly type: "machineListNews";
-  readonly news: SnapshotNews;
+  readonly news: SnapshotAnnouncement;
 }
 
 /** Every message between processes of the system. */
--- a/src/node/runners/machine-directory.ts
+++ b/src/node/runners/machine-directory.ts
@@ -4,7 +4,7 @@
  * reads for itself.
  */
 import type { Member } from "../../coordination/shard-group/index.ts";
-import { type SnapshotNews, SnapshotRelay } from "../../coordination/snapshot-relay/index.ts";
+import { type SnapshotAnnouncement, SnapshotRelay } from "../../coordination/snapshot-relay/index.ts";
 import type { FetchMachinesResponse } from "../../messages/rpc-messages.ts";
 import type { Machine, MachineList } from "../../ports/machine-list/machine-list.ts";
 import { repeat } from "../../runtime/clock.ts";
@@ -120,8 +120,8 @@
   }
 
   /** Another node told of a reading. */
-  onNews(news: SnapshotNews, from: string): void {
-    if (this.#relay.worthAsking(news, this.#nowMs())) void this.#fetch(from);
+  onNews(news: SnapshotAnnouncement, from: string): void {
+    if (this.#relay.shouldRequest(news, this.#nowMs())) void this.#fetch(from);
   }
 
   async #step(): Promise<void> {
@@ -171,7 +171,7 @@
       const whole = { whole: true, put: machines, removed: [] };
       const content = MachineContent.EMPTY.after(whole, this.#context.hash);
       this.#take(content);
-      this.#tellOthers(this.#relay.read(content.digest, startMs, this.#nowMs()));
+      this.#tellOthers(this.#relay.recordRead(content.digest, startMs, this.#nowMs()));
       this.onRead();
     } catch {
       // The platform does not answer: what is known stands, and its age is watched by those who depend on it.
@@ -235,7 +235,7 @@
     this.#nodesVersion += 1;
   }
 
-  #tellOthers(news: SnapshotNews): void {
+  #tellOthers(news: SnapshotAnnouncement): void {
     for (const address of this.randomOthers(NEWS_FANOUT)) {
       this.#context.transport.send(address, { type: "machineListNews", news });
     }
--- a/test/contract/gateway-parts.test.ts
+++ b/test/contract/gateway-parts.test.ts
@@ -44,14 +44,14 @@
 describe("ownership map", () => {
   it("believes the newest epoch, in whatever order it hears", () => {
     const owners = new OwnershipMap();
-    expect(owners.learn(1, { instance: "new", epoch: 7 })).toEqual(true);
-    expect(owners.learn(1, { instance: "old", epoch: 5 })).toEqual(false);
+    expect(owners.recordOwner(1, { instance: "new", epoch: 7 })).toEqual(true);
+    expect(owners.recordOwner(1, { instance: "old", epoch: 5 })).toEqual(false);
     expect(owners.owner(1)?.instance).toEqual("new");
   });
 
   it("forgets an owner only if it still is the one", () => {
     const owners = new OwnershipMap();
-    owners.learn(1, { instance: "a", epoch: 1 });
+    owners.recordOwner(1, { instance: "a", epoch: 1 });
     owners.forget(1, "b");
     expect(owners.owner(1)?.instance).toEqual("a");
     owners.forgetInstance("a");
@@ -60,20 +60,20 @@
 
   it("drops what an owner names no more, and nothing of the others", () => {
     const owners = new OwnershipMap();
-    owners.learnAll("a", [
+    owners.recordAllOwned("a", [
       [1, 1],
       [2, 2],
     ]);
-    owners.learnAll("b", [
+    owners.recordAllOwned("b", [
       [3, 3],
       [2, 4],
     ]);
-    owners.learnAll("a", [
+    owners.recordAllOwned("a", [
       [1, 1],
       [2, 2],
     ]);
     expect([1, 2, 3].map((partition) => owners.owner(partition)?.instance)).toEqual(["a", "b", "b"]);
-    owners.learnAll("a", []);
+    owners.recordAllOwned("a", []);
     expect([1, 2, 3].map((partition) => owners.owner(partition)?.instance)).toEqual([undefined, "b", "b"]);
     owners.forgetInstance("b");
     expect([1, 2, 3].map((partition) => owners.owner(partition)?.instance)).toEqual([
@@ -89,37 +89,37 @@
 
   it("suspects a silent peer and clears it with its next heartbeat", () => {
     const liveness = new PeerLiveness(SUSPECT_MS);
-    expect(liveness.alive("a", 0)).toEqual(false);
-    liveness.heard("a", 0);
-    expect(liveness.alive("a", 999)).toEqual(true);
-    expect(liveness.alive("a", 1_000)).toEqual(false);
-    liveness.heard("a", 1_500);
-    expect(liveness.alive("a", 1_600)).toEqual(true);
+    expect(liveness.isAlive("a", 0)).toEqual(false);
+    liveness.recordHeartbeat("a", 0);
+    expect(liveness.isAlive("a", 999)).toEqual(true);
+    expect(liveness.isAlive("a", 1_000)).toEqual(false);
+    liveness.recordHeartbeat("a", 1_500);
+    expect(liveness.isAlive("a", 1_600)).toEqual(true);
   });
 
   it("takes a refused connection for an end at once", () => {
     const liveness = new PeerLiveness(SUSPECT_MS);
-    liveness.heard("a", 0);
-    liveness.refused("a");
-    expect(liveness.alive("a", 1)).toEqual(false);
+    liveness.recordHeartbeat("a", 0);
+    liveness.recordRefusedConnection("a");
+    expect(liveness.isAlive("a", 1)).toEqual(false);
   });
 
   it("forgets a peer", () => {
     const liveness = new PeerLiveness(SUSPECT_MS);
-    liveness.heard("a", 0);
+    liveness.recordHeartbeat("a", 0);
     liveness.forget("a");
-    expect(liveness.alive("a", 1)).toEqual(false);
+    expect(liveness.isAlive("a", 1)).toEqual(false);
   });
 
   it("suspects nobody for silence while this node itself stood still", () => {
     const liveness = new PeerLiveness(SUSPECT_MS);
-    liveness.heard("a", 0);
-    liveness.heard("refused", 0);
-    liveness.refused("refused");
-    liveness.resume(5_000);
-    expect(liveness.alive("a", 5_000 + SUSPECT_MS - 1)).toEqual(true);
-    expect(liveness.alive("a", 5_000 + SUSPECT_MS)).toEqual(false);
-    expect(liveness.alive("refused", 5_000)).toEqual(false);
+    liveness.recordHeartbeat("a", 0);
+    liveness.recordHeartbeat("refused", 0);
+    liveness.recordRefusedConnection("refused");
+    liveness.recordOwnPause(5_000);
+    expect(liveness.isAlive("a", 5_000 + SUSPECT_MS - 1)).toEqual(true);
+    expect(liveness.isAlive("a", 5_000 + SUSPECT_MS)).toEqual(false);
+    expect(liveness.isAlive("refused", 5_000)).toEqual(false);
   });
 });
 
@@ -211,15 +211,15 @@
 describe("what an owner says of itself", () => {
   it("takes back what it no longer names, and only that", () => {
     const owners = new OwnershipMap();
-    owners.learnAll("a", [
+    owners.recordAllOwned("a", [
       [1, 5],
       [2, 6],
     ]);
-    owners.learnAll("b", [[2, 9]]);
-    owners.learnAll("a", [[1, 5]]);
+    owners.recordAllOwned("b", [[2, 9]]);
+    owners.recordAllOwned("a", [[1, 5]]);
     expect(owners.owner(1)?.instance).toEqual("a");
     expect(owners.owner(2)?.instance).toEqual("b");
-    owners.learnAll("a", []);
+    owners.recordAllOwned("a", []);
     expect(owners.owner(1)).toEqual(undefined);
   });
 });
--- a/test/contract/snapshot-relay.test.ts
+++ b/test/contract/snapshot-relay.test.ts
@@ -13,14 +13,14 @@
   for (const [name, news, expected] of CASES) {
     it(name, () => {
       const relay = new SnapshotRelay(50);
-      relay.read("a", 0, 0);
-      expect(relay.worthAsking(news, 100)).toEqual(expected);
+      relay.recordRead("a", 0, 0);
+      expect(relay.shouldRequest(news, 100)).toEqual(expected);
     });
   }
 
   it("knows a reading that was overtaken", () => {
     const relay = new SnapshotRelay(50);
-    relay.read("a", 100, 120);
+    relay.recordRead("a", 100, 120);
     expect([relay.isNewer(90), relay.isNewer(101)]).toEqual([false, true]);
     relay.adopt({ digest: "old", ageMs: 500 }, 200, 210);
     expect(relay.digest).toEqual("a");
@@ -31,7 +31,7 @@
     fc.assert(
       fc.property(fc.array(delays, { minLength: 1, maxLength: 6 }), (hops) => {
         let holder = new SnapshotRelay(10);
-        holder.read("a", 1_000, 1_000);
+        holder.recordRead("a", 1_000, 1_000);
         let nowMs = 1_000;
         for (const [newsMs, questionMs, answerMs] of hops) {
           const next = new SnapshotRelay(10);
