--- a/examples/embed/budget-escrow.ts
+++ b/examples/embed/budget-escrow.ts
@@ -1,5 +1,5 @@
 /** Two borrowers of one budget: what they reserve together never passes the limit. */
-import { AllotmentBook, BudgetLedger } from "../../src/coordination/budget-escrow/index.ts";
+import { AllotmentTable, BudgetLedger } from "../../src/coordination/budget-escrow/index.ts";
 
 const BUDGET = "team-a/2026-12";
 const LIMIT = 100;
@@ -7,15 +7,15 @@
 /** Runs the example; returns which reservations were possible. */
 export function runBudgetEscrowExample(): boolean[] {
   const ledger = new BudgetLedger();
-  const left = new AllotmentBook();
-  const right = new AllotmentBook();
-  left.granted(BUDGET, ledger.lend(BUDGET, LIMIT, "left", 70));
-  right.granted(BUDGET, ledger.lend(BUDGET, LIMIT, "right", 70));
+  const left = new AllotmentTable();
+  const right = new AllotmentTable();
+  left.recordGrant(BUDGET, ledger.lend(BUDGET, LIMIT, "left", 70));
+  right.recordGrant(BUDGET, ledger.lend(BUDGET, LIMIT, "right", 70));
   const possible = [left.reserve(BUDGET, 60), right.reserve(BUDGET, 60), right.reserve(BUDGET, 30)];
   left.settle(BUDGET, 60, 20);
-  left.giveBack(BUDGET, 50);
+  left.returnTokens(BUDGET, 50);
   const { returnedTotal, spentTotal } = left.get(BUDGET);
   ledger.report(BUDGET, "left", returnedTotal, spentTotal);
-  right.granted(BUDGET, ledger.lend(BUDGET, LIMIT, "right", 70));
+  right.recordGrant(BUDGET, ledger.lend(BUDGET, LIMIT, "right", 70));
   return [...possible, right.reserve(BUDGET, 40)];
 }
--- a/src/coordination/budget-escrow/allotment-book.ts
+++ b/src/coordination/budget-escrow/allotment-table.ts
@@ -13,20 +13,20 @@
   readonly reserved: number;
 }
 
-const NOTHING: Allotment = { grantedTotal: 0, returnedTotal: 0, spentTotal: 0, reserved: 0 };
+const EMPTY_ALLOTMENT: Allotment = { grantedTotal: 0, returnedTotal: 0, spentTotal: 0, reserved: 0 };
 
 /** Tokens that may still be reserved. Never negative. */
-export function availableOf(allotment: Allotment): number {
+export function availableTokens(allotment: Allotment): number {
   return allotment.grantedTotal - allotment.returnedTotal - allotment.spentTotal - allotment.reserved;
 }
 
 /** See the module's comment. */
-export class AllotmentBook {
+export class AllotmentTable {
   readonly #allotments = new Map<string, Allotment>();
 
   /** What is held of a budget. */
   get(budget: string): Allotment {
-    return this.#allotments.get(budget) ?? NOTHING;
+    return this.#allotments.get(budget) ?? EMPTY_ALLOTMENT;
   }
 
   /** Every budget with what is held of it. */
@@ -35,7 +35,7 @@
   }
 
   /** Takes in the lender's newest running total. */
-  granted(budget: string, grantedTotal: number): void {
+  recordGrant(budget: string, grantedTotal: number): void {
     const held = this.get(budget);
     this.#set(budget, { ...held, grantedTotal: Math.max(held.grantedTotal, grantedTotal) });
   }
@@ -43,7 +43,7 @@
   /** Sets tokens aside. Returns false, and changes nothing, when they are not available. */
   reserve(budget: string, tokens: number): boolean {
     const held = this.get(budget);
-    if (tokens > availableOf(held)) return false;
+    if (tokens > availableTokens(held)) return false;
     this.#set(budget, { ...held, reserved: held.reserved + tokens });
     return true;
   }
@@ -60,9 +60,9 @@
   }
 
   /** Gives up to `tokens` of what is available back. Only after this is committed may the lender be told. */
-  giveBack(budget: string, tokens: number): void {
+  returnTokens(budget: string, tokens: number): void {
     const held = this.get(budget);
-    const returned = Math.min(tokens, availableOf(held));
+    const returned = Math.min(tokens, availableTokens(held));
     this.#set(budget, { ...held, returnedTotal: held.returnedTotal + returned });
   }
 
--- a/src/coordination/budget-escrow/budget-ledger.ts
+++ b/src/coordination/budget-escrow/budget-ledger.ts
@@ -24,7 +24,7 @@
 /** {@link BudgetLedger} as plain data. */
 export type LedgerSnapshot = [string, { limit: number; loans: [string, Loan][] }][];
 
-const NO_LOAN: Loan = { grantedTotal: 0, returnedTotal: 0, spentTotal: 0 };
+const EMPTY_LOAN: Loan = { grantedTotal: 0, returnedTotal: 0, spentTotal: 0 };
 
 /** See the module's comment. */
 export class BudgetLedger {
@@ -50,11 +50,11 @@
    * @returns the borrower's total after it; asking again with the same total lends nothing more
    */
   lend(budget: string, limit: number, borrower: string, wantedTotal: number): number {
-    const account = this.#open(budget, limit);
-    const loan = account.loans.get(borrower) ?? NO_LOAN;
-    const room = Math.max(0, limit - this.outstanding(budget));
-    const raise = Math.min(Math.max(0, wantedTotal - loan.grantedTotal), room);
-    const grantedTotal = loan.grantedTotal + raise;
+    const account = this.#openAccount(budget, limit);
+    const loan = account.loans.get(borrower) ?? EMPTY_LOAN;
+    const lendable = Math.max(0, limit - this.outstanding(budget));
+    const increase = Math.min(Math.max(0, wantedTotal - loan.grantedTotal), lendable);
+    const grantedTotal = loan.grantedTotal + increase;
     account.loans.set(borrower, { ...loan, grantedTotal });
     return grantedTotal;
   }
@@ -93,7 +93,7 @@
     }
   }
 
-  #open(budget: string, limit: number): LedgerAccount {
+  #openAccount(budget: string, limit: number): LedgerAccount {
     const account = this.#accounts.get(budget) ?? { limit, loans: new Map<string, Loan>() };
     account.limit = limit;
     this.#accounts.set(budget, account);
--- a/src/coordination/budget-escrow/index.ts
+++ b/src/coordination/budget-escrow/index.ts
@@ -1,2 +1,2 @@
-export { type Allotment, AllotmentBook, availableOf } from "./allotment-book.ts";
+export { type Allotment, AllotmentTable, availableTokens } from "./allotment-table.ts";
 export { BudgetLedger, type LedgerAccount, type LedgerSnapshot, type Loan } from "./budget-ledger.ts";
--- a/src/coordination/placement/next-membership.ts
+++ b/src/coordination/placement/next-membership.ts
@@ -14,7 +14,7 @@
   /** Where the replicas are wanted, the leader first. Never empty. */
   readonly wanted: readonly Member[];
   /** Whether a replica holds nearly all of the journal. */
-  readonly caughtUp: (instance: string) => boolean;
+  readonly isCaughtUp: (instance: string) => boolean;
 }
 
 /**
@@ -32,13 +32,13 @@
 }
 
 function dropUnwantedLearner({ membership, wanted }: MembershipStepInput): MembershipStep | undefined {
-  const kept = membership.learners.filter((learner) => isIn(wanted, learner.instance));
+  const kept = membership.learners.filter((learner) => includesInstance(wanted, learner.instance));
   if (kept.length === membership.learners.length) return undefined;
   return { type: "change", membership: { ...membership, learners: kept } };
 }
 
-function promoteLearner({ membership, caughtUp }: MembershipStepInput): MembershipStep | undefined {
-  const ready = membership.learners.find((learner) => caughtUp(learner.instance));
+function promoteLearner({ membership, isCaughtUp }: MembershipStepInput): MembershipStep | undefined {
+  const ready = membership.learners.find((learner) => isCaughtUp(learner.instance));
   if (!ready) return membership.learners.length > 0 ? { type: "none" } : undefined;
   const learners = membership.learners.filter((learner) => learner !== ready);
   return { type: "change", membership: { voters: [...membership.voters, ready], learners } };
@@ -51,21 +51,21 @@
 }
 
 function dropVoter({ self, membership, wanted }: MembershipStepInput): MembershipStep | undefined {
-  const unwanted = membership.voters.filter((voter) => !isIn(wanted, voter.instance));
-  const victim = unwanted.find((voter) => voter.instance !== self);
-  if (victim) {
-    const voters = membership.voters.filter((voter) => voter !== victim);
+  const unwanted = membership.voters.filter((voter) => !includesInstance(wanted, voter.instance));
+  const removedVoter = unwanted.find((voter) => voter.instance !== self);
+  if (removedVoter) {
+    const voters = membership.voters.filter((voter) => voter !== removedVoter);
     return { type: "change", membership: { ...membership, voters } };
   }
   return unwanted.length > 0 ? { type: "transfer", to: wanted[0].instance } : undefined;
 }
 
-function moveLeadership({ self, wanted, caughtUp }: MembershipStepInput): MembershipStep | undefined {
+function moveLeadership({ self, wanted, isCaughtUp }: MembershipStepInput): MembershipStep | undefined {
   const preferred = wanted[0].instance;
-  if (preferred === self || !caughtUp(preferred)) return undefined;
+  if (preferred === self || !isCaughtUp(preferred)) return undefined;
   return { type: "transfer", to: preferred };
 }
 
-function isIn(members: readonly Member[], instance: string): boolean {
+function includesInstance(members: readonly Member[], instance: string): boolean {
   return members.some((member) => member.instance === instance);
 }
--- a/src/node/budgets/budget-service.ts
+++ b/src/node/budgets/budget-service.ts
@@ -1,4 +1,4 @@
-import { type Allotment, availableOf } from "../../coordination/budget-escrow/index.ts";
+import { type Allotment, availableTokens } from "../../coordination/budget-escrow/index.ts";
 import type {
   BorrowRequest,
   BorrowResponse,
@@ -84,7 +84,7 @@
   /** Makes sure that a shard may reserve `tokens`. Returns what is available, which may be less. */
   async ensure(replica: ShardReplica, policy: EffectivePolicy, tokens: number): Promise<number> {
     const budget = this.budgetOf(policy);
-    const available = availableOf(replica.state.allotments.get(budget));
+    const available = availableTokens(replica.state.allotments.get(budget));
     if (available >= tokens) return available;
     const key = `${replica.shard} ${budget}`;
     this.#wanted.set(key, (this.#wanted.get(key) ?? 0) + tokens);
@@ -104,14 +104,14 @@
     wanted: number,
   ): Promise<number> {
     const held = replica.state.allotments.get(budget);
-    const available = availableOf(held);
+    const available = availableTokens(held);
     const extra = Math.min(tokens * LOAN_FACTOR, Math.floor(policy.budget.tokens * MAX_SHARE));
     const wantedTotal = held.grantedTotal + Math.max(0, wanted - available) + extra;
     const grantedTotal = await this.#borrow(replica, policy, budget, wantedTotal);
     if (grantedTotal > held.grantedTotal) {
       await this.#committer.commit(replica.shard, { type: "takeAllotment", budget, grantedTotal });
     }
-    return availableOf(replica.state.allotments.get(budget));
+    return availableTokens(replica.state.allotments.get(budget));
   }
 
   async #settleAll(): Promise<void> {
@@ -131,7 +131,7 @@
     const known = this.#uses.get(key);
     if (known?.use !== use) this.#uses.set(key, { use, sinceMs: nowMs });
     const idle = known?.use === use && nowMs - known.sinceMs > IDLE_RETURN_MS;
-    const unused = availableOf(held);
+    const unused = availableTokens(held);
     if (idle && unused > 0) {
       await this.#shards.propose(replica, { type: "returnAllotment", budget, tokens: unused });
     }
--- a/src/node/shard-steward.ts
+++ b/src/node/shard-steward.ts
@@ -160,7 +160,7 @@
       self: self.instance,
       membership: replica.membership,
       wanted,
-      caughtUp: (instance) => (replica.group.lagOf(instance) ?? Number.POSITIVE_INFINITY) <= CAUGHT_UP_LAG,
+      isCaughtUp: (instance) => (replica.group.lagOf(instance) ?? Number.POSITIVE_INFINITY) <= CAUGHT_UP_LAG,
     });
     if (step.type === "change") this.#change(replica, step.membership, nowMs);
     if (step.type === "transfer") replica.group.transferLeadership(step.to);
--- a/src/scheduling/program/program-table.ts
+++ b/src/scheduling/program/program-table.ts
@@ -2,7 +2,7 @@
  * The replicated state of all programs of one shard. Every replica applies the same commands in the same order.
  * Each command is checked again when it is applied, so that an outdated command of a replaced leader is rejected.
  */
-import type { AllotmentBook } from "../../coordination/budget-escrow/index.ts";
+import type { AllotmentTable } from "../../coordination/budget-escrow/index.ts";
 import { messageTokensBound } from "../admission/worst-case-tokens.ts";
 import { callRecordOf } from "./call-record-of.ts";
 import type {
@@ -59,14 +59,14 @@
 export class ProgramTable {
   readonly #programs = new Map<string, ProgramRecord>();
   readonly #refusedPrograms = new Map<string, RefusedProgram>();
-  readonly #allotments: AllotmentBook;
+  readonly #allotments: AllotmentTable;
   readonly #hash: (text: string) => string;
 
   /**
    * @param allotments the budget tokens allotted to the shard, updated together with the programs
    * @param hash computes the hash chains of the programs' histories
    */
-  constructor(allotments: AllotmentBook, hash: (text: string) => string) {
+  constructor(allotments: AllotmentTable, hash: (text: string) => string) {
     this.#allotments = allotments;
     this.#hash = hash;
   }
--- a/src/scheduling/shard-state.ts
+++ b/src/scheduling/shard-state.ts
@@ -1,5 +1,5 @@
 import type { Allotment } from "../coordination/budget-escrow/index.ts";
-import { AllotmentBook, BudgetLedger, type LedgerSnapshot } from "../coordination/budget-escrow/index.ts";
+import { AllotmentTable, BudgetLedger, type LedgerSnapshot } from "../coordination/budget-escrow/index.ts";
 import type { BudgetCommand } from "./budget/commands.ts";
 import type { ProgramCommand } from "./program/commands.ts";
 import { type ApplyResult, ProgramTable, type ProgramTableSnapshot } from "./program/program-table.ts";
@@ -21,7 +21,7 @@
  * budgets that it lends to other shards.
  */
 export class ShardState {
-  readonly allotments = new AllotmentBook();
+  readonly allotments = new AllotmentTable();
   readonly ledger = new BudgetLedger();
   readonly programs: ProgramTable;
 
@@ -34,10 +34,10 @@
   apply(command: ShardCommand): ApplyResult {
     switch (command.type) {
       case "takeAllotment":
-        this.allotments.granted(command.budget, command.grantedTotal);
+        this.allotments.recordGrant(command.budget, command.grantedTotal);
         return ACCEPTED;
       case "returnAllotment":
-        this.allotments.giveBack(command.budget, command.tokens);
+        this.allotments.returnTokens(command.budget, command.tokens);
         return ACCEPTED;
       case "lendAllotment":
         this.ledger.lend(command.budget, command.limit, command.borrower, command.wantedTotal);
--- a/test/contract/budget-escrow.test.ts
+++ b/test/contract/budget-escrow.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
-import { AllotmentBook, availableOf, BudgetLedger } from "../../src/coordination/budget-escrow/index.ts";
+import { AllotmentTable, availableTokens, BudgetLedger } from "../../src/coordination/budget-escrow/index.ts";
 
 const BUDGET = "magnolia/pay-run@total";
 
@@ -45,33 +45,33 @@
     fc.assert(
       fc.property(fc.nat(200), fc.array(step, { maxLength: 120 }), (limit, steps) => {
         const ledger = new BudgetLedger();
-        const books = [new AllotmentBook(), new AllotmentBook(), new AllotmentBook()];
+        const tables = [new AllotmentTable(), new AllotmentTable(), new AllotmentTable()];
         const reservations: number[][] = [[], [], []];
         const oldGrants: [number, number][] = [];
         for (const { borrower, action, amount } of steps) {
-          const book = books[borrower];
+          const table = tables[borrower];
           const name = `shard-${borrower}`;
           if (action === "ask") {
-            const total = ledger.lend(BUDGET, limit, name, book.get(BUDGET).grantedTotal + amount);
+            const total = ledger.lend(BUDGET, limit, name, table.get(BUDGET).grantedTotal + amount);
             oldGrants.push([borrower, total]);
-            if (amount % 3 > 0) book.granted(BUDGET, total);
+            if (amount % 3 > 0) table.recordGrant(BUDGET, total);
           } else if (action === "deliver-old" && oldGrants.length > 0) {
             const [to, total] = oldGrants[amount % oldGrants.length];
-            books[to].granted(BUDGET, total);
+            tables[to].recordGrant(BUDGET, total);
           } else if (action === "reserve") {
-            if (book.reserve(BUDGET, amount)) reservations[borrower].push(amount);
+            if (table.reserve(BUDGET, amount)) reservations[borrower].push(amount);
           } else if (action === "settle") {
             const reserved = reservations[borrower].pop();
-            if (reserved !== undefined) book.settle(BUDGET, reserved, amount);
-          } else if (action === "return") book.giveBack(BUDGET, amount);
+            if (reserved !== undefined) table.settle(BUDGET, reserved, amount);
+          } else if (action === "return") table.returnTokens(BUDGET, amount);
           else if (action === "report") {
-            const { returnedTotal, spentTotal } = book.get(BUDGET);
+            const { returnedTotal, spentTotal } = table.get(BUDGET);
             ledger.report(BUDGET, name, returnedTotal, spentTotal);
           }
-          const held = books.map((one) => one.get(BUDGET));
+          const held = tables.map((one) => one.get(BUDGET));
           const spent = held.reduce((sum, one) => sum + one.spentTotal + one.reserved, 0);
           expect(spent <= limit).toEqual(true);
-          for (const one of held) expect(availableOf(one) >= 0).toEqual(true);
+          for (const one of held) expect(availableTokens(one) >= 0).toEqual(true);
         }
       }),
       { seed: 11, numRuns: 400 },
