--- a/examples/embed/budget-escrow.ts
+++ b/examples/embed/budget-escrow.ts
@@ -1,10 +1,10 @@
-/** Two borrowers of one budget: what they reserve together never passes the limit. */
+/** Two borrowers share one budget: their reservations together never exceed the limit. */
 import { AllotmentTable, BudgetLedger } from "../../src/coordination/budget-escrow/index.ts";
 
 const BUDGET = "team-a/2026-12";
 const LIMIT = 100;
 
-/** Runs the example; returns which reservations were possible. */
+/** Runs the example; returns for each reservation whether it succeeded. */
 export function runBudgetEscrowExample(): boolean[] {
   const ledger = new BudgetLedger();
   const left = new AllotmentTable();
--- a/examples/embed/configuration-chain.ts
+++ b/examples/embed/configuration-chain.ts
@@ -1,7 +1,7 @@
-/** Two copies of a chain that hear of changes out of order, and end alike. */
+/** Two copies of a configuration chain receive the changes in different order and end up in the same state. */
 import { ConfigurationChain } from "../../src/coordination/configuration-chain/index.ts";
 
-/** Runs the example; returns what is in force in both copies. */
+/** Runs the example; returns the current value of the limit in both copies. */
 export function runConfigurationChainExample(): (string | undefined)[] {
   const source = new ConfigurationChain();
   const copy = new ConfigurationChain();
--- a/examples/embed/placement.ts
+++ b/examples/embed/placement.ts
@@ -1,8 +1,8 @@
-/** Places 12 shards on nodes of three zones, and sees what one lost node moves. */
+/** Places 12 shards on nodes in three zones, and checks that the loss of a node moves no shard that it did not hold. */
 import { chooseReplicas } from "../../src/coordination/placement/index.ts";
 import { loadTextHash } from "../../src/runtime/text-hash.ts";
 
-/** Runs the example; returns how many of the shards that the node did not hold were moved. */
+/** Runs the example; returns how many of the shards that the lost node did not hold were moved. */
 export async function runPlacementExample(): Promise<number> {
   const { hash32 } = await loadTextHash();
   const nodes = Array.from({ length: 9 }, (_, index) => ({
--- a/examples/embed/shard-group.ts
+++ b/examples/embed/shard-group.ts
@@ -1,4 +1,6 @@
-/** Three replicas of a counter in one process: elects a leader, commits two commands, applies them everywhere. */
+/**
+ * Three replicas of a counter in one process: they elect a leader, commit two commands and apply them on every replica.
+ */
 import { type Member, ShardGroup } from "../../src/coordination/shard-group/index.ts";
 
 const members: Member[] = ["a", "b", "c"].map((name) => ({ instance: name, address: name, zone: name }));
@@ -20,7 +22,7 @@
   }
 }
 
-/** Runs the example; returns each replica's total. */
+/** Runs the example; returns the total of each replica. */
 export function runShardGroupExample(): number[] {
   for (const [name, group] of groups) {
     group.bootstrap(members);
--- a/src/coordination/budget-escrow/budget-ledger.ts
+++ b/src/coordination/budget-escrow/budget-ledger.ts
@@ -1,41 +1,41 @@
 /**
- * The lender's side of a budget: who holds how much of it.
+ * The lender's side of budgets: how many tokens each borrower holds.
  *
- * The promise: the sum of what borrowers hold never passes the limit that was in force when it was lent.
- * An allotment that is not returned counts as spent, also when its borrower is gone: its shard's next leader
- * finds the allotment in its journal and goes on with it.
+ * Guarantee: the sum of the tokens held by borrowers never exceeds the limit that was in force when they were lent. An
+ * allotment that is not returned counts as spent, even if its borrower is lost: the next leader of the borrower's shard
+ * finds the allotment in its log and continues to use it.
  */
 
-/** What one borrower was lent, as running totals in tokens. */
+/** The tokens lent to one borrower, as running totals. */
 export interface Loan {
   readonly grantedTotal: number;
   readonly returnedTotal: number;
-  /** As the borrower last reported; for display only. */
+  /** As last reported by the borrower; used only for display. */
   readonly spentTotal: number;
 }
 
-/** One budget in the ledger. */
+/** The ledger's account of one budget. */
 export interface LedgerAccount {
-  /** Tokens, as of the last grant. */
+  /** Limit in tokens at the time of the last grant. */
   limit: number;
   readonly loans: Map<string, Loan>;
 }
 
-/** {@link BudgetLedger} as plain data. */
+/** A snapshot of {@link BudgetLedger}, as plain data. */
 export type LedgerSnapshot = [string, { limit: number; loans: [string, Loan][] }][];
 
 const EMPTY_LOAN: Loan = { grantedTotal: 0, returnedTotal: 0, spentTotal: 0 };
 
-/** See the module's comment. */
+/** Lends the tokens of budgets to borrowers, and records what they hold. */
 export class BudgetLedger {
   readonly #accounts = new Map<string, LedgerAccount>();
 
-  /** A budget's account, if anything was ever lent of it. */
+  /** Returns a budget's account, or undefined if nothing was ever lent from it. */
   account(budget: string): LedgerAccount | undefined {
     return this.#accounts.get(budget);
   }
 
-  /** Tokens that borrowers hold or have spent. */
+  /** Returns the number of tokens that borrowers hold or have spent. */
   outstanding(budget: string): number {
     let sum = 0;
     for (const loan of this.#accounts.get(budget)?.loans.values() ?? []) {
@@ -45,9 +45,9 @@
   }
 
   /**
-   * Raises a borrower's total towards `wantedTotal`, as far as `limit` allows.
+   * Increases a borrower's total towards `wantedTotal`, as far as `limit` allows.
    *
-   * @returns the borrower's total after it; asking again with the same total lends nothing more
+   * @returns the borrower's new total; repeating the call with the same `wantedTotal` lends nothing more
    */
   lend(budget: string, limit: number, borrower: string, wantedTotal: number): number {
     const account = this.#openAccount(budget, limit);
@@ -59,7 +59,7 @@
     return grantedTotal;
   }
 
-  /** Takes in a borrower's running totals of what it returned and spent. */
+  /** Records a borrower's running totals of returned and spent tokens. */
   report(budget: string, borrower: string, returnedTotal: number, spentTotal: number): void {
     const loan = this.#accounts.get(budget)?.loans.get(borrower);
     if (!loan) return;
@@ -70,22 +70,22 @@
     });
   }
 
-  /** Drops a budget whose window is over. */
+  /** Removes a budget whose window is over. */
   forget(budget: string): void {
     this.#accounts.delete(budget);
   }
 
-  /** Every budget's name. */
+  /** Returns the names of all budgets. */
   budgets(): IterableIterator<string> {
     return this.#accounts.keys();
   }
 
-  /** The ledger as plain data. */
+  /** Returns the ledger as plain data. */
   toSnapshot(): LedgerSnapshot {
     return [...this.#accounts].map(([budget, { limit, loans }]) => [budget, { limit, loans: [...loans] }]);
   }
 
-  /** Replaces the ledger. */
+  /** Replaces the ledger with a snapshot. */
   restore(snapshot: LedgerSnapshot): void {
     this.#accounts.clear();
     for (const [budget, { limit, loans }] of snapshot) {
--- a/src/coordination/configuration-chain/configuration-chain.ts
+++ b/src/coordination/configuration-chain/configuration-chain.ts
@@ -1,31 +1,31 @@
 /**
- * A replica of the chain of accepted configuration changes. It only ever grows by the next version, so what is in
- * force never reverts, whatever order news arrives in.
+ * A replica of the chain of accepted configuration changes. It only grows, and only by the next version, so the current
+ * configuration never reverts, in whatever order changes arrive.
  */
 
-/** One accepted change. */
+/** One accepted configuration change. */
 export interface ChainEntry {
-  /** Position in the chain, from 1, without gaps. */
+  /** Position in the chain, starting at 1, without gaps. */
   readonly version: number;
   readonly key: string;
-  /** The new content; undefined when the key was removed. */
+  /** The new content; undefined if the key was removed. */
   readonly content: string | undefined;
 }
 
-/** See the module's comment. */
+/** Holds the entries of the chain in order, and the newest entry of each key. */
 export class ConfigurationChain<Entry extends ChainEntry> {
   readonly #entries: Entry[] = [];
   readonly #newestByKey = new Map<string, Entry>();
 
-  /** The newest version held here. */
+  /** Version of the newest entry. */
   get version(): number {
     return this.#entries.length;
   }
 
   /**
-   * Takes over entries; those already held are passed over.
+   * Appends entries. Entries that the chain already has are skipped.
    *
-   * @returns the entries that are new here; empty when there is a gap before them
+   * @returns the appended entries; empty if there is a gap before them
    */
   extend(entries: readonly Entry[]): readonly Entry[] {
     const added: Entry[] = [];
@@ -38,22 +38,22 @@
     return added;
   }
 
-  /** The newest entry of a key. */
+  /** Returns the newest entry of a key. */
   get(key: string): Entry | undefined {
     return this.#newestByKey.get(key);
   }
 
-  /** The newest entries of all keys with a prefix. */
+  /** Returns the newest entries of all keys with a prefix. */
   newestWithPrefix(prefix: string): readonly Entry[] {
     return [...this.#newestByKey.values()].filter((entry) => entry.key.startsWith(prefix));
   }
 
-  /** Every entry of the keys with a prefix, oldest first. */
+  /** Returns all entries of the keys with a prefix, oldest first. */
   historyOf(prefix: string): readonly Entry[] {
     return this.#entries.filter((entry) => entry.key.startsWith(prefix));
   }
 
-  /** Up to `limit` entries after a version. */
+  /** Returns up to `limit` entries after a version. */
   entriesAfter(version: number, limit: number): readonly Entry[] {
     return this.#entries.slice(version, version + limit);
   }
--- a/src/coordination/placement/choose-replicas.ts
+++ b/src/coordination/placement/choose-replicas.ts
@@ -1,24 +1,24 @@
 /**
- * Places the replicas of shards on nodes: rendezvous hashing, so that a node that joins or leaves moves only its
- * share; one replica per zone as long as there are zones left; and families of shards that share their replicas,
- * so that a node has few partners, however many shards it holds (copysets).
+ * Placement of shard replicas on nodes. Rendezvous hashing is used, so that a node that joins or leaves moves only its
+ * own share of replicas. Each replica is placed in a different zone as long as there are unused zones. Shards of one
+ * family share their replicas, so that a node has few replication partners however many shards it holds (copysets).
  */
 import type { Member } from "../shard-group/index.ts";
 
-/** What placement needs to know beside the nodes. */
+/** The parameters of the placement. */
 export interface PlacementOptions {
-  /** Replicas of each shard. */
+  /** Number of replicas per shard. */
   readonly replicas: number;
-  /** Neighbouring shards that share their replicas. */
+  /** Number of consecutive shards that form a family and share their replicas. */
   readonly shardsPerFamily: number;
-  /** A hash with 32 bits. */
+  /** Computes a 32-bit hash. */
   readonly hash32: (text: string) => number;
 }
 
 /**
- * The members that should hold a shard. The first should lead it, and with it the whole family: a leader that
- * shares its followers among its shards sends each of them one heartbeat.
- * Fewer than `replicas` come back when there are not enough nodes.
+ * Returns the members that should hold a shard's replicas. The first one should lead the shard and its whole family: if
+ * the shards of a leader have the same followers, it sends only one heartbeat to each follower.
+ * Returns fewer than `replicas` members if there are not enough nodes.
  */
 export function chooseReplicas(
   shard: number,
--- a/src/coordination/placement/next-membership.ts
+++ b/src/coordination/placement/next-membership.ts
@@ -1,25 +1,25 @@
 import { isVoter, type Member, type Membership } from "../shard-group/index.ts";
 
-/** What the leader of a shard should do next to bring its replicas to where they are wanted. */
+/** The next step by which a shard's leader moves the replicas to the wanted members. */
 export type MembershipStep =
   | { readonly type: "none" }
   | { readonly type: "change"; readonly membership: Membership }
-  /** The leader itself is not wanted any more, or another should lead. */
+  /** The leader itself is no longer wanted, or another member should lead. */
   | { readonly type: "transfer"; readonly to: string | undefined };
 
-/** What the step depends on. */
+/** The state from which the next step is computed. */
 export interface MembershipStepInput {
   readonly self: string;
   readonly membership: Membership;
-  /** Where the replicas are wanted, the leader first. Never empty. */
+  /** The members that should hold the replicas, the preferred leader first. Never empty. */
   readonly wanted: readonly Member[];
-  /** Whether a replica holds nearly all of the journal. */
+  /** Whether a replica holds nearly all entries of the replicated log. */
   readonly isCaughtUp: (instance: string) => boolean;
 }
 
 /**
- * One small step at a time, each of which leaves a working group: a new replica first copies the journal as
- * learner, then votes, and only then a replica that is not wanted is dropped.
+ * Returns the next step. The membership changes in small steps, after each of which the group still works: a new
+ * replica first copies the log as a learner, then becomes a voter, and only then is an unwanted replica removed.
  */
 export function nextMembershipStep(input: MembershipStepInput): MembershipStep {
   return (
--- a/test/contract/budget-escrow.test.ts
+++ b/test/contract/budget-escrow.test.ts
@@ -7,11 +7,11 @@
 
 describe("budget ledger", () => {
   const CASES: [string, { limit: number; wanted: number[] }, number[]][] = [
-    ["lends what is wanted", { limit: 100, wanted: [40] }, [40]],
-    ["lends no more for the same total", { limit: 100, wanted: [40, 40, 40] }, [40, 40, 40]],
+    ["lends the wanted total", { limit: 100, wanted: [40] }, [40]],
+    ["lends nothing more for the same total", { limit: 100, wanted: [40, 40, 40] }, [40, 40, 40]],
     ["lends up to the limit", { limit: 100, wanted: [40, 500] }, [40, 100]],
-    ["lends nothing of nothing", { limit: 0, wanted: [10] }, [0]],
-    ["takes nothing back when less is wanted", { limit: 100, wanted: [40, 10] }, [40, 40]],
+    ["lends nothing when the limit is zero", { limit: 0, wanted: [10] }, [0]],
+    ["does not reduce a loan when less is wanted", { limit: 100, wanted: [40, 10] }, [40, 40]],
   ];
   for (const [name, { limit, wanted }, expected] of CASES) {
     it(name, () => {
@@ -20,7 +20,7 @@
     });
   }
 
-  it("lends nothing more after the budget was lowered below what is out", () => {
+  it("lends nothing more after the limit was lowered below the outstanding tokens", () => {
     const ledger = new BudgetLedger();
     ledger.lend(BUDGET, 100, "shard-1", 80);
     expect(ledger.lend(BUDGET, 50, "shard-2", 10)).toEqual(0);
@@ -28,15 +28,15 @@
     expect(ledger.lend(BUDGET, 50, "shard-2", 10)).toEqual(10);
   });
 
-  it("counts an allotment of a silent borrower as spent", () => {
+  it("counts the allotment of an unresponsive borrower as spent", () => {
     const ledger = new BudgetLedger();
     ledger.lend(BUDGET, 100, "gone", 100);
     expect(ledger.lend(BUDGET, 100, "shard-2", 1)).toEqual(0);
   });
 });
 
-describe("escrow as a whole", () => {
-  it("never lets borrowers spend more than the limit, whatever is lost, repeated or overtaken", () => {
+describe("budget ledger and allotment tables together", () => {
+  it("never let borrowers spend more than the limit when messages are lost, repeated or reordered", () => {
     const step = fc.record({
       borrower: fc.nat(2),
       action: fc.constantFrom("ask", "deliver-old", "reserve", "settle", "return", "report"),
--- a/test/contract/configuration-chain.test.ts
+++ b/test/contract/configuration-chain.test.ts
@@ -8,14 +8,14 @@
 }
 
 describe("configuration chain", () => {
-  it("takes entries only in order", () => {
+  it("appends entries only in order", () => {
     const chain = new ConfigurationChain();
     expect(chain.extend([entry(2)])).toEqual([]);
     expect(chain.extend([entry(1), entry(3), entry(2)]).map(({ version }) => version)).toEqual([1, 2]);
     expect(chain.version).toEqual(2);
   });
 
-  it("never reverts, in whatever order and however often entries arrive", () => {
+  it("never reverts, whatever the order of entries and however often they arrive", () => {
     fc.assert(
       fc.property(
         fc.array(fc.array(fc.integer({ min: 1, max: 12 }), { maxLength: 6 }), { maxLength: 30 }),
--- a/test/contract/placement.test.ts
+++ b/test/contract/placement.test.ts
@@ -12,7 +12,7 @@
   }));
 }
 
-describe("placement of replicas", () => {
+describe("replica placement", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
@@ -20,14 +20,14 @@
 
   const options = () => ({ replicas: 3, shardsPerFamily: 4, hash32: hash.hash32 });
 
-  it("uses different zones as long as there are enough", () => {
+  it("uses different zones as long as there are enough of them", () => {
     for (let shard = 0; shard < 64; shard++) {
       const zones = new Set(chooseReplicas(shard, nodes(30, 5), options()).map((member) => member.zone));
       expect(zones.size).toEqual(3);
     }
   });
 
-  it("moves only what a lost node held", () => {
+  it("moves only the replicas of a lost node", () => {
     const all = nodes(30, 5);
     const without = all.filter((node) => node.instance !== "node-7");
     for (let shard = 0; shard < 200; shard++) {
@@ -44,7 +44,7 @@
     expect(new Set(family.map((members) => members.join())).size).toEqual(1);
   });
 
-  it("spreads shards evenly enough", () => {
+  it("distributes shards evenly, with less than 1.5 times the average on each node", () => {
     const held = new Map<string, number>();
     for (let shard = 0; shard < 4_000; shard++) {
       for (const { instance } of chooseReplicas(shard, nodes(20, 4), options())) {
@@ -56,11 +56,11 @@
   });
 });
 
-describe("the next step of a membership", () => {
+describe("next membership step", () => {
   const [a, b, c, d] = nodes(4, 4);
   const CASES: [string, Parameters<typeof nextMembershipStep>[0], object][] = [
     [
-      "does nothing when all is as wanted",
+      "is none when the membership is as wanted",
       {
         self: a.instance,
         membership: { voters: [a, b, c], learners: [] },
@@ -70,7 +70,7 @@
       { type: "none" },
     ],
     [
-      "first adds a learner",
+      "first adds a new member as a learner",
       {
         self: a.instance,
         membership: { voters: [a, b, c], learners: [] },
@@ -90,7 +90,7 @@
       { type: "none" },
     ],
     [
-      "then lets it vote",
+      "then promotes the learner to voter",
       {
         self: a.instance,
         membership: { voters: [a, b, c], learners: [d] },
@@ -100,7 +100,7 @@
       { type: "change", membership: { voters: [a, b, c, d], learners: [] } },
     ],
     [
-      "then drops who is not wanted",
+      "then removes the unwanted voter",
       {
         self: a.instance,
         membership: { voters: [a, b, c, d], learners: [] },
@@ -110,7 +110,7 @@
       { type: "change", membership: { voters: [a, b, d], learners: [] } },
     ],
     [
-      "drops a learner that died",
+      "removes a learner that is no longer wanted",
       {
         self: a.instance,
         membership: { voters: [a, b, c], learners: [d] },
@@ -120,7 +120,7 @@
       { type: "change", membership: { voters: [a, b, c], learners: [] } },
     ],
     [
-      "hands over before it leaves itself",
+      "transfers the leadership before the leader itself is removed",
       {
         self: c.instance,
         membership: { voters: [a, b, c], learners: [] },
