--- a/src/coordination/request-rate/rate-limiter.ts
+++ b/src/coordination/request-rate/rate-limiter.ts
@@ -102,7 +102,7 @@
    * Admits as many of the wanted requests as the limit allows now.
    *
    * @param share fraction of all members that this owner reaches; owners on both sides of a network partition together
-   * give out the rate only once
+   * grant the rate only once
    */
   take(request: RateRequest, share: number, nowMs: number): RateAnswer {
     const account = this.#accountOf(request, share, nowMs);
@@ -162,8 +162,7 @@
     const retryStepMs = MS_PER_S / limit.perSecond;
     const earliestRetryAtMs = nowMs + account.bucket.waitMs(limit, nowMs);
     const afterPreviousMs = account.lastRetryAtMs + retryStepMs;
-    // No request is told to wait longer than a window: beyond it, retry times are assigned from the earliest time
-    // again.
+    // No retry time is later than a window: beyond it, retry times start again from the earliest possible one.
     const lastOfRefusedMs = afterPreviousMs + (refused - 1) * retryStepMs;
     const exceedsWindow = lastOfRefusedMs > nowMs + this.#tolerance.windowMs;
     const firstRetryAtMs = exceedsWindow ? earliestRetryAtMs : Math.max(earliestRetryAtMs, afterPreviousMs);
--- a/src/coordination/token-account/token-account.ts
+++ b/src/coordination/token-account/token-account.ts
@@ -86,7 +86,8 @@
   }
 
   /**
-   * Admits a turn if the budget allows it. Admitting an open turn again has no effect.
+   * Admits a turn if the budget allows it. An open turn that asks again is granted again, without a further
+   * reservation.
    *
    * @param maxTokens maximum number of tokens that the turn may generate
    * @param budget maximum number of tokens that all turns of the program may generate
