--- a/src/coordination/adaptive-timeout/adaptive-timeout.ts
+++ b/src/coordination/adaptive-timeout/adaptive-timeout.ts
@@ -1,42 +1,42 @@
 /**
- * How long to wait for an answer before a call is sent again, from how long answers took: the smoothed time and four
- * times its deviation, as in TCP's retransmission timer (RFC 6298). Doubles with each call that is not answered. Pure.
+ * A retry timeout that adapts to measured response times: the smoothed response time plus four times its deviation, as
+ * in TCP's retransmission timer (RFC 6298). It doubles with each call that times out. Pure.
  */
 
-/** Between which times a time-out moves, and where it begins. */
+/** The initial value of a timeout and the bounds within which it adapts. */
 export interface TimeoutBounds {
-  readonly firstMs: number;
+  readonly initialMs: number;
   readonly minMs: number;
   readonly maxMs: number;
 }
 
-/** For calls of a store that works on several at a time. */
-const USUAL_BOUNDS: TimeoutBounds = { firstMs: 250, minMs: 100, maxMs: 1_000 };
+/** Suitable for calls to a store that processes several calls at a time. */
+const DEFAULT_BOUNDS: TimeoutBounds = { initialMs: 250, minMs: 100, maxMs: 1_000 };
 /** Weight of the newest sample in the smoothed time. */
 const TIME_WEIGHT = 0.25;
 /** Weight of the newest sample in the smoothed deviation. */
 const DEVIATION_WEIGHT = 0.25;
-const DEVIATIONS = 4;
+const DEVIATION_MULTIPLIER = 4;
 
-/** See the module's comment. Times in ms. */
+/** Computes the timeout of the next call. Times are in ms. */
 export class AdaptiveTimeout {
   readonly #bounds: TimeoutBounds;
   #smoothedMs: number | undefined;
   #deviationMs = 0;
   #currentMs: number;
 
-  constructor(bounds = USUAL_BOUNDS) {
+  constructor(bounds = DEFAULT_BOUNDS) {
     this.#bounds = bounds;
-    this.#currentMs = bounds.firstMs;
+    this.#currentMs = bounds.initialMs;
   }
 
-  /** How long to wait now. */
+  /** The current timeout. */
   get currentMs(): number {
     return this.#currentMs;
   }
 
-  /** A call was answered. */
-  answered(elapsedMs: number): void {
+  /** Records the response time of an answered call. */
+  recordAnswer(elapsedMs: number): void {
     if (this.#smoothedMs === undefined) {
       this.#smoothedMs = elapsedMs;
       this.#deviationMs = elapsedMs / 2;
@@ -45,15 +45,15 @@
       this.#deviationMs += (Math.abs(difference) - this.#deviationMs) * DEVIATION_WEIGHT;
       this.#smoothedMs += difference * TIME_WEIGHT;
     }
-    this.#currentMs = this.#bounded(this.#smoothedMs + DEVIATIONS * this.#deviationMs);
+    this.#currentMs = this.#clamp(this.#smoothedMs + DEVIATION_MULTIPLIER * this.#deviationMs);
   }
 
-  /** A call was not answered in the time that this gave. */
-  expired(): void {
-    this.#currentMs = this.#bounded(2 * this.#currentMs);
+  /** Records that a call was not answered within the current timeout. */
+  recordExpiry(): void {
+    this.#currentMs = this.#clamp(2 * this.#currentMs);
   }
 
-  #bounded(timeMs: number): number {
+  #clamp(timeMs: number): number {
     return Math.min(this.#bounds.maxMs, Math.max(this.#bounds.minMs, timeMs));
   }
 }
--- a/src/coordination/placement/next-membership.ts
+++ b/src/coordination/placement/next-membership.ts
@@ -1,25 +1,25 @@
 import { isVoter, type Member, type Membership } from "../shard-group/index.ts";
 
-/** What the leader of a shard should do next to bring its replicas to where they are wanted. */
+/** The next step by which a shard's leader moves the replicas to the wanted members. */
 export type MembershipStep =
   | { readonly type: "none" }
   | { readonly type: "change"; readonly membership: Membership }
-  /** The leader itself is not wanted any more, or another should lead. */
+  /** The leader itself is no longer wanted, or another member should lead. */
   | { readonly type: "transfer"; readonly to: string | undefined };
 
-/** What the step depends on. */
+/** The state from which the next step is computed. */
 export interface MembershipStepInput {
   readonly self: string;
   readonly membership: Membership;
-  /** Where the replicas are wanted, the leader first. Never empty. */
+  /** The members that should hold the replicas, the preferred leader first. Never empty. */
   readonly wanted: readonly Member[];
-  /** Whether a replica holds nearly all of the journal. */
-  readonly caughtUp: (instance: string) => boolean;
+  /** Whether a replica holds nearly all entries of the replicated log. */
+  readonly isCaughtUp: (instance: string) => boolean;
 }
 
 /**
- * One small step at a time, each of which leaves a working group: a new replica first copies the journal as
- * learner, then votes, and only then a replica that is not wanted is dropped.
+ * Returns the next step. The membership changes in small steps, after each of which the group still works: a new
+ * replica first copies the log as a learner, then becomes a voter, and only then is an unwanted replica removed.
  */
 export function nextMembershipStep(input: MembershipStepInput): MembershipStep {
   return (
@@ -32,13 +32,13 @@
 }
 
 function dropUnwantedLearner({ membership, wanted }: MembershipStepInput): MembershipStep | undefined {
-  const kept = membership.learners.filter((learner) => isIn(wanted, learner.instance));
+  const kept = membership.learners.filter((learner) => includesInstance(wanted, learner.instance));
   if (kept.length === membership.learners.length) return undefined;
   return { type: "change", membership: { ...membership, learners: kept } };
 }
 
-function promoteLearner({ membership, caughtUp }: MembershipStepInput): MembershipStep | undefined {
-  const ready = membership.learners.find((learner) => caughtUp(learner.instance));
+function promoteLearner({ membership, isCaughtUp }: MembershipStepInput): MembershipStep | undefined {
+  const ready = membership.learners.find((learner) => isCaughtUp(learner.instance));
   if (!ready) return membership.learners.length > 0 ? { type: "none" } : undefined;
   const learners = membership.learners.filter((learner) => learner !== ready);
   return { type: "change", membership: { voters: [...membership.voters, ready], learners } };
@@ -51,21 +51,21 @@
 }
 
 function dropVoter({ self, membership, wanted }: MembershipStepInput): MembershipStep | undefined {
-  const unwanted = membership.voters.filter((voter) => !isIn(wanted, voter.instance));
-  const victim = unwanted.find((voter) => voter.instance !== self);
-  if (victim) {
-    const voters = membership.voters.filter((voter) => voter !== victim);
+  const unwanted = membership.voters.filter((voter) => !includesInstance(wanted, voter.instance));
+  const removedVoter = unwanted.find((voter) => voter.instance !== self);
+  if (removedVoter) {
+    const voters = membership.voters.filter((voter) => voter !== removedVoter);
     return { type: "change", membership: { ...membership, voters } };
   }
   return unwanted.length > 0 ? { type: "transfer", to: wanted[0].instance } : undefined;
 }
 
-function moveLeadership({ self, wanted, caughtUp }: MembershipStepInput): MembershipStep | undefined {
+function moveLeadership({ self, wanted, isCaughtUp }: MembershipStepInput): MembershipStep | undefined {
   const preferred = wanted[0].instance;
-  if (preferred === self || !caughtUp(preferred)) return undefined;
+  if (preferred === self || !isCaughtUp(preferred)) return undefined;
   return { type: "transfer", to: preferred };
 }
 
-function isIn(members: readonly Member[], instance: string): boolean {
+function includesInstance(members: readonly Member[], instance: string): boolean {
   return members.some((member) => member.instance === instance);
 }
