--- a/bench/mutations/place-mutations.ts
+++ b/bench/mutations/place-mutations.ts
@@ -103,8 +103,8 @@
     edits: [
       {
         file: "src/gateway/places/place-client.ts",
-        from: "if (nowMs < question.overdueAtMs || question.isOver) continue;",
-        to: "if (nowMs < question.overdueAtMs * 1e6) continue;",
+        from: "if (nowMs < request.overdueAtMs || request.isOver) continue;",
+        to: "if (nowMs < request.overdueAtMs * 1e6) continue;",
       },
     ],
     script: FLEET,
--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -12,7 +12,7 @@
 import type { Urgency } from "../../scheduling/urgency/urgency.ts";
 import type { CallerExchange } from "../ingress/caller-exchange.ts";
 import type { HeldPlace } from "../places/held-place.ts";
-import type { PlaceQuestion } from "../places/place-question.ts";
+import type { PendingPlaceRequest } from "../places/pending-place-request.ts";
 import type { PlaceVerdict } from "../places/place-verdict.ts";
 import type { CallEnd } from "../telemetry/call-end.ts";
 import { CallRecord } from "../telemetry/call-record.ts";
@@ -86,7 +86,7 @@
   /** The runner that holds most of the prompt, if any is known to. */
   #holder: RunnerId | undefined;
   #tries = 0;
-  #question: PlaceQuestion | undefined;
+  #question: PendingPlaceRequest | undefined;
   /** The place of the present try; undefined where no dispatcher gave it. */
   #place: HeldPlace | undefined;
   #timer: TimerHandle | undefined;
@@ -170,9 +170,9 @@
   ): void {
     this.#holder = preferred;
     const { places } = this.parts;
-    if (this.mayHaveRun.size > 0 || !places.isDispatched(this.pool)) return this.#goAlone(preferred, send);
+    if (this.mayHaveRun.size > 0 || !places.requiresPlace(this.pool)) return this.#goAlone(preferred, send);
     const atMs = this.elapsedMs;
-    const question = places.ask({
+    const question = places.requestPlace({
       pool: this.pool,
       describe: () => this.#describe(preferred),
       onVerdict: (verdict, record) => {
@@ -319,7 +319,7 @@
   }
 
   #returnPlace(turnedAway: boolean): void {
-    this.#place?.giveBack(turnedAway);
+    this.#place?.release(turnedAway);
     this.#place = undefined;
   }
 
@@ -354,7 +354,7 @@
     if (this.#over) return;
     this.#over = true;
     this.endTry();
-    if (this.#question) this.parts.places.giveUp(this.#question);
+    if (this.#question) this.parts.places.cancel(this.#question);
     const { elapsedMs, record } = this;
     this.parts.callLog.ended(record, end, elapsedMs);
     this.parts.context.metrics.callEnded(record.route, end, elapsedMs, record.firstByteMs);
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -221,8 +221,8 @@
     this.#members.onLost = (member) => {
       this.#partitions.forget(member);
       this.#board.dropReport(member.instance);
-      this.#placeHost.forget(member.instance);
-      this.#places.forget(member.instance);
+      this.#placeHost.onGatewayLost(member.instance);
+      this.#places.onGatewayLost(member.instance);
       this.#store.forgetRelay(member.instance);
       this.#rpc.abandon(member.address);
     };
--- a/src/gateway/places/board-group-parts.ts
+++ b/src/gateway/places/board-runner-group-parts.ts
@@ -3,7 +3,7 @@
 import type { RunnerGroups } from "./runner-groups.ts";
 
 /** What a BoardGroup looks at. */
-export interface BoardGroupParts {
+export interface BoardRunnerGroupParts {
   readonly context: GatewayContext;
   readonly board: RunnerBoard;
   readonly groups: RunnerGroups;
--- a/src/gateway/places/board-group.ts
+++ b/src/gateway/places/board-runner-group.ts
@@ -2,17 +2,17 @@
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import { type PlaceCall, RunnerGroup } from "../../scheduling/place-queue/index.ts";
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
-import type { BoardGroupParts } from "./board-group-parts.ts";
+import type { BoardRunnerGroupParts } from "./board-runner-group-parts.ts";
 
-const NONE: ReadonlySet<RunnerId> = new Set();
+const NO_RUNNERS: ReadonlySet<RunnerId> = new Set();
 
 /** See the module's comment. */
-export class BoardGroup extends RunnerGroup {
-  readonly #parts: BoardGroupParts;
+export class BoardRunnerGroup extends RunnerGroup {
+  readonly #parts: BoardRunnerGroupParts;
   readonly #pool: string;
   readonly #index: number;
 
-  constructor(parts: BoardGroupParts, pool: string, index: number) {
+  constructor(parts: BoardRunnerGroupParts, pool: string, index: number) {
     super();
     this.#parts = parts;
     this.#pool = pool;
@@ -48,7 +48,7 @@
     return board.choose({
       pool: this.#pool,
       zone: context.settings.zone,
-      excluded: NONE,
+      excluded: NO_RUNNERS,
       preferred,
       nowMs,
       sample: context.random.unit(),
--- a/src/gateway/places/dispatcher-directory.ts
+++ b/src/gateway/places/dispatcher-directory.ts
@@ -5,15 +5,15 @@
 import type { MemberDirectory } from "../members/member-directory.ts";
 
 /** How long an answer is kept before the members are looked at again, in ms. */
-const TTL_MS = 100;
+const CACHE_TTL_MS = 100;
 
 /** See the module's comment. */
 export class DispatcherDirectory {
   readonly #context: GatewayContext;
   readonly #members: Pick<MemberDirectory, "dispatcherCandidates">;
-  readonly #known = new Map<string, DispatcherCandidate | undefined>();
+  readonly #dispatchers = new Map<string, DispatcherCandidate | undefined>();
   #candidates: readonly DispatcherCandidate[] = [];
-  #lookedAtMs = Number.NEGATIVE_INFINITY;
+  #refreshedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(context: GatewayContext, members: Pick<MemberDirectory, "dispatcherCandidates">) {
     this.#context = context;
@@ -22,12 +22,12 @@
 
   /** The dispatcher of a group; undefined when no gateway may be one. */
   of(pool: string, group: number): DispatcherCandidate | undefined {
-    this.#look();
+    this.#refresh();
     const key = `${pool}/${group}`;
-    if (this.#known.has(key)) return this.#known.get(key);
+    if (this.#dispatchers.has(key)) return this.#dispatchers.get(key);
     const name = preferredOwner(this.#context.hash.hash32(key), this.#candidates);
     const dispatcher = this.#candidates.find((candidate) => candidate.name === name);
-    this.#known.set(key, dispatcher);
+    this.#dispatchers.set(key, dispatcher);
     return dispatcher;
   }
 
@@ -37,15 +37,15 @@
   }
 
   /** A gateway is gone: looks at the members anew. */
-  forget(): void {
-    this.#lookedAtMs = Number.NEGATIVE_INFINITY;
+  invalidate(): void {
+    this.#refreshedAtMs = Number.NEGATIVE_INFINITY;
   }
 
-  #look(): void {
+  #refresh(): void {
     const nowMs = this.#context.clock.monotonicMs();
-    if (nowMs - this.#lookedAtMs < TTL_MS) return;
-    this.#lookedAtMs = nowMs;
+    if (nowMs - this.#refreshedAtMs < CACHE_TTL_MS) return;
+    this.#refreshedAtMs = nowMs;
     this.#candidates = this.#members.dispatcherCandidates();
-    this.#known.clear();
+    this.#dispatchers.clear();
   }
 }
--- a/src/gateway/places/held-place.ts
+++ b/src/gateway/places/held-place.ts
@@ -1,30 +1,30 @@
 /** A place that a call of this gateway holds. */
 import type { Clock } from "../../runtime/clock.ts";
-import type { PlaceReturns } from "./place-returns.ts";
+import type { PlaceReturnSender } from "./place-return-sender.ts";
 
 /** See the module's comment. */
 export class HeldPlace {
   readonly lease: number;
   readonly #dispatcher: string;
   readonly #clock: Clock;
-  readonly #returns: PlaceReturns;
-  readonly #sinceMs: number;
-  #isReturned = false;
+  readonly #returns: PlaceReturnSender;
+  readonly #grantedAtMs: number;
+  #isReleased = false;
 
   /** @param dispatcher where the dispatcher is reached */
-  constructor(lease: number, dispatcher: string, clock: Clock, returns: PlaceReturns) {
+  constructor(lease: number, dispatcher: string, clock: Clock, returns: PlaceReturnSender) {
     this.lease = lease;
     this.#dispatcher = dispatcher;
     this.#clock = clock;
     this.#returns = returns;
-    this.#sinceMs = clock.monotonicMs();
+    this.#grantedAtMs = clock.monotonicMs();
   }
 
   /** The call is over at the runner, or was turned away there. */
-  giveBack(turnedAway: boolean): void {
-    if (this.#isReturned) return;
-    this.#isReturned = true;
-    const heldMs = Math.max(0, this.#clock.monotonicMs() - this.#sinceMs);
+  release(turnedAway: boolean): void {
+    if (this.#isReleased) return;
+    this.#isReleased = true;
+    const heldMs = Math.max(0, this.#clock.monotonicMs() - this.#grantedAtMs);
     this.#returns.add(this.#dispatcher, { lease: this.lease, heldMs, turnedAway });
   }
 }
--- a/src/gateway/places/jump-hash.ts
+++ b/src/gateway/places/jump-hash.ts
@@ -1,4 +1,4 @@
-const RANGE = 2 ** 32;
+const HASH_RANGE = 2 ** 32;
 const INCREMENT = 0x9e3779b9;
 const MULTIPLIER_A = 0x85ebca6b;
 const MULTIPLIER_B = 0xc2b2ae35;
@@ -15,7 +15,7 @@
   for (let next = 0; next < buckets; ) {
     bucket = next;
     state = (state + INCREMENT) | 0;
-    next = Math.floor(((bucket + 1) * RANGE) / (mix(state) + 1));
+    next = Math.floor(((bucket + 1) * HASH_RANGE) / (mix(state) + 1));
   }
   return bucket;
 }
--- a/src/gateway/places/place-question.ts
+++ b/src/gateway/places/pending-place-request.ts
@@ -1,13 +1,13 @@
 /** A call's question for a place, from when it is asked until it is settled or given up. */
 import type { DispatcherCandidate } from "../members/dispatcher-candidate.ts";
-import type { PlaceAsker } from "./place-asker.ts";
+import type { PlaceRequester } from "./place-requester.ts";
 
 /** Where a question stands. */
 type QuestionState = "asking" | "queued" | "over";
 
 /** See the module's comment. */
-export class PlaceQuestion {
-  readonly asker: PlaceAsker;
+export class PendingPlaceRequest {
+  readonly requester: PlaceRequester;
   readonly askedAtMs: number;
   state: QuestionState = "asking";
   group = 0;
@@ -19,12 +19,12 @@
   /** When the dispatcher is asked whether it is still there. */
   overdueAtMs = 0;
   /** How often it was sent on, since another gateway is the dispatcher. */
-  moves = 0;
+  redirects = 0;
   /** Whether another group was asked after a refusal. */
-  hasTriedOther = false;
+  hasTriedOtherGroup = false;
 
-  constructor(asker: PlaceAsker, askedAtMs: number) {
-    this.asker = asker;
+  constructor(requester: PlaceRequester, askedAtMs: number) {
+    this.requester = requester;
     this.askedAtMs = askedAtMs;
   }
 
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -20,37 +20,37 @@
 import type { GatewayContext } from "../gateway-context.ts";
 import type { GatewayRpcSchema, PlaceSettled } from "../gateway-messages.ts";
 import type { DispatcherCandidate } from "../members/dispatcher-candidate.ts";
-import { DispatcherSilence } from "./dispatcher-silence.ts";
-import { GroupChoice } from "./group-choice.ts";
+import { GroupSelector } from "./group-selector.ts";
 import { HeldPlace } from "./held-place.ts";
-import type { PlaceAsker } from "./place-asker.ts";
+import { PendingPlaceRequest } from "./pending-place-request.ts";
 import type { PlaceClientParts } from "./place-client-parts.ts";
-import { PlaceQuestion } from "./place-question.ts";
-import { PlaceReturns } from "./place-returns.ts";
+import type { PlaceRequester } from "./place-requester.ts";
+import { PlaceReturnSender } from "./place-return-sender.ts";
 import type { PlaceVerdict } from "./place-verdict.ts";
+import { UnresponsiveDispatchers } from "./unresponsive-dispatchers.ts";
 
 /**
  * How long an answer may take, in ms: several times what answers took lately. Too short, and calls go past a dispatcher that
  * is only busy; too long, and each loses as much to one that is gone.
  * The first questions wait for the longest time: they often come many at once, and nothing is known of the dispatcher yet.
  */
-const ANSWER_BOUNDS: TimeoutBounds = { firstMs: 150, minMs: 20, maxMs: 150 };
+const ANSWER_TIMEOUT: TimeoutBounds = { firstMs: 150, minMs: 20, maxMs: 150 };
 /** A call that has waited for so many times what was announced, and a few ms, asks whether its dispatcher is there. */
 const OVERDUE_FACTOR = 1.5;
-const OVERDUE_MS = 20;
+const OVERDUE_MARGIN_MS = 20;
 /** How often calls that wait are looked at, in ms. */
-const TICK_MS = 20;
+const OVERDUE_CHECK_MS = 20;
 /**
  * When callers that are refused without a dispatcher's word should come back, in ms; up to as much again is added at random.
  * Not before a dispatcher that was held up can answer again, and not after much may have changed.
  */
-const LEAST_RETRY_MS = 100;
-const MOST_RETRY_MS = 1_000;
+const MIN_RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 1_000;
 /** Dispatchers that a call tries because those before said that others are. */
-const MOST_MOVES = 2;
+const MAX_REDIRECTS = 2;
 
 /** What a verdict rests on, for the log. */
-interface VerdictGrounds {
+interface VerdictDetails {
   readonly reason?: string;
   readonly unasked?: string;
   readonly behind?: string | undefined;
@@ -68,242 +68,244 @@
 export class PlaceClient {
   readonly #parts: PlaceClientParts;
   readonly #context: GatewayContext;
-  readonly #choice: GroupChoice;
-  readonly #returns: PlaceReturns;
-  readonly #answerTime = new AdaptiveTimeout(ANSWER_BOUNDS);
-  readonly #silence = new DispatcherSilence();
+  readonly #groupSelector: GroupSelector;
+  readonly #returns: PlaceReturnSender;
+  readonly #answerTimeout = new AdaptiveTimeout(ANSWER_TIMEOUT);
+  readonly #unresponsive = new UnresponsiveDispatchers();
   /** Questions that wait, by their lease. */
-  readonly #waiting = new Map<number, PlaceQuestion>();
+  readonly #waiting = new Map<number, PendingPlaceRequest>();
   /** Grants that overtook the answer by which their call is queued. */
-  readonly #early = new Map<number, EarlyGrant>();
+  readonly #earlyGrants = new Map<number, EarlyGrant>();
   #unanswered = 0;
   #timer: TimerHandle | undefined;
 
   constructor(parts: PlaceClientParts) {
     this.#parts = parts;
     this.#context = parts.context;
-    this.#choice = new GroupChoice(parts.groups, parts.context.random);
-    this.#returns = new PlaceReturns(parts.context.clock, parts.transport);
+    this.#groupSelector = new GroupSelector(parts.groups, parts.context.random);
+    this.#returns = new PlaceReturnSender(parts.context.clock, parts.transport);
   }
 
   /** Whether calls of a pool ask for a place now. */
-  isDispatched(pool: RunnerPool): boolean {
+  requiresPlace(pool: RunnerPool): boolean {
     return this.#parts.scarcity.isScarce(pool);
   }
 
   /** Asks for a place. The verdict may come before this returns. */
-  ask(asker: PlaceAsker): PlaceQuestion {
-    const question = new PlaceQuestion(asker, this.#nowMs);
-    this.#send(question);
-    return question;
+  requestPlace(requester: PlaceRequester): PendingPlaceRequest {
+    const request = new PendingPlaceRequest(requester, this.#nowMs);
+    this.#send(request);
+    return request;
   }
 
   /** The call wants no place any more. */
-  giveUp(question: PlaceQuestion): void {
-    if (question.isOver) return;
-    this.#leaveQueue(question);
-    question.state = "over";
-    const { lease, dispatcher } = question;
-    if (lease !== undefined && dispatcher) this.#giveBackUnused(dispatcher.address, lease);
+  cancel(request: PendingPlaceRequest): void {
+    if (request.isOver) return;
+    this.#removeWaiting(request);
+    request.state = "over";
+    const { lease, dispatcher } = request;
+    if (lease !== undefined && dispatcher) this.#returnUnused(dispatcher.address, lease);
   }
 
   /** A dispatcher tells what has become of a call that waited. */
   onSettled({ lease, decision }: PlaceSettled, { address }: Sender): void {
-    const question = this.#waiting.get(lease);
-    if (question) {
-      if (question.dispatcher) this.#silence.clear(question.dispatcher.instance);
-      this.#leaveQueue(question);
-      if (decision.type === "moved") this.#move(question);
-      else this.#onDecision(question, decision);
+    const request = this.#waiting.get(lease);
+    if (request) {
+      if (request.dispatcher) this.#unresponsive.clear(request.dispatcher.instance);
+      this.#removeWaiting(request);
+      if (decision.type === "moved") this.#redirect(request);
+      else this.#onDecision(request, decision);
     } else if (decision.type === "granted") {
-      this.#giveBackEarly(this.#nowMs - ANSWER_BOUNDS.maxMs);
-      if (this.#unanswered > 0) this.#early.set(lease, { atMs: this.#nowMs, grant: decision, address });
-      else this.#giveBackUnused(address, lease);
+      this.#returnEarlyGrants(this.#nowMs - ANSWER_TIMEOUT.maxMs);
+      if (this.#unanswered > 0) this.#earlyGrants.set(lease, { atMs: this.#nowMs, grant: decision, address });
+      else this.#returnUnused(address, lease);
     }
   }
 
   /** A gateway is gone: whoever waits there asks the next one. */
-  forget(instance: string): void {
-    this.#parts.dispatchers.forget();
-    this.#silence.clear(instance);
-    for (const question of this.#waitingAt(instance)) {
-      this.#leaveQueue(question);
-      this.#move(question);
+  onGatewayLost(instance: string): void {
+    this.#parts.dispatchers.invalidate();
+    this.#unresponsive.clear(instance);
+    for (const request of this.#waitingAt(instance)) {
+      this.#removeWaiting(request);
+      this.#redirect(request);
     }
   }
 
-  #send(question: PlaceQuestion): void {
-    const { asker } = question;
-    const call = asker.describe();
-    const group = this.#choice.choose(asker.pool.name, call, this.#nowMs);
-    if (group === undefined) return this.#placeAlone(question, "no runner is known");
-    void this.#askGroup(question, group, call);
+  #send(request: PendingPlaceRequest): void {
+    const { requester } = request;
+    const call = requester.describe();
+    const group = this.#groupSelector.choose(requester.pool.name, call, this.#nowMs);
+    if (group === undefined) return this.#decideLocally(request, "no runner is known");
+    void this.#askGroup(request, group, call);
   }
 
-  async #askGroup(question: PlaceQuestion, group: number, call: PlaceCall): Promise<void> {
-    const pool = question.asker.pool.name;
+  async #askGroup(request: PendingPlaceRequest, group: number, call: PlaceCall): Promise<void> {
+    const pool = request.requester.pool.name;
     const dispatcher = this.#parts.dispatchers.of(pool, group);
-    if (!dispatcher) return this.#placeAlone(question, "nobody hands out places");
-    question.group = group;
-    question.dispatcher = dispatcher;
+    if (!dispatcher) return this.#decideLocally(request, "nobody hands out places");
+    request.group = group;
+    request.dispatcher = dispatcher;
     // One that waits already asks all the same: it would lose its turn to a dispatcher that was only held up.
-    if (question.state === "asking" && this.#silence.has(dispatcher.instance, this.#nowMs))
-      return this.#placeAlone(question, "the dispatcher is silent");
+    if (request.state === "asking" && this.#unresponsive.isPaused(dispatcher.instance, this.#nowMs))
+      return this.#decideLocally(request, "the dispatcher is silent");
     this.#returns.flush(dispatcher.address);
-    const request = { pool, group, call };
+    const body = { pool, group, call };
     this.#unanswered += 1;
     const askedAtMs = this.#nowMs;
-    const { currentMs } = this.#answerTime;
-    const reply = await this.#parts.rpc.ask(dispatcher.address, "askPlace", request, currentMs);
+    const { currentMs } = this.#answerTimeout;
+    const reply = await this.#parts.rpc.ask(dispatcher.address, "askPlace", body, currentMs);
     this.#unanswered -= 1;
-    const tookMs = this.#nowMs - askedAtMs;
-    if (reply.type !== "timeout") this.#answerTime.answered(tookMs);
-    else if (tookMs >= currentMs) this.#answerTime.expired();
-    if (question.isOver) this.#onLateReply(question, dispatcher, reply);
-    else this.#onReply(question, dispatcher, reply, Math.max(0, tookMs - currentMs));
-    if (this.#unanswered === 0) this.#giveBackEarly(this.#nowMs);
+    const elapsedMs = this.#nowMs - askedAtMs;
+    if (reply.type !== "timeout") this.#answerTimeout.answered(elapsedMs);
+    else if (elapsedMs >= currentMs) this.#answerTimeout.expired();
+    if (request.isOver) this.#onLateReply(request, dispatcher, reply);
+    else this.#onReply(request, dispatcher, reply, Math.max(0, elapsedMs - currentMs));
+    if (this.#unanswered === 0) this.#returnEarlyGrants(this.#nowMs);
   }
 
   #onReply(
-    question: PlaceQuestion,
+    request: PendingPlaceRequest,
     dispatcher: DispatcherCandidate,
     reply: RpcReply<"askPlace", GatewayRpcSchema>,
     ownDelayMs: number,
   ): void {
     if (reply.type === "done") {
-      this.#silence.clear(dispatcher.instance);
-      this.#leaveQueue(question);
-      return this.#onDecision(question, reply.body);
+      this.#unresponsive.clear(dispatcher.instance);
+      this.#removeWaiting(request);
+      return this.#onDecision(request, reply.body);
     }
-    if (reply.type === "timeout") return this.#onMissed(question, dispatcher, ownDelayMs);
-    this.#leaveQueue(question);
-    this.#move(question);
+    if (reply.type === "timeout") return this.#onTimeout(request, dispatcher, ownDelayMs);
+    this.#removeWaiting(request);
+    this.#redirect(request);
   }
 
   /** The call was given up, or settled, while its question was under way. */
   #onLateReply(
-    { lease, asker }: PlaceQuestion,
+    { lease, requester }: PendingPlaceRequest,
     { address }: DispatcherCandidate,
     reply: RpcReply<"askPlace", GatewayRpcSchema>,
   ): void {
-    if (reply.type === "timeout") return this.#returns.withdraw(address, asker.describe().request);
+    if (reply.type === "timeout") return this.#returns.withdraw(address, requester.describe().request);
     if (reply.type !== "done" || reply.body.type === "refused") return;
-    if (reply.body.lease !== lease) this.#giveBackUnused(address, reply.body.lease);
+    if (reply.body.lease !== lease) this.#returnUnused(address, reply.body.lease);
   }
 
-  #onMissed(question: PlaceQuestion, dispatcher: DispatcherCandidate, ownDelayMs: number): void {
+  #onTimeout(request: PendingPlaceRequest, dispatcher: DispatcherCandidate, ownDelayMs: number): void {
     const { instance, address } = dispatcher;
-    this.#silence.noteMissed(instance, this.#nowMs);
-    this.#leaveQueue(question);
-    this.#returns.withdraw(address, question.asker.describe().request);
-    this.#placeAlone(question, "the dispatcher does not answer", ownDelayMs);
+    this.#unresponsive.noteMissed(instance, this.#nowMs);
+    this.#removeWaiting(request);
+    this.#returns.withdraw(address, request.requester.describe().request);
+    this.#decideLocally(request, "the dispatcher does not answer", ownDelayMs);
   }
 
-  #onDecision(question: PlaceQuestion, decision: PlaceDecision): void {
+  #onDecision(request: PendingPlaceRequest, decision: PlaceDecision): void {
     switch (decision.type) {
       case "granted":
-        return this.#onGranted(question, decision);
+        return this.#onGranted(request, decision);
       case "refused":
-        return this.#onRefused(question, decision);
+        return this.#onRefused(request, decision);
       case "queued":
-        return this.#onQueued(question, decision.lease, decision.expectedMs);
+        return this.#onQueued(request, decision.lease, decision.expectedMs);
     }
   }
 
-  #onGranted(question: PlaceQuestion, { runner, lease, behind }: PlaceGrant): void {
-    const { dispatcher, group, asker } = question;
+  #onGranted(request: PendingPlaceRequest, { runner, lease, behind }: PlaceGrant): void {
+    const { dispatcher, group, requester } = request;
     if (!dispatcher) return;
-    question.lease = lease;
-    if (question.expectedMs === undefined) this.#choice.note(asker.pool.name, group, 0, this.#nowMs);
+    request.lease = lease;
+    if (request.expectedMs === undefined)
+      this.#groupSelector.note(requester.pool.name, group, 0, this.#nowMs);
     const entry = this.#parts.board.ready(runner);
     if (!entry) {
-      this.#giveBackUnused(dispatcher.address, lease);
-      return this.#placeAlone(question, `the runner ${runner} is not known here`);
+      this.#returnUnused(dispatcher.address, lease);
+      return this.#decideLocally(request, `the runner ${runner} is not known here`);
     }
     const place = new HeldPlace(lease, dispatcher.address, this.#context.clock, this.#returns);
-    this.#settle(question, { type: "granted", runner: entry, place }, { behind });
+    this.#settle(request, { type: "granted", runner: entry, place }, { behind });
   }
 
   /** A program that has begun is given one more chance, at other runners. */
-  #onRefused(question: PlaceQuestion, { reason, retryAfterMs, forecast }: PlaceRefused): void {
-    const { group, asker } = question;
-    const pool = asker.pool.name;
-    const call = asker.describe();
-    this.#choice.note(pool, group, call.patienceMs + retryAfterMs, this.#nowMs);
-    const other =
-      call.hasBegun && !question.hasTriedOther
-        ? this.#choice.other(pool, call, group, this.#nowMs)
+  #onRefused(request: PendingPlaceRequest, { reason, retryAfterMs, forecast }: PlaceRefused): void {
+    const { group, requester } = request;
+    const pool = requester.pool.name;
+    const call = requester.describe();
+    this.#groupSelector.note(pool, group, call.patienceMs + retryAfterMs, this.#nowMs);
+    const otherGroup =
+      call.hasBegun && !request.hasTriedOtherGroup
+        ? this.#groupSelector.chooseOther(pool, call, group, this.#nowMs)
         : undefined;
-    if (other === undefined)
-      return this.#settle(question, { type: "refused", reason, retryAfterMs }, { reason, forecast });
-    question.hasTriedOther = true;
-    void this.#askGroup(question, other, call);
+    if (otherGroup === undefined)
+      return this.#settle(request, { type: "refused", reason, retryAfterMs }, { reason, forecast });
+    request.hasTriedOtherGroup = true;
+    void this.#askGroup(request, otherGroup, call);
   }
 
-  #onQueued(question: PlaceQuestion, lease: number, expectedMs: number): void {
-    question.state = "queued";
-    question.lease = lease;
-    question.expectedMs ??= expectedMs;
-    question.overdueAtMs = this.#nowMs + expectedMs * OVERDUE_FACTOR + OVERDUE_MS;
-    this.#choice.note(question.asker.pool.name, question.group, expectedMs, this.#nowMs);
-    const early = this.#early.get(lease);
-    this.#early.delete(lease);
-    if (early) return this.#onGranted(question, early.grant);
-    this.#waiting.set(lease, question);
-    this.#timer ??= this.#context.clock.schedule(TICK_MS, () => this.#tick());
+  #onQueued(request: PendingPlaceRequest, lease: number, expectedMs: number): void {
+    request.state = "queued";
+    request.lease = lease;
+    request.expectedMs ??= expectedMs;
+    request.overdueAtMs = this.#nowMs + expectedMs * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
+    this.#groupSelector.note(request.requester.pool.name, request.group, expectedMs, this.#nowMs);
+    const early = this.#earlyGrants.get(lease);
+    this.#earlyGrants.delete(lease);
+    if (early) return this.#onGranted(request, early.grant);
+    this.#waiting.set(lease, request);
+    this.#timer ??= this.#context.clock.schedule(OVERDUE_CHECK_MS, () => this.#checkOverdue());
   }
 
   /** Calls that have waited for too long ask again: a dispatcher that is there says how long it will be. */
-  #tick(): void {
+  #checkOverdue(): void {
     this.#timer = undefined;
     const nowMs = this.#nowMs;
-    for (const question of [...this.#waiting.values()]) {
-      if (nowMs < question.overdueAtMs || question.isOver) continue;
-      question.overdueAtMs = nowMs + this.#answerTime.currentMs + TICK_MS;
-      void this.#askGroup(question, question.group, question.asker.describe());
+    for (const request of [...this.#waiting.values()]) {
+      if (nowMs < request.overdueAtMs || request.isOver) continue;
+      request.overdueAtMs = nowMs + this.#answerTimeout.currentMs + OVERDUE_CHECK_MS;
+      void this.#askGroup(request, request.group, request.requester.describe());
     }
-    if (this.#waiting.size > 0) this.#timer ??= this.#context.clock.schedule(TICK_MS, () => this.#tick());
+    if (this.#waiting.size > 0)
+      this.#timer ??= this.#context.clock.schedule(OVERDUE_CHECK_MS, () => this.#checkOverdue());
   }
 
   /** Another gateway is the dispatcher. */
-  #move(question: PlaceQuestion): void {
-    this.#parts.dispatchers.forget();
-    question.lease = undefined;
-    question.moves += 1;
-    if (question.moves > MOST_MOVES) this.#placeAlone(question, "nobody hands out places");
-    else this.#send(question);
+  #redirect(request: PendingPlaceRequest): void {
+    this.#parts.dispatchers.invalidate();
+    request.lease = undefined;
+    request.redirects += 1;
+    if (request.redirects > MAX_REDIRECTS) this.#decideLocally(request, "nobody hands out places");
+    else this.#send(request);
   }
 
   /** No dispatcher decides: who can't be in time by what is known here is refused as a dispatcher would. */
-  #placeAlone(question: PlaceQuestion, reason: string, ownDelayMs?: number): void {
-    this.#leaveQueue(question);
-    const refused = this.#refusalAlone(question.asker);
-    if (!refused) return this.#settle(question, { type: "alone" }, { reason, ownDelayMs });
+  #decideLocally(request: PendingPlaceRequest, reason: string, ownDelayMs?: number): void {
+    this.#removeWaiting(request);
+    const refused = this.#localRefusal(request.requester);
+    if (!refused) return this.#settle(request, { type: "alone" }, { reason, ownDelayMs });
     const { forecast } = refused;
-    this.#settle(question, refused, { reason: refused.reason, unasked: reason, forecast, ownDelayMs });
+    this.#settle(request, refused, { reason: refused.reason, unasked: reason, forecast, ownDelayMs });
   }
 
   /** Undefined for a call that can be in time by what is known here. */
-  #refusalAlone(asker: PlaceAsker): PlaceRefused | undefined {
+  #localRefusal(requester: PlaceRequester): PlaceRefused | undefined {
     const { board, context } = this.#parts;
-    const pool = asker.pool.name;
+    const pool = requester.pool.name;
     const forecast = forecastAlone(board.poolLoad(pool), board.usualMs(pool, LEAST_CALLS));
-    const tooLongMs = forecast.expectedMs - longestWaitMs(asker.describe(), forecast.holdingMs);
-    if (forecast.expectedMs === 0 || tooLongMs <= 0) return undefined;
-    const soonestMs = Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, tooLongMs));
-    const retryAfterMs = soonestMs * (1 + context.random.unit());
+    const excessMs = forecast.expectedMs - longestWaitMs(requester.describe(), forecast.holdingMs);
+    if (forecast.expectedMs === 0 || excessMs <= 0) return undefined;
+    const minDelayMs = Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, excessMs));
+    const retryAfterMs = minDelayMs * (1 + context.random.unit());
     return { type: "refused", reason: "wait-too-long-alone", retryAfterMs, forecast };
   }
 
   #settle(
-    question: PlaceQuestion,
+    request: PendingPlaceRequest,
     verdict: PlaceVerdict,
-    { reason, unasked, behind, forecast, ownDelayMs }: VerdictGrounds,
+    { reason, unasked, behind, forecast, ownDelayMs }: VerdictDetails,
   ): void {
-    if (question.isOver) return;
-    question.state = "over";
-    const { asker, dispatcher, group, lease, askedAtMs } = question;
-    const expectedMs = forecast?.expectedMs ?? question.expectedMs;
+    if (request.isOver) return;
+    request.state = "over";
+    const { requester, dispatcher, group, lease, askedAtMs } = request;
+    const expectedMs = forecast?.expectedMs ?? request.expectedMs;
     const record = {
       verdict: verdict.type,
       ...(reason === undefined ? {} : { reason }),
@@ -316,28 +318,28 @@
       ...(behind === undefined ? {} : { behind }),
       waitedMs: Math.round(this.#nowMs - askedAtMs),
     };
-    this.#context.metrics.placed(asker.pool.name, record);
-    asker.onVerdict(verdict, record);
+    this.#context.metrics.placed(requester.pool.name, record);
+    requester.onVerdict(verdict, record);
   }
 
-  #leaveQueue(question: PlaceQuestion): void {
-    if (question.lease !== undefined) this.#waiting.delete(question.lease);
+  #removeWaiting(request: PendingPlaceRequest): void {
+    if (request.lease !== undefined) this.#waiting.delete(request.lease);
   }
 
-  #waitingAt(instance: string): PlaceQuestion[] {
+  #waitingAt(instance: string): PendingPlaceRequest[] {
     return [...this.#waiting.values()].filter(({ dispatcher }) => dispatcher?.instance === instance);
   }
 
   /** Gives back the grants that came until some time, and that no answer has asked for. */
-  #giveBackEarly(untilMs: number): void {
-    for (const [lease, { atMs, address }] of this.#early) {
+  #returnEarlyGrants(untilMs: number): void {
+    for (const [lease, { atMs, address }] of this.#earlyGrants) {
       if (atMs > untilMs) return;
-      this.#early.delete(lease);
-      this.#giveBackUnused(address, lease);
+      this.#earlyGrants.delete(lease);
+      this.#returnUnused(address, lease);
     }
   }
 
-  #giveBackUnused(address: string, lease: number): void {
+  #returnUnused(address: string, lease: number): void {
     this.#returns.add(address, { lease, heldMs: 0, turnedAway: false });
   }
 
--- a/src/gateway/places/place-host-parts.ts
+++ b/src/gateway/places/place-host-parts.ts
@@ -1,12 +1,12 @@
 import type { RpcEndpoint } from "../../runtime/rpc.ts";
 import type { Transport } from "../../runtime/transport.ts";
 import type { GatewayMessage, GatewayRpcSchema } from "../gateway-messages.ts";
-import type { BoardGroupParts } from "./board-group-parts.ts";
+import type { BoardRunnerGroupParts } from "./board-runner-group-parts.ts";
 import type { DispatcherDirectory } from "./dispatcher-directory.ts";
 import type { TenantWeights } from "./tenant-weights.ts";
 
 /** What a PlaceHost works with. */
-export interface PlaceHostParts extends BoardGroupParts {
+export interface PlaceHostParts extends BoardRunnerGroupParts {
   readonly dispatchers: DispatcherDirectory;
   readonly weights: TenantWeights;
   readonly rpc: RpcEndpoint<GatewayRpcSchema>;
--- a/src/gateway/places/place-host.ts
+++ b/src/gateway/places/place-host.ts
@@ -8,28 +8,28 @@
 import { PlaceDispatcher } from "../../scheduling/place-queue/index.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { AskPlaceRequest, AskPlaceResponse, PlaceSettled, ReturnPlaces } from "../gateway-messages.ts";
-import { BoardGroup } from "./board-group.ts";
+import { BoardRunnerGroup } from "./board-runner-group.ts";
 import type { PlaceHostParts } from "./place-host-parts.ts";
 
 /** How often queues are looked at while calls wait, in ms: what a refusal may come late. */
-const TICK_MS = 20;
+const QUEUE_CHECK_MS = 20;
 /** How often leases, roles and metrics are looked at, in ms. */
-const TIDY_MS = 250;
+const MAINTENANCE_INTERVAL_MS = 250;
 /** What reports tell may be so many heartbeats old: the gateway's own, those of two relays, and one for the way. */
-const LEARNED_HEARTBEATS = 4;
-const LOG_EVERY_MS = 1_000;
+const MAX_REPORT_AGE_HEARTBEATS = 4;
+const LOG_INTERVAL_MS = 1_000;
 /** Groups for which nobody has asked for so long are forgotten, in ms. */
-const IDLE_MS = 10_000;
+const GROUP_IDLE_MS = 10_000;
 /** Leases are counted from a random multiple of this on. */
-const LEASE_BLOCK = 2 ** 22;
-const LEASE_BLOCKS = 2 ** 28;
+const LEASE_BLOCK_SIZE = 2 ** 22;
+const LEASE_BLOCK_COUNT = 2 ** 28;
 
 interface HostedGroup {
   readonly pool: string;
   readonly index: number;
   readonly dispatcher: PlaceDispatcher;
-  askedAtMs: number;
-  loggedAtMs: number;
+  lastAskedAtMs: number;
+  lastLoggedAtMs: number;
 }
 
 /** See the module's comment. */
@@ -44,11 +44,11 @@
   constructor(parts: PlaceHostParts) {
     this.#parts = parts;
     this.#context = parts.context;
-    parts.rpc.handle("askPlace", async (request, from) => this.#ask(request, from));
+    parts.rpc.handle("askPlace", async (request, from) => this.#onAskPlace(request, from));
   }
 
   start(): void {
-    repeat(this.#context.clock, TIDY_MS, () => this.#tidy());
+    repeat(this.#context.clock, MAINTENANCE_INTERVAL_MS, () => this.#maintain());
   }
 
   /** Takes places back. Their leases tell whose they are. */
@@ -57,84 +57,84 @@
     for (const group of this.#groups.values()) {
       for (const place of returned) group.dispatcher.giveBack(place, nowMs);
       for (const request of withdrawn) group.dispatcher.withdraw(request, nowMs);
-      this.#settle(group);
+      this.#settleWaiting(group);
     }
   }
 
   /** A gateway is gone, and what it held with it. */
-  forget(instance: string): void {
+  onGatewayLost(instance: string): void {
     if (!this.#addresses.delete(instance)) return;
     for (const group of this.#groups.values()) {
       group.dispatcher.dropHolder(instance);
-      this.#settle(group);
+      this.#settleWaiting(group);
     }
   }
 
-  #ask({ pool, group, call }: AskPlaceRequest, { instance, address }: Sender): AskPlaceResponse {
+  #onAskPlace({ pool, group, call }: AskPlaceRequest, { instance, address }: Sender): AskPlaceResponse {
     if (!this.#parts.dispatchers.isSelf(pool, group)) throw new RedirectSignal(undefined);
-    const hosted = this.#hosted(pool, group);
-    hosted.askedAtMs = this.#nowMs;
+    const hosted = this.#hostedGroup(pool, group);
+    hosted.lastAskedAtMs = this.#nowMs;
     this.#addresses.set(instance, address);
     const decision = hosted.dispatcher.ask(call, instance, this.#nowMs);
-    if (decision.type === "queued") this.#tickSoon();
+    if (decision.type === "queued") this.#scheduleQueueCheck();
     return decision;
   }
 
-  #hosted(pool: string, index: number): HostedGroup {
+  #hostedGroup(pool: string, index: number): HostedGroup {
     const key = `${pool}/${index}`;
     const known = this.#groups.get(key);
     if (known) return known;
     const { random, settings, log } = this.#context;
     const nowMs = this.#nowMs;
     const dispatcher = new PlaceDispatcher({
-      group: new BoardGroup(this.#parts, pool, index),
+      group: new BoardRunnerGroup(this.#parts, pool, index),
       weightOf: (tenant) => this.#parts.weights.of(tenant),
-      firstLease: LEASE_BLOCK * random.below(LEASE_BLOCKS),
-      learningMs: LEARNED_HEARTBEATS * settings.timing.heartbeatMs,
+      firstLease: LEASE_BLOCK_SIZE * random.below(LEASE_BLOCK_COUNT),
+      learningMs: MAX_REPORT_AGE_HEARTBEATS * settings.timing.heartbeatMs,
     });
-    const begun = { pool, index, dispatcher, askedAtMs: nowMs, loggedAtMs: nowMs };
-    this.#groups.set(key, begun);
+    const created = { pool, index, dispatcher, lastAskedAtMs: nowMs, lastLoggedAtMs: nowMs };
+    this.#groups.set(key, created);
     log.info({ pool, group: index }, "hands out places");
-    return begun;
+    return created;
   }
 
-  #settle({ dispatcher }: HostedGroup): void {
+  #settleWaiting({ dispatcher }: HostedGroup): void {
     if (dispatcher.waiting === 0) return;
     for (const { holder, lease, decision } of dispatcher.settle(this.#nowMs))
-      this.#tell(holder, { type: "placeSettled", lease, decision });
+      this.#notify(holder, { type: "placeSettled", lease, decision });
   }
 
-  #tell(holder: string, message: PlaceSettled): void {
+  #notify(holder: string, message: PlaceSettled): void {
     const address = this.#addresses.get(holder);
     if (address !== undefined) this.#parts.transport.send(address, message);
   }
 
-  #tickSoon(): void {
-    this.#timer ??= this.#context.clock.schedule(TICK_MS, () => this.#tick());
+  #scheduleQueueCheck(): void {
+    this.#timer ??= this.#context.clock.schedule(QUEUE_CHECK_MS, () => this.#checkQueues());
   }
 
-  #tick(): void {
+  #checkQueues(): void {
     this.#timer = undefined;
     let waiting = 0;
     for (const group of this.#groups.values()) {
-      this.#settle(group);
+      this.#settleWaiting(group);
       waiting += group.dispatcher.waiting;
     }
-    if (waiting > 0) this.#tickSoon();
+    if (waiting > 0) this.#scheduleQueueCheck();
   }
 
-  #tidy(): void {
+  #maintain(): void {
     const nowMs = this.#nowMs;
     this.#parts.board.dropStale(nowMs);
     for (const [key, group] of this.#groups) {
-      const { pool, index, dispatcher, askedAtMs } = group;
+      const { pool, index, dispatcher, lastAskedAtMs } = group;
       dispatcher.endLeases(nowMs);
-      const isIdle = dispatcher.waiting === 0 && nowMs - askedAtMs > IDLE_MS;
+      const isIdle = dispatcher.waiting === 0 && nowMs - lastAskedAtMs > GROUP_IDLE_MS;
       if (isIdle || !this.#parts.dispatchers.isSelf(pool, index)) {
-        this.#letGo(key, group);
+        this.#stopDispatching(key, group);
         continue;
       }
-      this.#settle(group);
+      this.#settleWaiting(group);
       const { leased, waiting } = dispatcher;
       if (waiting > 0) this.#logQueue(group);
       this.#context.metrics.dispatched(pool, index, {
@@ -148,8 +148,8 @@
   /** What callers wait for, at most once a second and group. */
   #logQueue(group: HostedGroup): void {
     const nowMs = this.#nowMs;
-    if (nowMs - group.loggedAtMs < LOG_EVERY_MS) return;
-    group.loggedAtMs = nowMs;
+    if (nowMs - group.lastLoggedAtMs < LOG_INTERVAL_MS) return;
+    group.lastLoggedAtMs = nowMs;
     const { pool, index, dispatcher } = group;
     const { places, free, placedByOthers, paused } = dispatcher.room(nowMs);
     const { leased, waiting } = dispatcher;
@@ -158,12 +158,12 @@
   }
 
   /** Another gateway hands out the places now, or nobody asks any more. */
-  #letGo(key: string, { pool, index, dispatcher }: HostedGroup): void {
+  #stopDispatching(key: string, { pool, index, dispatcher }: HostedGroup): void {
     this.#groups.delete(key);
     this.#context.metrics.dispatched(pool, index, { places: 0, leased: 0, waiting: 0 });
     const waiting = dispatcher.drain();
     for (const { holder, lease } of waiting)
-      this.#tell(holder, { type: "placeSettled", lease, decision: { type: "moved" } });
+      this.#notify(holder, { type: "placeSettled", lease, decision: { type: "moved" } });
     this.#context.log.info({ pool, group: index, waiting: waiting.length }, "hands out places no more");
   }
 
--- a/src/gateway/places/place-asker.ts
+++ b/src/gateway/places/place-requester.ts
@@ -4,7 +4,7 @@
 import type { PlaceVerdict } from "./place-verdict.ts";
 
 /** A call that asks for a place. */
-export interface PlaceAsker {
+export interface PlaceRequester {
   readonly pool: RunnerPool;
   /** The call as it stands now: times run on while it waits. */
   describe(): PlaceCall;
--- a/src/gateway/places/place-returns.ts
+++ b/src/gateway/places/place-return-sender.ts
@@ -6,19 +6,19 @@
 import type { GatewayMessage } from "../gateway-messages.ts";
 
 /** How long a place waits to be given back, in ms: short beside the shortest calls, since it lies idle meanwhile. */
-const GATHER_MS = 2;
+const BATCH_DELAY_MS = 2;
 
-interface Gathered {
+interface ReturnBatch {
   readonly returned: ReturnedPlace[];
   readonly withdrawn: RequestId[];
 }
 
 /** See the module's comment. */
-export class PlaceReturns {
+export class PlaceReturnSender {
   readonly #clock: Clock;
   readonly #transport: Pick<Transport<GatewayMessage>, "send">;
-  readonly #gathered = new Map<string, Gathered>();
-  #scheduled = false;
+  readonly #batches = new Map<string, ReturnBatch>();
+  #isFlushScheduled = false;
 
   constructor(clock: Clock, transport: Pick<Transport<GatewayMessage>, "send">) {
     this.#clock = clock;
@@ -27,20 +27,20 @@
 
   /** Gives a place back to the dispatcher at an address. */
   add(address: string, place: ReturnedPlace): void {
-    this.#for(address).returned.push(place);
+    this.#batchFor(address).returned.push(place);
   }
 
   /** Tells the dispatcher at an address that a request wants no place any more. */
   withdraw(address: string, request: RequestId): void {
-    this.#for(address).withdrawn.push(request);
+    this.#batchFor(address).withdrawn.push(request);
   }
 
   /** Sends what there is for an address, as a message is about to go there. */
   flush(address: string): void {
-    const gathered = this.#gathered.get(address);
-    if (!gathered) return;
-    this.#gathered.delete(address);
-    const { returned, withdrawn } = gathered;
+    const batch = this.#batches.get(address);
+    if (!batch) return;
+    this.#batches.delete(address);
+    const { returned, withdrawn } = batch;
     this.#transport.send(address, {
       type: "returnPlaces",
       returned,
@@ -48,21 +48,21 @@
     });
   }
 
-  #for(address: string): Gathered {
-    this.#schedule();
-    const known = this.#gathered.get(address);
+  #batchFor(address: string): ReturnBatch {
+    this.#scheduleFlush();
+    const known = this.#batches.get(address);
     if (known) return known;
-    const begun = { returned: [], withdrawn: [] };
-    this.#gathered.set(address, begun);
-    return begun;
+    const created = { returned: [], withdrawn: [] };
+    this.#batches.set(address, created);
+    return created;
   }
 
-  #schedule(): void {
-    if (this.#scheduled) return;
-    this.#scheduled = true;
-    this.#clock.schedule(GATHER_MS, () => {
-      this.#scheduled = false;
-      for (const address of [...this.#gathered.keys()]) this.flush(address);
+  #scheduleFlush(): void {
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
+    this.#clock.schedule(BATCH_DELAY_MS, () => {
+      this.#isFlushScheduled = false;
+      for (const address of [...this.#batches.keys()]) this.flush(address);
     });
   }
 }
--- a/src/gateway/places/pool-scarcity.ts
+++ b/src/gateway/places/pool-scarcity.ts
@@ -8,21 +8,21 @@
 import type { RunnerGroups } from "./runner-groups.ts";
 
 /** Part of the share from which on places are scarce at which they no longer are. */
-const UNTIL_PART = 0.7;
+const SCARCITY_END_FACTOR = 0.7;
 /**
  * How long places stay scarce at least, in ms: longer than news of load take. Gateways that change their minds by old news
  * would send past the dispatchers what these have just handed out.
  */
-const SCARCE_FOR_MS = 3_000;
+const MIN_SCARCE_MS = 3_000;
 /**
  * Part of the places for each gateway that runners other than model engines have to have: their calls are short, so that a
  * question costs a larger part of them, and places come free sooner.
  */
-const SHORT_CALLS_PART = 0.25;
+const SHORT_CALLS_FACTOR = 0.25;
 /** How long an answer is kept, in ms: loads of other gateways change no faster. */
-const TTL_MS = 50;
+const CACHE_TTL_MS = 50;
 
-interface KnownPool {
+interface CachedScarcity {
   readonly atMs: number;
   readonly isScarce: boolean;
   /** Since when it is so. */
@@ -34,44 +34,49 @@
   readonly #context: GatewayContext;
   readonly #board: RunnerBoard;
   readonly #groups: RunnerGroups;
-  readonly #liveGateways: () => number;
-  readonly #pools = new Map<string, KnownPool>();
+  readonly #countLiveGateways: () => number;
+  readonly #cache = new Map<string, CachedScarcity>();
 
-  /** @param liveGateways how many gateways are alive, this one included */
-  constructor(context: GatewayContext, board: RunnerBoard, groups: RunnerGroups, liveGateways: () => number) {
+  /** @param countLiveGateways how many gateways are alive, this one included */
+  constructor(
+    context: GatewayContext,
+    board: RunnerBoard,
+    groups: RunnerGroups,
+    countLiveGateways: () => number,
+  ) {
     this.#context = context;
     this.#board = board;
     this.#groups = groups;
-    this.#liveGateways = liveGateways;
+    this.#countLiveGateways = countLiveGateways;
   }
 
   /** Whether dispatchers hand out the places of a pool now. */
   isScarce({ name: pool, engine }: Pick<RunnerPool, "name" | "engine">): boolean {
     const { dispatchBelow } = this.#context.settings.places;
     if (dispatchBelow === 0) return false;
-    const fewBelow = engine ? dispatchBelow : dispatchBelow * SHORT_CALLS_PART;
+    const maxPlacesPerGateway = engine ? dispatchBelow : dispatchBelow * SHORT_CALLS_FACTOR;
     const nowMs = this.#context.clock.monotonicMs();
-    const known = this.#pools.get(pool);
-    if (known && nowMs - known.atMs < TTL_MS) return known.isScarce;
+    const cached = this.#cache.get(pool);
+    if (cached && nowMs - cached.atMs < CACHE_TTL_MS) return cached.isScarce;
     // Nothing else looks at reports while dispatchers choose the runners.
     this.#board.dropStale(nowMs);
-    const wasScarce = known?.isScarce ?? false;
+    const wasScarce = cached?.isScarce ?? false;
     const isBusy =
-      this.#isBusy(pool, wasScarce) || (wasScarce && nowMs - (known?.sinceMs ?? 0) < SCARCE_FOR_MS);
-    const isScarce = isBusy && this.#hasFew(pool, fewBelow);
+      this.#isBusy(pool, wasScarce) || (wasScarce && nowMs - (cached?.sinceMs ?? 0) < MIN_SCARCE_MS);
+    const isScarce = isBusy && this.#hasFewPlaces(pool, maxPlacesPerGateway);
     if (isScarce !== wasScarce) this.#context.log.info({ pool, isScarce }, "places scarce or not");
-    const sinceMs = known && isScarce === wasScarce ? known.sinceMs : nowMs;
-    this.#pools.set(pool, { atMs: nowMs, isScarce, sinceMs });
+    const sinceMs = cached && isScarce === wasScarce ? cached.sinceMs : nowMs;
+    this.#cache.set(pool, { atMs: nowMs, isScarce, sinceMs });
     return isScarce;
   }
 
-  #hasFew(pool: string, fewBelow: number): boolean {
+  #hasFewPlaces(pool: string, maxPlacesPerGateway: number): boolean {
     const places = this.#groups.of(pool).reduce((sum, group) => sum + group.places, 0);
-    return places < fewBelow * this.#liveGateways();
+    return places < maxPlacesPerGateway * this.#countLiveGateways();
   }
 
   #isBusy(pool: string, wasScarce: boolean): boolean {
     const { scarceFrom } = this.#context.settings.places;
-    return this.#board.occupancy(pool) >= (wasScarce ? UNTIL_PART * scarceFrom : scarceFrom);
+    return this.#board.occupancy(pool) >= (wasScarce ? SCARCITY_END_FACTOR * scarceFrom : scarceFrom);
   }
 }
--- a/src/gateway/places/runner-groups.ts
+++ b/src/gateway/places/runner-groups.ts
@@ -10,11 +10,11 @@
 import type { PlaceGroup } from "./place-group.ts";
 
 /** Few enough for one gateway to hand out their places, many enough that a call finds a free one among them. */
-const RUNNERS_IN_GROUP = 8;
+const RUNNERS_PER_GROUP = 8;
 /** How long the groups of a pool are kept before the runners are looked at again, in ms. */
-const TTL_MS = 100;
+const CACHE_TTL_MS = 100;
 
-interface DealtPool {
+interface PoolGroups {
   readonly atMs: number;
   readonly groups: readonly PlaceGroup[];
   readonly groupOf: ReadonlyMap<RunnerId, number>;
@@ -24,7 +24,7 @@
 export class RunnerGroups {
   readonly #context: GatewayContext;
   readonly #board: RunnerBoard;
-  readonly #pools = new Map<string, DealtPool>();
+  readonly #cache = new Map<string, PoolGroups>();
 
   constructor(context: GatewayContext, board: RunnerBoard) {
     this.#context = context;
@@ -33,27 +33,29 @@
 
   /** The groups of a pool; those without a runner are there too. */
   of(pool: string): readonly PlaceGroup[] {
-    return this.#dealt(pool).groups;
+    return this.#poolGroups(pool).groups;
   }
 
   /** The group of a runner; undefined when it takes no new work. */
   groupOf(pool: string, runner: RunnerId): number | undefined {
-    return this.#dealt(pool).groupOf.get(runner);
+    return this.#poolGroups(pool).groupOf.get(runner);
   }
 
-  #dealt(pool: string): DealtPool {
+  #poolGroups(pool: string): PoolGroups {
     const nowMs = this.#context.clock.monotonicMs();
-    const known = this.#pools.get(pool);
-    if (known && nowMs - known.atMs < TTL_MS) return known;
-    const dealt = { atMs: nowMs, ...this.#deal(pool) };
-    this.#pools.set(pool, dealt);
-    return dealt;
+    const cached = this.#cache.get(pool);
+    if (cached && nowMs - cached.atMs < CACHE_TTL_MS) return cached;
+    const computed = { atMs: nowMs, ...this.#computeGroups(pool) };
+    this.#cache.set(pool, computed);
+    return computed;
   }
 
-  #deal(pool: string): Omit<DealtPool, "atMs"> {
+  #computeGroups(pool: string): Omit<PoolGroups, "atMs"> {
     const { hash } = this.#context;
-    const runners = this.#board.entries().filter(({ id, pool: of }) => of === pool && this.#board.ready(id));
-    const count = Math.max(1, Math.round(runners.length / RUNNERS_IN_GROUP));
+    const runners = this.#board
+      .entries()
+      .filter(({ id, pool: runnerPool }) => runnerPool === pool && this.#board.ready(id));
+    const count = Math.max(1, Math.round(runners.length / RUNNERS_PER_GROUP));
     const members: RunnerEntry[][] = Array.from({ length: count }, () => []);
     const groupOf = new Map<RunnerId, number>();
     for (const runner of runners) {
@@ -61,7 +63,11 @@
       members[index]?.push(runner);
       groupOf.set(runner.id, index);
     }
-    const groups = members.map((of, index) => ({ index, runners: of, places: placesOf(of) }));
+    const groups = members.map((groupRunners, index) => ({
+      index,
+      runners: groupRunners,
+      places: placesOf(groupRunners),
+    }));
     return { groups, groupOf };
   }
 }
--- a/src/gateway/places/tenant-weights.ts
+++ b/src/gateway/places/tenant-weights.ts
@@ -8,7 +8,7 @@
 /** See the module's comment. */
 export class TenantWeights {
   readonly #routes: () => RouteTable | undefined;
-  #of: RouteTable | undefined;
+  #computedFor: RouteTable | undefined;
   #weights: ReadonlyMap<TenantName, number> = new Map();
 
   constructor(routes: () => RouteTable | undefined) {
@@ -18,15 +18,15 @@
   /** A positive number; 1 for a tenant of average size, and for calls without a tenant. */
   of(tenant: TenantName | undefined): number {
     const routes = this.#routes();
-    if (routes !== this.#of) {
-      this.#of = routes;
-      this.#weights = weightsOf(routes);
+    if (routes !== this.#computedFor) {
+      this.#computedFor = routes;
+      this.#weights = computeWeights(routes);
     }
     return tenant === undefined ? 1 : (this.#weights.get(tenant) ?? 1);
   }
 }
 
-function weightsOf(routes: RouteTable | undefined): ReadonlyMap<TenantName, number> {
+function computeWeights(routes: RouteTable | undefined): ReadonlyMap<TenantName, number> {
   const limited = (routes?.configuration.tenants ?? []).flatMap(({ name, limit }) => {
     return limit === undefined || limit.perSecond <= 0 ? [] : [{ name, perSecond: limit.perSecond }];
   });
--- a/test/contract/place-parts.test.ts
+++ b/test/contract/place-parts.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import type { GatewayContext } from "../../src/gateway/gateway-context.ts";
 import { DispatcherDirectory } from "../../src/gateway/places/dispatcher-directory.ts";
-import { GroupChoice } from "../../src/gateway/places/group-choice.ts";
+import { GroupSelector } from "../../src/gateway/places/group-selector.ts";
 import { PoolScarcity } from "../../src/gateway/places/pool-scarcity.ts";
 import { RunnerGroups } from "../../src/gateway/places/runner-groups.ts";
 import { TenantWeights } from "../../src/gateway/places/tenant-weights.ts";
@@ -32,14 +32,14 @@
     groups = new RunnerGroups(context, board);
   });
 
-  function add(index: number): RunnerId {
+  function addRunner(index: number): RunnerId {
     const id = `r${index}` as RunnerId;
     board.upsert(runnerEntry(id, { slots: SLOTS }));
     return id;
   }
 
-  const addAll = (count: number) => Array.from({ length: count }, (_, index) => add(index));
-  const busy = (id: RunnerId, count: number) =>
+  const addRunners = (count: number) => Array.from({ length: count }, (_, index) => addRunner(index));
+  const reportInFlight = (id: RunnerId, count: number) =>
     board.report("other", { inFlight: [[id, count]], failing: [] }, nowMs);
 
   describe("scarcity", () => {
@@ -55,31 +55,31 @@
     }
 
     it("begins when most places are taken, and ends when half of them are free", () => {
-      const [id] = addAll(5) as [RunnerId];
+      const [id] = addRunners(5) as [RunnerId];
       const isScarce = scarcity(6);
-      busy(id, 13);
+      reportInFlight(id, 13);
       expect(isScarce(0)).toEqual(false);
-      busy(id, 14);
+      reportInFlight(id, 14);
       expect(isScarce(100)).toEqual(true);
-      busy(id, 10);
+      reportInFlight(id, 10);
       expect(isScarce(200)).toEqual(true);
-      busy(id, 9);
+      reportInFlight(id, 9);
       expect(isScarce(3_000)).toEqual(true);
       expect(isScarce(3_100)).toEqual(false);
-      busy(id, 13);
+      reportInFlight(id, 13);
       expect(isScarce(3_200)).toEqual(false);
     });
 
     it("is none where gateways have places enough, or operators want no dispatchers", () => {
-      const [id] = addAll(5) as [RunnerId];
-      busy(id, 20);
+      const [id] = addRunners(5) as [RunnerId];
+      reportInFlight(id, 20);
       expect(scarcity(5)(0)).toEqual(false);
       expect(scarcity(1_000, 0)(0)).toEqual(false);
     });
 
     it("needs a quarter of the places where calls are short", () => {
-      const [id] = addAll(5) as [RunnerId];
-      busy(id, 20);
+      const [id] = addRunners(5) as [RunnerId];
+      reportInFlight(id, 20);
       const pools = (gateways: number) =>
         new PoolScarcity(
           { ...context, settings: { ...context.settings, places: { dispatchBelow: 4, scarceFrom: 0.7 } } },
@@ -94,19 +94,19 @@
 
   describe("groups", () => {
     it("have about eight runners each, and every ready runner is in one", () => {
-      addAll(24);
+      addRunners(24);
       board.upsert(runnerEntry("d", { state: "draining" }));
-      const dealt = groups.of("p");
-      expect(dealt.length).toEqual(3);
-      expect(dealt.reduce((sum, { places }) => sum + places, 0)).toEqual(24 * SLOTS);
-      for (const { index, runners } of dealt)
+      const poolGroups = groups.of("p");
+      expect(poolGroups.length).toEqual(3);
+      expect(poolGroups.reduce((sum, { places }) => sum + places, 0)).toEqual(24 * SLOTS);
+      for (const { index, runners } of poolGroups)
         expect(runners.every(({ id }) => groups.groupOf("p", id) === index)).toEqual(true);
     });
 
     it("keep their runners when one comes, but for those that a new group takes", () => {
-      const ids = addAll(27);
+      const ids = addRunners(27);
       const before = ids.map((id) => groups.groupOf("p", id));
-      add(27);
+      addRunner(27);
       nowMs = 1_000;
       const moved = ids.filter((id, index) => groups.groupOf("p", id) !== before[index]);
       expect(groups.of("p").length).toEqual(4);
@@ -115,7 +115,7 @@
     });
 
     it("are about as large as each other where there are many", () => {
-      addAll(800);
+      addRunners(800);
       const sizes = groups.of("p").map(({ runners }) => runners.length);
       expect(sizes.length).toEqual(100);
       expect(Math.max(...sizes)).toBeLessThan(24);
@@ -123,17 +123,17 @@
     });
 
     it("are asked where the prompt is, unless others are known to be faster", () => {
-      const ids = addAll(24);
-      const choice = new GroupChoice(groups, context.random);
+      const ids = addRunners(24);
+      const selector = new GroupSelector(groups, context.random);
       const [preferred] = ids as [RunnerId];
-      const home = groups.groupOf("p", preferred) as number;
+      const preferredGroup = groups.groupOf("p", preferred) as number;
       const call = { preferred, excluded: [] } as unknown as PlaceCall;
-      expect(choice.choose("p", call, 0)).toEqual(home);
-      choice.note("p", home, 200, 0);
-      expect(choice.choose("p", call, 0)).not.toEqual(home);
-      expect(choice.other("p", call, 0, 0)).not.toEqual(0);
-      const excluded = ids.filter((id) => groups.groupOf("p", id) === home);
-      expect(choice.choose("p", { ...call, excluded }, 1_000)).not.toEqual(home);
+      expect(selector.choose("p", call, 0)).toEqual(preferredGroup);
+      selector.note("p", preferredGroup, 200, 0);
+      expect(selector.choose("p", call, 0)).not.toEqual(preferredGroup);
+      expect(selector.chooseOther("p", call, 0, 0)).not.toEqual(0);
+      const excluded = ids.filter((id) => groups.groupOf("p", id) === preferredGroup);
+      expect(selector.choose("p", { ...call, excluded }, 1_000)).not.toEqual(preferredGroup);
     });
   });
 
@@ -149,10 +149,10 @@
       candidates.findIndex(({ name }) => name === first?.name),
       1,
     );
-    directories[0]?.forget();
+    directories[0]?.invalidate();
     expect(directories[0]?.of("p", 0)?.name).not.toEqual(first?.name);
     candidates.splice(0);
-    directories[0]?.forget();
+    directories[0]?.invalidate();
     expect(directories[0]?.of("p", 0)).toEqual(undefined);
   });
 
--- a/test/contract/places.test.ts
+++ b/test/contract/places.test.ts
@@ -8,7 +8,7 @@
 /** Longest time until all know of a loss that nobody announced. */
 const DETECTION_MS = 3_000;
 /** What a call loses at most to a dispatcher that does not answer, beyond the wait that was announced. */
-const FALL_BACK_MS = 150;
+const FALLBACK_MS = 150;
 
 const verdictsOf = (calls: readonly PlacedCall[]) => new Set(calls.map(({ verdict }) => verdict));
 
@@ -19,93 +19,94 @@
   });
 
   /** A fleet whose gateways know each other. */
-  async function settled(
+  async function startFleet(
     gateways: number,
     runners: number,
     slots: number,
-    old?: number[],
+    oldBuilds?: number[],
   ): Promise<PlaceFleet> {
-    const fleet = new PlaceFleet(hash, gateways, runners, slots, old);
+    const fleet = new PlaceFleet(hash, gateways, runners, slots, oldBuilds);
     await fleet.time.runUntil(SETTLE_MS);
     return fleet;
   }
 
-  async function pass(fleet: PlaceFleet, ms: number): Promise<void> {
+  async function advance(fleet: PlaceFleet, ms: number): Promise<void> {
     await fleet.time.runUntil(fleet.time.nowMs + ms);
   }
 
   /** A gateway that is not the dispatcher. */
-  function askerOf(fleet: PlaceFleet): PlaceMember {
+  function nonDispatcherOf(fleet: PlaceFleet): PlaceMember {
     const dispatcher = fleet.dispatcherOf(fleet.at(0));
     return fleet.members.find((member) => member !== dispatcher) as PlaceMember;
   }
 
-  const callOf = (fleet: PlaceFleet, holdMs: number) => (member: PlaceMember) => fleet.call(member, holdMs);
+  const startCall = (fleet: PlaceFleet, holdMs: number) => (member: PlaceMember) =>
+    fleet.call(member, holdMs);
 
   it("are handed out so that no runner gets more than it works on, whoever asks", async () => {
-    const fleet = await settled(6, 2, 3);
-    const calls = [1, 2, 3, 4].flatMap(() => fleet.members.map(callOf(fleet, 150)));
-    await pass(fleet, 1_500);
+    const fleet = await startFleet(6, 2, 3);
+    const calls = [1, 2, 3, 4].flatMap(() => fleet.members.map(startCall(fleet, 150)));
+    await advance(fleet, 1_500);
     expect(verdictsOf(calls)).toEqual(new Set(["granted" as const]));
-    expect(fleet.mostBusy).toEqual(3);
+    expect(fleet.maxCallsPerRunner).toEqual(3);
     // 24 calls at six places, 150 ms each and what handing over takes.
     expect(Math.max(...calls.map(({ record }) => record?.waitedMs ?? 0))).toBeLessThan(600);
   });
 
   it("are handed out by one dispatcher also where gateways hear of each other through relays", async () => {
-    const fleet = await settled(30, 1, 2);
+    const fleet = await startFleet(30, 1, 2);
     // The dispatcher learns how long calls take here.
     fleet.call(fleet.at(0), 20);
-    await pass(fleet, 100);
-    const calls = fleet.members.map(callOf(fleet, 20));
-    await pass(fleet, 1_000);
+    await advance(fleet, 100);
+    const calls = fleet.members.map(startCall(fleet, 20));
+    await advance(fleet, 1_000);
     expect(verdictsOf(calls)).toEqual(new Set(["granted" as const]));
     expect(new Set(calls.map(({ record }) => record?.dispatcher)).size).toEqual(1);
-    expect(fleet.mostBusy).toEqual(2);
+    expect(fleet.maxCallsPerRunner).toEqual(2);
   });
 
   it("go to those that wait when a call is given up", async () => {
-    const fleet = await settled(3, 1, 1);
-    const asker = askerOf(fleet);
-    fleet.call(asker, 300);
-    await pass(fleet, 10);
-    const [first, second] = [fleet.call(asker, 100), fleet.call(asker, 100)];
-    await pass(fleet, 10);
-    asker.client.giveUp(first.question);
-    await pass(fleet, 330);
+    const fleet = await startFleet(3, 1, 1);
+    const requester = nonDispatcherOf(fleet);
+    fleet.call(requester, 300);
+    await advance(fleet, 10);
+    const [first, second] = [fleet.call(requester, 100), fleet.call(requester, 100)];
+    await advance(fleet, 10);
+    requester.client.cancel(first.placeRequest);
+    await advance(fleet, 330);
     expect([first.verdict, second.verdict]).toEqual([undefined, "granted"]);
   });
 
   it("are taken by each gateway alone when the dispatcher is killed, until another one is known", async () => {
-    const fleet = await settled(4, 1, 1);
-    const asker = askerOf(fleet);
-    fleet.call(asker, 400);
-    await pass(fleet, 10);
-    const waits = fleet.call(asker, 50);
-    await pass(fleet, 10);
-    expect(waits.question.state).toEqual("queued");
-    fleet.dispatcherOf(asker).process.kill();
-    const comes = fleet.call(asker, 50);
-    await pass(fleet, FALL_BACK_MS);
-    expect(comes.verdict).toEqual("alone");
-    await pass(fleet, 1.5 * (waits.question.expectedMs ?? 0));
-    expect(waits.verdict).toEqual("alone");
-    await pass(fleet, DETECTION_MS);
-    const later = fleet.call(asker, 50);
-    await pass(fleet, 50);
+    const fleet = await startFleet(4, 1, 1);
+    const requester = nonDispatcherOf(fleet);
+    fleet.call(requester, 400);
+    await advance(fleet, 10);
+    const waiting = fleet.call(requester, 50);
+    await advance(fleet, 10);
+    expect(waiting.placeRequest.state).toEqual("queued");
+    fleet.dispatcherOf(requester).process.kill();
+    const newCall = fleet.call(requester, 50);
+    await advance(fleet, FALLBACK_MS);
+    expect(newCall.verdict).toEqual("alone");
+    await advance(fleet, 1.5 * (waiting.placeRequest.expectedMs ?? 0));
+    expect(waiting.verdict).toEqual("alone");
+    await advance(fleet, DETECTION_MS);
+    const later = fleet.call(requester, 50);
+    await advance(fleet, 50);
     expect(later.verdict).toEqual("granted");
   });
 
   // Guards against calls that are sent to full runners, and held to their deadlines, since no dispatcher answered.
   it("are refused at once to calls that cannot be in time when no dispatcher answers", async () => {
-    const fleet = await settled(4, 1, 1);
-    const asker = askerOf(fleet);
-    fleet.call(asker, 1_000);
-    await pass(fleet, 10);
-    fleet.dispatcherOf(asker).process.kill();
-    const short = fleet.call(asker, 50, { patienceMs: 300, leftMs: 300 });
-    const long = fleet.call(asker, 50, { leftMs: 3_000 });
-    await pass(fleet, FALL_BACK_MS);
+    const fleet = await startFleet(4, 1, 1);
+    const requester = nonDispatcherOf(fleet);
+    fleet.call(requester, 1_000);
+    await advance(fleet, 10);
+    fleet.dispatcherOf(requester).process.kill();
+    const short = fleet.call(requester, 50, { patienceMs: 300, leftMs: 300 });
+    const long = fleet.call(requester, 50, { leftMs: 3_000 });
+    await advance(fleet, FALLBACK_MS);
     expect([short.verdict, long.verdict]).toEqual(["refused", "alone"]);
     expect(short.record?.reason).toEqual("wait-too-long-alone");
     expect(short.record?.unasked).toEqual("the dispatcher does not answer");
@@ -113,141 +114,143 @@
 
   // Guards against a queue that goes to full runners all at once, since its dispatcher was held up for a moment.
   it("are waited for at a dispatcher that was held up, though it answered nobody meanwhile", async () => {
-    const fleet = await settled(4, 1, 1);
-    const asker = askerOf(fleet);
-    const dispatcher = fleet.dispatcherOf(asker);
-    fleet.call(asker, 500);
-    await pass(fleet, 10);
-    const waiting = [1, 2, 3].map(() => fleet.call(asker, 50));
-    await pass(fleet, 10);
+    const fleet = await startFleet(4, 1, 1);
+    const requester = nonDispatcherOf(fleet);
+    const dispatcher = fleet.dispatcherOf(requester);
+    fleet.call(requester, 500);
+    await advance(fleet, 10);
+    const waiting = [1, 2, 3].map(() => fleet.call(requester, 50));
+    await advance(fleet, 10);
     dispatcher.process.freeze();
-    const missed = fleet.call(asker, 50);
-    await pass(fleet, 100);
-    const missedToo = fleet.call(asker, 50);
-    await pass(fleet, 100);
+    const missed = fleet.call(requester, 50);
+    await advance(fleet, 100);
+    const missedToo = fleet.call(requester, 50);
+    await advance(fleet, 100);
     dispatcher.process.wake();
-    await pass(fleet, 1_000);
+    await advance(fleet, 1_000);
     expect(verdictsOf([missed, missedToo])).toEqual(new Set(["alone" as const]));
     expect(verdictsOf(waiting)).toEqual(new Set(["granted" as const]));
   });
 
   it("are waited for at the next dispatcher when one stops as planned", async () => {
-    const fleet = await settled(4, 1, 1);
-    const asker = askerOf(fleet);
-    const dispatcher = fleet.dispatcherOf(asker);
+    const fleet = await startFleet(4, 1, 1);
+    const requester = nonDispatcherOf(fleet);
+    const dispatcher = fleet.dispatcherOf(requester);
     // The next dispatcher knows what is out from heartbeats only.
-    fleet.call(asker, 1_500);
-    await pass(fleet, 600);
-    const waits = fleet.call(asker, 50, { patienceMs: 3_000 });
-    await pass(fleet, 10);
+    fleet.call(requester, 1_500);
+    await advance(fleet, 600);
+    const waiting = fleet.call(requester, 50, { patienceMs: 3_000 });
+    await advance(fleet, 10);
     dispatcher.stop();
-    await pass(fleet, 2_600);
-    expect(waits.verdict).toEqual("granted");
-    expect(waits.record?.dispatcher).not.toEqual(dispatcher.instance);
-    expect(fleet.mostBusy).toEqual(1);
+    await advance(fleet, 2_600);
+    expect(waiting.verdict).toEqual("granted");
+    expect(waiting.record?.dispatcher).not.toEqual(dispatcher.instance);
+    expect(fleet.maxCallsPerRunner).toEqual(1);
   });
 
   it("are handed out anew by a dispatcher that froze for longer than its leases and woke", async () => {
-    const fleet = await settled(4, 1, 2);
-    const asker = askerOf(fleet);
-    const dispatcher = fleet.dispatcherOf(asker);
-    const held = [fleet.call(asker, 100), fleet.call(asker, 100)];
-    await pass(fleet, 20);
+    const fleet = await startFleet(4, 1, 2);
+    const requester = nonDispatcherOf(fleet);
+    const dispatcher = fleet.dispatcherOf(requester);
+    const held = [fleet.call(requester, 100), fleet.call(requester, 100)];
+    await advance(fleet, 20);
     dispatcher.process.freeze();
-    await pass(fleet, 6_000);
+    await advance(fleet, 6_000);
     expect(verdictsOf(held)).toEqual(new Set(["granted" as const]));
     // Another one hands out the places meanwhile.
-    const others = [fleet.call(asker, 1_300), fleet.call(asker, 1_300)];
-    await pass(fleet, 20);
+    const others = [fleet.call(requester, 1_300), fleet.call(requester, 1_300)];
+    await advance(fleet, 20);
     dispatcher.process.wake();
-    await pass(fleet, 700);
-    expect(fleet.dispatcherOf(asker)).toEqual(dispatcher);
+    await advance(fleet, 700);
+    expect(fleet.dispatcherOf(requester)).toEqual(dispatcher);
     // It knows what is out from heartbeats only, and not how long calls take: it waits until they tell anew.
-    const calls = [1, 2, 3].map(() => fleet.call(asker, 100, { patienceMs: 3_000 }));
-    await pass(fleet, 2_600);
+    const calls = [1, 2, 3].map(() => fleet.call(requester, 100, { patienceMs: 3_000 }));
+    await advance(fleet, 2_600);
     expect(verdictsOf([...others, ...calls])).toEqual(new Set(["granted" as const]));
-    expect(fleet.mostBusy).toEqual(2);
+    expect(fleet.maxCallsPerRunner).toEqual(2);
   });
 
   it("come back when the gateway that holds them dies", async () => {
-    const fleet = await settled(4, 1, 1);
-    const asker = askerOf(fleet);
-    const dispatcher = fleet.dispatcherOf(asker);
-    const holder = fleet.members.find((member) => member !== asker && member !== dispatcher) as PlaceMember;
+    const fleet = await startFleet(4, 1, 1);
+    const requester = nonDispatcherOf(fleet);
+    const dispatcher = fleet.dispatcherOf(requester);
+    const holder = fleet.members.find(
+      (member) => member !== requester && member !== dispatcher,
+    ) as PlaceMember;
     // Calls take a second here, so that leases last far longer than it takes to notice the loss.
-    fleet.call(asker, 1_000);
-    await pass(fleet, 2_000);
+    fleet.call(requester, 1_000);
+    await advance(fleet, 2_000);
     const held = fleet.call(holder, 60_000);
-    await pass(fleet, 20);
+    await advance(fleet, 20);
     expect(held.verdict).toEqual("granted");
     holder.process.kill();
-    await pass(fleet, DETECTION_MS);
-    const next = fleet.call(asker, 50);
-    await pass(fleet, 50);
+    await advance(fleet, DETECTION_MS);
+    const next = fleet.call(requester, 50);
+    await advance(fleet, 50);
     expect(next.verdict).toEqual("granted");
   });
 
   it("are granted again when the grant was lost on the way", async () => {
-    const fleet = await settled(3, 1, 1);
-    const asker = askerOf(fleet);
-    const dispatcher = fleet.dispatcherOf(asker);
+    const fleet = await startFleet(3, 1, 1);
+    const requester = nonDispatcherOf(fleet);
+    const dispatcher = fleet.dispatcherOf(requester);
     fleet.call(dispatcher, 150);
-    await pass(fleet, 10);
-    const waits = fleet.call(asker, 50);
-    await pass(fleet, 100);
-    fleet.network.cut(dispatcher.name, asker.name);
-    await pass(fleet, 80);
-    fleet.network.heal(dispatcher.name, asker.name);
-    await pass(fleet, 300);
-    expect(waits.verdict).toEqual("granted");
-    expect(fleet.mostBusy).toEqual(1);
+    await advance(fleet, 10);
+    const waiting = fleet.call(requester, 50);
+    await advance(fleet, 100);
+    fleet.network.cut(dispatcher.name, requester.name);
+    await advance(fleet, 80);
+    fleet.network.heal(dispatcher.name, requester.name);
+    await advance(fleet, 300);
+    expect(waiting.verdict).toEqual("granted");
+    expect(fleet.maxCallsPerRunner).toEqual(1);
   });
 
   it("are granted though the answer that a call waits comes late, and none is lost", async () => {
-    const fleet = await settled(3, 1, 1);
-    const asker = askerOf(fleet);
+    const fleet = await startFleet(3, 1, 1);
+    const requester = nonDispatcherOf(fleet);
     fleet.network.conditions.reordering = 0.5;
-    const calls = Array.from({ length: 10 }, () => fleet.call(asker, 40));
-    await pass(fleet, 2_500);
+    const calls = Array.from({ length: 10 }, () => fleet.call(requester, 40));
+    await advance(fleet, 2_500);
     fleet.network.conditions.reordering = 0;
     expect(calls.every(({ verdict }) => verdict !== undefined)).toEqual(true);
-    const last = fleet.call(asker, 40);
-    await pass(fleet, 30);
+    const last = fleet.call(requester, 40);
+    await advance(fleet, 30);
     expect(last.verdict).toEqual("granted");
   });
 
   it("are handed out again soon after all gateways were restarted at once", async () => {
-    const fleet = await settled(5, 2, 2);
+    const fleet = await startFleet(5, 2, 2);
     for (const { process } of fleet.members) process.kill();
     for (const index of fleet.members.keys()) fleet.start(index);
-    await pass(fleet, SETTLE_MS);
-    const calls = [1, 2].flatMap(() => fleet.members.map(callOf(fleet, 100)));
-    await pass(fleet, 1_000);
+    await advance(fleet, SETTLE_MS);
+    const calls = [1, 2].flatMap(() => fleet.members.map(startCall(fleet, 100)));
+    await advance(fleet, 1_000);
     expect(verdictsOf(calls)).toEqual(new Set(["granted" as const]));
-    expect(fleet.mostBusy).toEqual(2);
+    expect(fleet.maxCallsPerRunner).toEqual(2);
   });
 
   it("are handed out twice at most while two gateways take themselves for the dispatcher", async () => {
-    const fleet = await settled(4, 1, 2);
+    const fleet = await startFleet(4, 1, 2);
     const [left, right] = [fleet.members.slice(0, 2), fleet.members.slice(2)];
     for (const one of left)
       for (const other of right) {
         fleet.network.cut(one.name, other.name);
         fleet.network.cut(other.name, one.name);
       }
-    await pass(fleet, DETECTION_MS);
-    const calls = [1, 2].flatMap(() => fleet.members.map(callOf(fleet, 100)));
-    await pass(fleet, 1_000);
+    await advance(fleet, DETECTION_MS);
+    const calls = [1, 2].flatMap(() => fleet.members.map(startCall(fleet, 100)));
+    await advance(fleet, 1_000);
     expect(verdictsOf(calls)).toEqual(new Set(["granted" as const]));
-    expect(fleet.mostBusy).toEqual(4);
+    expect(fleet.maxCallsPerRunner).toEqual(4);
   });
 
   it("are handed out by gateways that know how, beside older ones", async () => {
-    const fleet = await settled(6, 1, 1, [0, 1, 2, 3, 4]);
-    const young = fleet.at(5);
-    expect(fleet.dispatcherOf(young)).toEqual(young);
-    const call = fleet.call(young, 50);
-    await pass(fleet, 20);
+    const fleet = await startFleet(6, 1, 1, [0, 1, 2, 3, 4]);
+    const newer = fleet.at(5);
+    expect(fleet.dispatcherOf(newer)).toEqual(newer);
+    const call = fleet.call(newer, 50);
+    await advance(fleet, 20);
     expect(call.verdict).toEqual("granted");
   });
 });
--- a/test/contract/support/place-fleet.ts
+++ b/test/contract/support/place-fleet.ts
@@ -11,9 +11,9 @@
 import { gatewaySettingsSchema } from "../../../src/gateway/gateway-settings.ts";
 import { MemberDirectory } from "../../../src/gateway/members/member-directory.ts";
 import { DispatcherDirectory } from "../../../src/gateway/places/dispatcher-directory.ts";
+import type { PendingPlaceRequest } from "../../../src/gateway/places/pending-place-request.ts";
 import { PlaceClient } from "../../../src/gateway/places/place-client.ts";
 import { PlaceHost } from "../../../src/gateway/places/place-host.ts";
-import type { PlaceQuestion } from "../../../src/gateway/places/place-question.ts";
 import type { PlaceVerdict } from "../../../src/gateway/places/place-verdict.ts";
 import type { PoolScarcity } from "../../../src/gateway/places/pool-scarcity.ts";
 import { RunnerGroups } from "../../../src/gateway/places/runner-groups.ts";
@@ -32,7 +32,7 @@
 
 export const POOL = { name: "p", maxConnections: 100, engine: undefined };
 const ALWAYS_SCARCE = { isScarce: () => true } as unknown as PoolScarcity;
-const NO_CALL = {
+const DEFAULT_CALL = {
   route: "turn",
   tenant: undefined,
   program: undefined,
@@ -59,7 +59,7 @@
 
 /** What has become of a call. */
 export interface PlacedCall {
-  readonly question: PlaceQuestion;
+  readonly placeRequest: PendingPlaceRequest;
   verdict: PlaceVerdict["type"] | undefined;
   record: PlaceRecord | undefined;
   runner: RunnerId | undefined;
@@ -71,28 +71,34 @@
   readonly network = new SimulatedNetwork<GatewayMessage>(this.time, new SeededRandomSource(1));
   readonly members: PlaceMember[] = [];
   /** Calls at a runner now, and the most there ever were. */
-  readonly busy = new Map<RunnerId, number>();
-  mostBusy = 0;
+  readonly callsByRunner = new Map<RunnerId, number>();
+  maxCallsPerRunner = 0;
   readonly #hash: TextHash;
   readonly #runners: readonly RunnerId[];
   readonly #slots: number;
-  readonly #old: ReadonlySet<number>;
-  #count = 0;
+  readonly #oldBuilds: ReadonlySet<number>;
+  #lastNumber = 0;
 
-  /** @param old gateways of a build that knows no dispatchers */
-  constructor(hash: TextHash, count: number, runners: number, slots: number, old: readonly number[] = []) {
+  /** @param oldBuilds gateways of a build that knows no dispatchers */
+  constructor(
+    hash: TextHash,
+    count: number,
+    runners: number,
+    slots: number,
+    oldBuilds: readonly number[] = [],
+  ) {
     this.#hash = hash;
     this.#runners = Array.from({ length: runners }, (_, index) => `r${index}` as RunnerId);
     this.#slots = slots;
-    this.#old = new Set(old);
+    this.#oldBuilds = new Set(oldBuilds);
     for (let index = 0; index < count; index += 1) this.start(index);
   }
 
   /** Starts a gateway, for the first time or anew. */
   start(index: number): void {
-    this.#count += 1;
+    this.#lastNumber += 1;
     const name = `gateway-${index}`;
-    const instance = `${name}#${this.#count}`;
+    const instance = `${name}#${this.#lastNumber}`;
     const process = new SimulatedProcess(name, "zone", this.time);
     const peers = addressOf(index);
     const settings = gatewaySettingsSchema.parse({
@@ -107,7 +113,7 @@
       settings,
       instance,
       clock: process,
-      random: new SeededRandomSource(this.#count),
+      random: new SeededRandomSource(this.#lastNumber),
       hash: this.#hash,
       log: pino({ level: "silent" }),
       metrics: new NoMetrics(),
@@ -136,13 +142,13 @@
     members.sumLoads = (sources) => board.sumReports(sources);
     members.onLost = (member) => {
       board.dropReport(member.instance);
-      host.forget(member.instance);
-      client.forget(member.instance);
+      host.onGatewayLost(member.instance);
+      client.onGatewayLost(member.instance);
       rpc.abandon(member.address);
     };
-    const isOld = this.#old.has(index);
+    const isOld = this.#oldBuilds.has(index);
     transport.onMessage((message, from) => {
-      if (message.type === "heartbeat") members.onHeartbeat(this.#asSent(message), from);
+      if (message.type === "heartbeat") members.onHeartbeat(this.#asSentByBuild(message), from);
       else if (message.type === "memberDigest") members.onDigest(message, from);
       else if (isOld) return;
       else if (message.type === "placeSettled") client.onSettled(message, from);
@@ -171,19 +177,19 @@
   }
 
   /** Has a gateway make a call that holds its place for so long. */
-  call(member: PlaceMember, holdMs: number, more: Partial<PlaceCall> = {}): PlacedCall {
-    this.#count += 1;
-    const request = `q${this.#count}` as RequestId;
+  call(member: PlaceMember, holdMs: number, overrides: Partial<PlaceCall> = {}): PlacedCall {
+    this.#lastNumber += 1;
+    const request = `q${this.#lastNumber}` as RequestId;
     const placed = { verdict: undefined, record: undefined, runner: undefined } as unknown as PlacedCall;
-    const question = member.client.ask({
+    const placeRequest = member.client.requestPlace({
       pool: POOL,
-      describe: () => ({ ...NO_CALL, request, ...more }),
+      describe: () => ({ ...DEFAULT_CALL, request, ...overrides }),
       onVerdict: (verdict, record) => {
         Object.assign(placed, { verdict: verdict.type, record });
         this.#run(member, verdict, placed, holdMs);
       },
     });
-    return Object.assign(placed, { question });
+    return Object.assign(placed, { placeRequest });
   }
 
   #run(member: PlaceMember, verdict: PlaceVerdict, placed: PlacedCall, holdMs: number): void {
@@ -196,24 +202,24 @@
     if (!runner) return;
     placed.runner = runner.id;
     const pending = board.started(runner.id, nowMs, 1_000, isGranted);
-    this.#noteBusy(runner.id, 1);
-    this.time.after(holdMs, () => this.#noteBusy(runner.id, -1));
+    this.#countCall(runner.id, 1);
+    this.time.after(holdMs, () => this.#countCall(runner.id, -1));
     process.schedule(holdMs, () => {
       board.ended(pending, "success", process.monotonicMs());
-      if (isGranted) verdict.place.giveBack(false);
+      if (isGranted) verdict.place.release(false);
     });
   }
 
-  #noteBusy(runner: RunnerId, change: number): void {
-    const busy = (this.busy.get(runner) ?? 0) + change;
-    this.busy.set(runner, busy);
-    this.mostBusy = Math.max(this.mostBusy, busy);
+  #countCall(runner: RunnerId, change: number): void {
+    const calls = (this.callsByRunner.get(runner) ?? 0) + change;
+    this.callsByRunner.set(runner, calls);
+    this.maxCallsPerRunner = Math.max(this.maxCallsPerRunner, calls);
   }
 
   /** Builds that know no dispatchers do not say which protocol they speak. */
-  #asSent<Kind extends Extract<GatewayMessage, { type: "heartbeat" }>>(heartbeat: Kind): Kind {
+  #asSentByBuild<Kind extends Extract<GatewayMessage, { type: "heartbeat" }>>(heartbeat: Kind): Kind {
     const index = this.members.findIndex(({ name }) => name === heartbeat.name);
-    if (!this.#old.has(index)) return heartbeat;
+    if (!this.#oldBuilds.has(index)) return heartbeat;
     const { protocol: _, ...older } = heartbeat;
     return older as Kind;
   }
