--- a/src/gateway/places/board-runner-group-parts.ts
+++ b/src/gateway/places/board-runner-group-parts.ts
@@ -2,11 +2,11 @@
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
-/** What a BoardGroup looks at. */
+/** The dependencies of a BoardRunnerGroup. */
 export interface BoardRunnerGroupParts {
   readonly context: GatewayContext;
   readonly board: RunnerBoard;
   readonly groups: RunnerGroups;
-  /** Tokens that fit into a runner's memory, by the configuration in force. */
+  /** The number of tokens that fit into the memory of a pool's runner, by the configuration in force. */
   readonly memoryTokens: (pool: string) => number | undefined;
 }
--- a/src/gateway/places/board-runner-group.ts
+++ b/src/gateway/places/board-runner-group.ts
@@ -1,4 +1,4 @@
-/** A group of runners as the dispatcher's own board knows them. */
+/** A group of runners whose state is read from the dispatcher's own runner board. */
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import { type PlaceCall, RunnerGroup } from "../../scheduling/place-queue/index.ts";
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
@@ -6,7 +6,6 @@
 
 const NO_RUNNERS: ReadonlySet<RunnerId> = new Set();
 
-/** See the module's comment. */
 export class BoardRunnerGroup extends RunnerGroup {
   readonly #parts: BoardRunnerGroupParts;
   readonly #pool: string;
--- a/src/gateway/places/dispatcher-directory.ts
+++ b/src/gateway/places/dispatcher-directory.ts
@@ -1,13 +1,12 @@
-/** Which gateway hands out the places of a group: the one that rendezvous hashing prefers among those that may. */
+/** Finds the gateway that hands out the places of a group: the first choice of rendezvous hashing among the candidates. */
 import { preferredOwner } from "../../coordination/partition-ownership/index.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { DispatcherCandidate } from "../members/dispatcher-candidate.ts";
 import type { MemberDirectory } from "../members/member-directory.ts";
 
-/** How long an answer is kept before the members are looked at again, in ms. */
+/** How long results are cached before the members are read again, in ms. */
 const CACHE_TTL_MS = 100;
 
-/** See the module's comment. */
 export class DispatcherDirectory {
   readonly #context: GatewayContext;
   readonly #members: Pick<MemberDirectory, "dispatcherCandidates">;
@@ -20,7 +19,7 @@
     this.#members = members;
   }
 
-  /** The dispatcher of a group; undefined when no gateway may be one. */
+  /** The dispatcher of a group; undefined when there is no candidate. */
   of(pool: string, group: number): DispatcherCandidate | undefined {
     this.#refresh();
     const key = `${pool}/${group}`;
@@ -36,7 +35,7 @@
     return this.of(pool, group)?.instance === this.#context.instance;
   }
 
-  /** A gateway is gone: looks at the members anew. */
+  /** Invalidates the cached results, since a gateway is gone. */
   invalidate(): void {
     this.#refreshedAtMs = Number.NEGATIVE_INFINITY;
   }
--- a/src/gateway/places/group-selector.ts
+++ b/src/gateway/places/group-selector.ts
@@ -1,15 +1,16 @@
 /**
- * Which group of a pool's runners is asked for a place: that of the runner that holds the prompt, unless others are
- * known to be faster; else the better of two drawn at random, by the waits that their dispatchers announced last.
+ * Selects the group of a pool's runners that is asked for a place: the group of the runner that holds the prompt, unless
+ * others are known to be faster; otherwise the better of two random groups, by the waits that their dispatchers announced
+ * last.
  */
 import type { RandomSource } from "../../runtime/random-source.ts";
 import type { PlaceCall } from "../../scheduling/place-queue/index.ts";
 import type { PlaceGroup } from "./place-group.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
-/** A prompt is worth so long a wait for the runners that hold it, in ms: about what reading it anew takes. */
+/** Extra wait that a call accepts for the group that holds its prompt, in ms: about the time to process the prompt again. */
 const MAX_EXTRA_WAIT_FOR_PROMPT_MS = 25;
-/** How long a wait that was announced counts, in ms: queues change within a few calls. */
+/** How long an announced wait is considered valid, in ms: queues change within a few calls. */
 const ANNOUNCED_WAIT_TTL_MS = 500;
 
 interface AnnouncedWait {
@@ -17,7 +18,6 @@
   readonly atMs: number;
 }
 
-/** See the module's comment. */
 export class GroupSelector {
   readonly #groups: RunnerGroups;
   readonly #random: RandomSource;
@@ -28,12 +28,12 @@
     this.#random = random;
   }
 
-  /** A dispatcher said how long calls wait for its group. */
+  /** Records the wait that a dispatcher announced for its group. */
   note(pool: string, group: number, waitMs: number, nowMs: number): void {
     this.#announcedWaits.set(`${pool}/${group}`, { waitMs, atMs: nowMs });
   }
 
-  /** The group for a call; undefined when none has a runner for it. */
+  /** Chooses the group for a call; undefined when no group has a runner for it. */
   choose(pool: string, call: PlaceCall, nowMs: number): number | undefined {
     const eligible = this.#eligible(pool, call);
     const drawn = this.#betterOfTwo(pool, eligible, nowMs);
@@ -51,7 +51,7 @@
     return isWaitAcceptable ? preferredGroup : drawn;
   }
 
-  /** Another group than one that has refused a call. */
+  /** Chooses a group other than the one that refused a call; undefined when no other group has a runner for it. */
   chooseOther(pool: string, call: PlaceCall, refused: number, nowMs: number): number | undefined {
     const others = this.#eligible(pool, call).filter(({ index }) => index !== refused);
     return this.#betterOfTwo(pool, others, nowMs);
@@ -62,7 +62,7 @@
     return groups.filter(({ runners }) => runners.some(({ id }) => !excluded.includes(id)));
   }
 
-  /** One of the groups, more often those with many places. */
+  /** Draws a random group, weighted by the number of places. */
   #drawByPlaces(groups: readonly PlaceGroup[]): number | undefined {
     let remaining = this.#random.unit() * groups.reduce((sum, { places }) => sum + places, 0);
     for (const { index, places } of groups) {
--- a/src/gateway/places/held-place.ts
+++ b/src/gateway/places/held-place.ts
@@ -1,8 +1,7 @@
-/** A place that a call of this gateway holds. */
+/** A place that a call of this gateway holds, until it is returned to its dispatcher. */
 import type { Clock } from "../../runtime/clock.ts";
 import type { PlaceReturnSender } from "./place-return-sender.ts";
 
-/** See the module's comment. */
 export class HeldPlace {
   readonly lease: number;
   readonly #dispatcher: string;
@@ -11,7 +10,7 @@
   readonly #grantedAtMs: number;
   #isReleased = false;
 
-  /** @param dispatcher where the dispatcher is reached */
+  /** @param dispatcher the dispatcher's address */
   constructor(lease: number, dispatcher: string, clock: Clock, returns: PlaceReturnSender) {
     this.lease = lease;
     this.#dispatcher = dispatcher;
@@ -20,7 +19,7 @@
     this.#grantedAtMs = clock.monotonicMs();
   }
 
-  /** The call is over at the runner, or was turned away there. */
+  /** Returns the place, once the call has ended at the runner or was turned away there. Further calls have no effect. */
   release(turnedAway: boolean): void {
     if (this.#isReleased) return;
     this.#isReleased = true;
--- a/src/gateway/places/jump-hash.ts
+++ b/src/gateway/places/jump-hash.ts
@@ -4,10 +4,10 @@
 const MULTIPLIER_B = 0xc2b2ae35;
 
 /**
- * The bucket of a key, by jump consistent hashing (Lamping and Veach): keys spread evenly, and one bucket more or less
- * moves only as many keys as that bucket holds. It takes a few steps however many buckets there are.
+ * The bucket of a key, by jump consistent hashing (Lamping and Veach). Keys spread evenly, and adding or removing a bucket
+ * moves only as many keys as that bucket holds. It takes a few steps, even with many buckets.
  *
- * @param key a hash of 32 bits
+ * @param key a 32-bit hash
  */
 export function jumpHash(key: number, buckets: number): number {
   let state = key;
--- a/src/gateway/places/pending-place-request.ts
+++ b/src/gateway/places/pending-place-request.ts
@@ -1,26 +1,25 @@
-/** A call's question for a place, from when it is asked until it is settled or given up. */
+/** A call's request for a place, from when it is sent until it is settled or cancelled. */
 import type { DispatcherCandidate } from "../members/dispatcher-candidate.ts";
 import type { PlaceRequester } from "./place-requester.ts";
 
-/** Where a question stands. */
+/** Whether a request awaits the first answer, is queued at the dispatcher, or was settled or cancelled. */
 type QuestionState = "asking" | "queued" | "over";
 
-/** See the module's comment. */
 export class PendingPlaceRequest {
   readonly requester: PlaceRequester;
   readonly askedAtMs: number;
   state: QuestionState = "asking";
   group = 0;
   dispatcher: DispatcherCandidate | undefined;
-  /** The lease that it will have; known once it is queued. */
+  /** The lease of the place that it will get; known once it is queued. */
   lease: number | undefined;
-  /** The wait that was announced first. */
+  /** The wait that the dispatcher announced first, in ms. */
   expectedMs: number | undefined;
-  /** When the dispatcher is asked whether it is still there. */
+  /** When the dispatcher is asked again, to find out whether it is still there. */
   overdueAtMs = 0;
-  /** How often it was sent on, since another gateway is the dispatcher. */
+  /** How often it was redirected because another gateway had become the dispatcher. */
   redirects = 0;
-  /** Whether another group was asked after a refusal. */
+  /** Whether another group has been asked after a refusal. */
   hasTriedOtherGroup = false;
 
   constructor(requester: PlaceRequester, askedAtMs: number) {
--- a/src/gateway/places/place-client-parts.ts
+++ b/src/gateway/places/place-client-parts.ts
@@ -7,7 +7,7 @@
 import type { PoolScarcity } from "./pool-scarcity.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
-/** What a PlaceClient works with. */
+/** The dependencies of a PlaceClient. */
 export interface PlaceClientParts {
   readonly context: GatewayContext;
   readonly board: RunnerBoard;
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -1,6 +1,6 @@
 /**
- * Asks dispatchers for places on behalf of this gateway's calls. A dispatcher answers at once, also when the call has to
- * wait; one that does not is left alone, and the call is placed by this gateway's own board.
+ * Requests places from dispatchers on behalf of this gateway's calls. A dispatcher answers immediately, even if the call has
+ * to wait. One that does not answer is not asked for a while, and this gateway decides from its own runner board.
  */
 import { AdaptiveTimeout, type TimeoutBounds } from "../../coordination/adaptive-timeout/index.ts";
 import type { TimerHandle } from "../../runtime/clock.ts";
@@ -30,26 +30,27 @@
 import { UnresponsiveDispatchers } from "./unresponsive-dispatchers.ts";
 
 /**
- * How long an answer may take, in ms: several times what answers took lately. Too short, and calls go past a dispatcher that
- * is only busy; too long, and each loses as much to one that is gone.
- * The first questions wait for the longest time: they often come many at once, and nothing is known of the dispatcher yet.
+ * Timeout for a dispatcher's answer, in ms: several times the recent answer times. If it is too short, calls bypass a
+ * dispatcher that is only busy; if it is too long, each call loses that time to a dispatcher that is gone.
+ * The first requests get the longest timeout: many often arrive at once, and nothing is known about the dispatcher yet.
  */
 const ANSWER_TIMEOUT: TimeoutBounds = { firstMs: 150, minMs: 20, maxMs: 150 };
-/** A call that has waited for so many times what was announced, and a few ms, asks whether its dispatcher is there. */
+/** A call that has waited for this multiple of the announced wait, plus the margin, checks that its dispatcher is there. */
 const OVERDUE_FACTOR = 1.5;
 const OVERDUE_MARGIN_MS = 20;
-/** How often calls that wait are looked at, in ms. */
+/** How often waiting calls are checked for being overdue, in ms. */
 const OVERDUE_CHECK_MS = 20;
 /**
- * When callers that are refused without a dispatcher's word should come back, in ms; up to as much again is added at random.
- * Not before a dispatcher that was held up can answer again, and not after much may have changed.
+ * Bounds of the retry delay for calls that are refused without a dispatcher's decision, in ms; a random time of up to the
+ * same length is added. The delay is long enough for a dispatcher that was held up to answer again, and short enough that
+ * not much has changed meanwhile.
  */
 const MIN_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 1_000;
-/** Dispatchers that a call tries because those before said that others are. */
+/** How many redirects to another dispatcher a call follows. */
 const MAX_REDIRECTS = 2;
 
-/** What a verdict rests on, for the log. */
+/** The reasons for a verdict, for the log. */
 interface VerdictDetails {
   readonly reason?: string;
   readonly unasked?: string;
@@ -64,7 +65,6 @@
   readonly address: string;
 }
 
-/** See the module's comment. */
 export class PlaceClient {
   readonly #parts: PlaceClientParts;
   readonly #context: GatewayContext;
@@ -72,9 +72,9 @@
   readonly #returns: PlaceReturnSender;
   readonly #answerTimeout = new AdaptiveTimeout(ANSWER_TIMEOUT);
   readonly #unresponsive = new UnresponsiveDispatchers();
-  /** Questions that wait, by their lease. */
+  /** Queued requests, by lease. */
   readonly #waiting = new Map<number, PendingPlaceRequest>();
-  /** Grants that overtook the answer by which their call is queued. */
+  /** Grants that arrived before the answer that says that their call is queued. */
   readonly #earlyGrants = new Map<number, EarlyGrant>();
   #unanswered = 0;
   #timer: TimerHandle | undefined;
@@ -86,19 +86,19 @@
     this.#returns = new PlaceReturnSender(parts.context.clock, parts.transport);
   }
 
-  /** Whether calls of a pool ask for a place now. */
+  /** Whether calls to a pool must request a place now. */
   requiresPlace(pool: RunnerPool): boolean {
     return this.#parts.scarcity.isScarce(pool);
   }
 
-  /** Asks for a place. The verdict may come before this returns. */
+  /** Requests a place. The verdict may be delivered before this returns. */
   requestPlace(requester: PlaceRequester): PendingPlaceRequest {
     const request = new PendingPlaceRequest(requester, this.#nowMs);
     this.#send(request);
     return request;
   }
 
-  /** The call wants no place any more. */
+  /** Cancels a request whose call no longer needs a place. */
   cancel(request: PendingPlaceRequest): void {
     if (request.isOver) return;
     this.#removeWaiting(request);
@@ -107,7 +107,7 @@
     if (lease !== undefined && dispatcher) this.#returnUnused(dispatcher.address, lease);
   }
 
-  /** A dispatcher tells what has become of a call that waited. */
+  /** Handles a dispatcher's decision on a queued call. */
   onSettled({ lease, decision }: PlaceSettled, { address }: Sender): void {
     const request = this.#waiting.get(lease);
     if (request) {
@@ -122,7 +122,7 @@
     }
   }
 
-  /** A gateway is gone: whoever waits there asks the next one. */
+  /** Handles the loss of a gateway: calls that are queued there ask the next dispatcher. */
   onGatewayLost(instance: string): void {
     this.#parts.dispatchers.invalidate();
     this.#unresponsive.clear(instance);
@@ -146,7 +146,7 @@
     if (!dispatcher) return this.#decideLocally(request, "nobody hands out places");
     request.group = group;
     request.dispatcher = dispatcher;
-    // One that waits already asks all the same: it would lose its turn to a dispatcher that was only held up.
+    // A queued call also asks an unresponsive dispatcher: if that was only held up, the call would otherwise lose its turn.
     if (request.state === "asking" && this.#unresponsive.isPaused(dispatcher.instance, this.#nowMs))
       return this.#decideLocally(request, "the dispatcher is silent");
     this.#returns.flush(dispatcher.address);
@@ -180,7 +180,7 @@
     this.#redirect(request);
   }
 
-  /** The call was given up, or settled, while its question was under way. */
+  /** Handles a reply to a request that was cancelled or settled in the meantime. */
   #onLateReply(
     { lease, requester }: PendingPlaceRequest,
     { address }: DispatcherCandidate,
@@ -225,7 +225,7 @@
     this.#settle(request, { type: "granted", runner: entry, place }, { behind });
   }
 
-  /** A program that has begun is given one more chance, at other runners. */
+  /** Handles a refusal: a call of a program that has begun gets one more try, at another group of runners. */
   #onRefused(request: PendingPlaceRequest, { reason, retryAfterMs, forecast }: PlaceRefused): void {
     const { group, requester } = request;
     const pool = requester.pool.name;
@@ -254,7 +254,7 @@
     this.#timer ??= this.#context.clock.schedule(OVERDUE_CHECK_MS, () => this.#checkOverdue());
   }
 
-  /** Calls that have waited for too long ask again: a dispatcher that is there says how long it will be. */
+  /** Repeats the requests of overdue calls: a dispatcher that is there answers with a new expected wait. */
   #checkOverdue(): void {
     this.#timer = undefined;
     const nowMs = this.#nowMs;
@@ -267,7 +267,7 @@
       this.#timer ??= this.#context.clock.schedule(OVERDUE_CHECK_MS, () => this.#checkOverdue());
   }
 
-  /** Another gateway is the dispatcher. */
+  /** Sends a request to the new dispatcher, since another gateway has taken over that role. */
   #redirect(request: PendingPlaceRequest): void {
     this.#parts.dispatchers.invalidate();
     request.lease = undefined;
@@ -276,7 +276,10 @@
     else this.#send(request);
   }
 
-  /** No dispatcher decides: who can't be in time by what is known here is refused as a dispatcher would. */
+  /**
+   * Decides without a dispatcher. As a dispatcher would, it refuses a call that can't finish in time by what this gateway
+   * knows; any other call gets the verdict "alone".
+   */
   #decideLocally(request: PendingPlaceRequest, reason: string, ownDelayMs?: number): void {
     this.#removeWaiting(request);
     const refused = this.#localRefusal(request.requester);
@@ -285,7 +288,7 @@
     this.#settle(request, refused, { reason: refused.reason, unasked: reason, forecast, ownDelayMs });
   }
 
-  /** Undefined for a call that can be in time by what is known here. */
+  /** The refusal of a call; undefined if the call can finish in time by what this gateway knows. */
   #localRefusal(requester: PlaceRequester): PlaceRefused | undefined {
     const { board, context } = this.#parts;
     const pool = requester.pool.name;
@@ -330,7 +333,7 @@
     return [...this.#waiting.values()].filter(({ dispatcher }) => dispatcher?.instance === instance);
   }
 
-  /** Gives back the grants that came until some time, and that no answer has asked for. */
+  /** Returns the early grants that arrived up to a given time and that no answer has claimed. */
   #returnEarlyGrants(untilMs: number): void {
     for (const [lease, { atMs, address }] of this.#earlyGrants) {
       if (atMs > untilMs) return;
--- a/src/gateway/places/place-group.ts
+++ b/src/gateway/places/place-group.ts
@@ -1,6 +1,6 @@
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
 
-/** Runners of a pool whose places one dispatcher hands out. */
+/** The runners of a pool whose places the same dispatcher hands out. */
 export interface PlaceGroup {
   readonly index: number;
   readonly runners: readonly RunnerEntry[];
--- a/src/gateway/places/place-host-parts.ts
+++ b/src/gateway/places/place-host-parts.ts
@@ -5,7 +5,7 @@
 import type { DispatcherDirectory } from "./dispatcher-directory.ts";
 import type { TenantWeights } from "./tenant-weights.ts";
 
-/** What a PlaceHost works with. */
+/** The dependencies of a PlaceHost. */
 export interface PlaceHostParts extends BoardRunnerGroupParts {
   readonly dispatchers: DispatcherDirectory;
   readonly weights: TenantWeights;
--- a/src/gateway/places/place-host.ts
+++ b/src/gateway/places/place-host.ts
@@ -1,6 +1,6 @@
 /**
- * Hands out places for all gateways: those of the groups whose dispatcher this gateway is. Nothing of it lasts: a gateway
- * that begins to be a dispatcher learns from heartbeats what is out.
+ * Hands out places to all gateways, for the groups whose dispatcher this gateway is. No state is stored: a gateway that
+ * becomes a dispatcher learns from heartbeats which places are in use.
  */
 import { repeat, type TimerHandle } from "../../runtime/clock.ts";
 import { RedirectSignal } from "../../runtime/rpc.ts";
@@ -11,16 +11,17 @@
 import { BoardRunnerGroup } from "./board-runner-group.ts";
 import type { PlaceHostParts } from "./place-host-parts.ts";
 
-/** How often queues are looked at while calls wait, in ms: what a refusal may come late. */
+/** How often queues are checked while calls wait, in ms; a refusal can be late by this time. */
 const QUEUE_CHECK_MS = 20;
-/** How often leases, roles and metrics are looked at, in ms. */
+/** How often leases, dispatcher roles and metrics are updated, in ms. */
 const MAINTENANCE_INTERVAL_MS = 250;
-/** What reports tell may be so many heartbeats old: the gateway's own, those of two relays, and one for the way. */
+/** Maximum age of reported load, in heartbeats: the reporting gateway's own, those of two relays, and one for the network. */
 const MAX_REPORT_AGE_HEARTBEATS = 4;
+/** Minimum time between two log lines about the queue of a group, in ms. */
 const LOG_INTERVAL_MS = 1_000;
-/** Groups for which nobody has asked for so long are forgotten, in ms. */
+/** A group that has received no requests for this time is dropped, in ms. */
 const GROUP_IDLE_MS = 10_000;
-/** Leases are counted from a random multiple of this on. */
+/** Lease numbers start at a random multiple of this, so that those of different dispatchers are far apart. */
 const LEASE_BLOCK_SIZE = 2 ** 22;
 const LEASE_BLOCK_COUNT = 2 ** 28;
 
@@ -32,12 +33,11 @@
   lastLoggedAtMs: number;
 }
 
-/** See the module's comment. */
 export class PlaceHost {
   readonly #parts: PlaceHostParts;
   readonly #context: GatewayContext;
   readonly #groups = new Map<string, HostedGroup>();
-  /** Where the gateways that have asked are reached, by instance. */
+  /** Addresses of the gateways that have requested places, by instance. */
   readonly #addresses = new Map<string, string>();
   #timer: TimerHandle | undefined;
 
@@ -51,7 +51,7 @@
     repeat(this.#context.clock, MAINTENANCE_INTERVAL_MS, () => this.#maintain());
   }
 
-  /** Takes places back. Their leases tell whose they are. */
+  /** Takes places back. The lease number identifies the dispatcher that granted a place. */
   onReturned({ returned, withdrawn = [] }: ReturnPlaces): void {
     const nowMs = this.#nowMs;
     for (const group of this.#groups.values()) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** A gateway is gone, and what it held with it. */
+  /** Handles the loss of a gateway: the places that it held become free. */
   onGatewayLost(instance: string): void {
     if (!this.#addresses.delete(instance)) return;
     for (const group of this.#groups.values()) {
@@ -145,7 +145,7 @@
     }
   }
 
-  /** What callers wait for, at most once a second and group. */
+  /** Logs why calls wait, at most once a second for each group. */
   #logQueue(group: HostedGroup): void {
     const nowMs = this.#nowMs;
     if (nowMs - group.lastLoggedAtMs < LOG_INTERVAL_MS) return;
@@ -157,14 +157,14 @@
     this.#context.log.info(state, "calls wait for places");
   }
 
-  /** Another gateway hands out the places now, or nobody asks any more. */
+  /** Drops a group: another gateway hands out its places now, or no more requests arrive. */
   #stopDispatching(key: string, { pool, index, dispatcher }: HostedGroup): void {
     this.#groups.delete(key);
     this.#context.metrics.dispatched(pool, index, { places: 0, leased: 0, waiting: 0 });
     const waiting = dispatcher.drain();
     for (const { holder, lease } of waiting)
       this.#notify(holder, { type: "placeSettled", lease, decision: { type: "moved" } });
-    this.#context.log.info({ pool, group: index, waiting: waiting.length }, "hands out places no more");
+    this.#context.log.info({ pool, group: index, waiting: waiting.length }, "no longer hands out places");
   }
 
   get #nowMs(): number {
--- a/src/gateway/places/place-requester.ts
+++ b/src/gateway/places/place-requester.ts
@@ -3,11 +3,11 @@
 import type { PlaceRecord } from "../telemetry/place-record.ts";
 import type { PlaceVerdict } from "./place-verdict.ts";
 
-/** A call that asks for a place. */
+/** A call that needs a place, that is, a slot at a runner. */
 export interface PlaceRequester {
   readonly pool: RunnerPool;
-  /** The call as it stands now: times run on while it waits. */
+  /** Describes the call as it is now: the time it has left shrinks while it waits. */
   describe(): PlaceCall;
-  /** Called once, unless the question is given up. */
+  /** Called once, unless the request is cancelled. */
   onVerdict(verdict: PlaceVerdict, record: PlaceRecord): void;
 }
--- a/src/gateway/places/place-return-sender.ts
+++ b/src/gateway/places/place-return-sender.ts
@@ -1,11 +1,14 @@
-/** Gives places back to their dispatchers: those of a few ms together, or with the next question. */
+/**
+ * Returns places to their dispatchers. They are batched for a few ms, or until the next request is sent to the same
+ * dispatcher.
+ */
 import type { Clock } from "../../runtime/clock.ts";
 import type { Transport } from "../../runtime/transport.ts";
 import type { RequestId } from "../../scheduling/ids/request-id.ts";
 import type { ReturnedPlace } from "../../scheduling/place-queue/index.ts";
 import type { GatewayMessage } from "../gateway-messages.ts";
 
-/** How long a place waits to be given back, in ms: short beside the shortest calls, since it lies idle meanwhile. */
+/** How long a returned place waits for its batch, in ms: short compared with the shortest calls, since it is idle meanwhile. */
 const BATCH_DELAY_MS = 2;
 
 interface ReturnBatch {
@@ -13,7 +16,6 @@
   readonly withdrawn: RequestId[];
 }
 
-/** See the module's comment. */
 export class PlaceReturnSender {
   readonly #clock: Clock;
   readonly #transport: Pick<Transport<GatewayMessage>, "send">;
@@ -25,17 +27,17 @@
     this.#transport = transport;
   }
 
-  /** Gives a place back to the dispatcher at an address. */
+  /** Returns a place to the dispatcher at an address. */
   add(address: string, place: ReturnedPlace): void {
     this.#batchFor(address).returned.push(place);
   }
 
-  /** Tells the dispatcher at an address that a request wants no place any more. */
+  /** Tells the dispatcher at an address that a call no longer needs a place. */
   withdraw(address: string, request: RequestId): void {
     this.#batchFor(address).withdrawn.push(request);
   }
 
-  /** Sends what there is for an address, as a message is about to go there. */
+  /** Sends the batch for an address; also called before another message is sent there. */
   flush(address: string): void {
     const batch = this.#batches.get(address);
     if (!batch) return;
--- a/src/gateway/places/pool-scarcity.ts
+++ b/src/gateway/places/pool-scarcity.ts
@@ -1,35 +1,34 @@
 /**
- * Whether the places of a pool are scarce, so that they are handed out by dispatchers: the pool has few for each gateway,
- * and most are taken. Far from that, a question before each call would cost more than it saves.
+ * Decides whether the places of a pool are scarce, so that dispatchers hand them out: the pool has few places for each
+ * gateway, and most are taken. Otherwise, a request before each call would cost more than it saves.
  */
 import type { RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
 import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
-/** Part of the share from which on places are scarce at which they no longer are. */
+/** Scarcity ends below this fraction of the occupancy at which it begins. */
 const SCARCITY_END_FACTOR = 0.7;
 /**
- * How long places stay scarce at least, in ms: longer than news of load take. Gateways that change their minds by old news
- * would send past the dispatchers what these have just handed out.
+ * Minimum time for which places stay scarce, in ms: longer than load reports take to arrive. Gateways that acted on outdated
+ * reports would bypass the dispatchers and use places that these have just handed out.
  */
 const MIN_SCARCE_MS = 3_000;
 /**
- * Part of the places for each gateway that runners other than model engines have to have: their calls are short, so that a
- * question costs a larger part of them, and places come free sooner.
+ * Applied to the limit of places for each gateway where runners are not model engines: their calls are short, so that a
+ * request costs a larger part of each call, and places become free sooner.
  */
 const SHORT_CALLS_FACTOR = 0.25;
-/** How long an answer is kept, in ms: loads of other gateways change no faster. */
+/** How long a result is cached, in ms: the reported loads of other gateways change no faster. */
 const CACHE_TTL_MS = 50;
 
 interface CachedScarcity {
   readonly atMs: number;
   readonly isScarce: boolean;
-  /** Since when it is so. */
+  /** When the value last changed, in ms of the monotonic clock. */
   readonly sinceMs: number;
 }
 
-/** See the module's comment. */
 export class PoolScarcity {
   readonly #context: GatewayContext;
   readonly #board: RunnerBoard;
@@ -37,7 +36,7 @@
   readonly #countLiveGateways: () => number;
   readonly #cache = new Map<string, CachedScarcity>();
 
-  /** @param countLiveGateways how many gateways are alive, this one included */
+  /** @param countLiveGateways counts the gateways that are alive, including this one */
   constructor(
     context: GatewayContext,
     board: RunnerBoard,
@@ -58,13 +57,13 @@
     const nowMs = this.#context.clock.monotonicMs();
     const cached = this.#cache.get(pool);
     if (cached && nowMs - cached.atMs < CACHE_TTL_MS) return cached.isScarce;
-    // Nothing else looks at reports while dispatchers choose the runners.
+    // Nothing else removes stale reports while dispatchers choose the runners.
     this.#board.dropStale(nowMs);
     const wasScarce = cached?.isScarce ?? false;
     const isBusy =
       this.#isBusy(pool, wasScarce) || (wasScarce && nowMs - (cached?.sinceMs ?? 0) < MIN_SCARCE_MS);
     const isScarce = isBusy && this.#hasFewPlaces(pool, maxPlacesPerGateway);
-    if (isScarce !== wasScarce) this.#context.log.info({ pool, isScarce }, "places scarce or not");
+    if (isScarce !== wasScarce) this.#context.log.info({ pool, isScarce }, "place scarcity changed");
     const sinceMs = cached && isScarce === wasScarce ? cached.sinceMs : nowMs;
     this.#cache.set(pool, { atMs: nowMs, isScarce, sinceMs });
     return isScarce;
--- a/src/gateway/places/runner-groups.ts
+++ b/src/gateway/places/runner-groups.ts
@@ -1,6 +1,6 @@
 /**
- * Deals the runners of each pool into groups, by consistent hashing: gateways that know the same runners deal alike, and a
- * runner or a group more moves few of the others.
+ * Divides the runners of each pool into groups by consistent hashing: gateways that know the same runners compute the same
+ * groups, and an additional runner or group moves few of the other runners.
  */
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
@@ -9,9 +9,9 @@
 import { jumpHash } from "./jump-hash.ts";
 import type { PlaceGroup } from "./place-group.ts";
 
-/** Few enough for one gateway to hand out their places, many enough that a call finds a free one among them. */
+/** Few enough for one gateway to hand out their places, and enough that a call finds a free one among them. */
 const RUNNERS_PER_GROUP = 8;
-/** How long the groups of a pool are kept before the runners are looked at again, in ms. */
+/** How long the groups of a pool are cached before the runners are read again, in ms. */
 const CACHE_TTL_MS = 100;
 
 interface PoolGroups {
@@ -20,7 +20,6 @@
   readonly groupOf: ReadonlyMap<RunnerId, number>;
 }
 
-/** See the module's comment. */
 export class RunnerGroups {
   readonly #context: GatewayContext;
   readonly #board: RunnerBoard;
@@ -31,12 +30,12 @@
     this.#board = board;
   }
 
-  /** The groups of a pool; those without a runner are there too. */
+  /** The groups of a pool, including those without runners. */
   of(pool: string): readonly PlaceGroup[] {
     return this.#poolGroups(pool).groups;
   }
 
-  /** The group of a runner; undefined when it takes no new work. */
+  /** The index of a runner's group; undefined when the runner takes no new work. */
   groupOf(pool: string, runner: RunnerId): number | undefined {
     return this.#poolGroups(pool).groupOf.get(runner);
   }
--- a/src/gateway/places/tenant-weights.ts
+++ b/src/gateway/places/tenant-weights.ts
@@ -1,11 +1,10 @@
 /**
- * How much of scarce places is a tenant's, relative to others: by the limits on requests, which say how large operators
- * take each tenant to be. A tenant without a limit counts as one of average size.
+ * Computes each tenant's relative share of scarce places from the request limits, which show how large operators consider
+ * each tenant to be. A tenant without a limit counts as one of average size.
  */
 import type { TenantName } from "../../scheduling/ids/tenant-name.ts";
 import type { RouteTable } from "../../scheduling/routing/route-table.ts";
 
-/** See the module's comment. */
 export class TenantWeights {
   readonly #routes: () => RouteTable | undefined;
   #computedFor: RouteTable | undefined;
@@ -15,7 +14,7 @@
     this.#routes = routes;
   }
 
-  /** A positive number; 1 for a tenant of average size, and for calls without a tenant. */
+  /** The weight of a tenant, a positive number: 1 for a tenant of average size, and for calls without a tenant. */
   of(tenant: TenantName | undefined): number {
     const routes = this.#routes();
     if (routes !== this.#computedFor) {
--- a/src/gateway/places/unresponsive-dispatchers.ts
+++ b/src/gateway/places/unresponsive-dispatchers.ts
@@ -1,8 +1,8 @@
-/** Dispatchers that do not answer. They are not asked for a while, so that calls do not wait for them one by one. */
+/** Tracks dispatchers that do not answer. They are not asked for a while, so that not every call waits for a timeout. */
 
-/** Answers in a row that did not come until a dispatcher counts as silent: one may be late because a machine is busy. */
+/** Consecutive missed answers after which a dispatcher is paused: a single answer may be late because a machine is busy. */
 const MAX_MISSED_ANSWERS = 2;
-/** How long a silent dispatcher is not asked, in ms: until heartbeats tell of one that is gone, it is tried again. */
+/** How long a paused dispatcher is not asked, in ms. It is tried again until heartbeats show that it is gone. */
 const PAUSE_MS = 500;
 
 interface MissedAnswers {
@@ -10,17 +10,16 @@
   pausedUntilMs: number;
 }
 
-/** See the module's comment. */
 export class UnresponsiveDispatchers {
   readonly #byInstance = new Map<string, MissedAnswers>();
 
-  /** Whether a dispatcher is not asked now. */
+  /** Whether a dispatcher should not be asked now. */
   isPaused(instance: string, nowMs: number): boolean {
     const state = this.#byInstance.get(instance);
     return state !== undefined && nowMs < state.pausedUntilMs;
   }
 
-  /** An answer did not come. */
+  /** Records that an answer did not arrive in time. */
   noteMissed(instance: string, nowMs: number): void {
     const state = this.#byInstance.get(instance) ?? {
       missedInARow: 0,
@@ -32,7 +31,7 @@
     state.pausedUntilMs = nowMs + PAUSE_MS;
   }
 
-  /** The dispatcher has said something, or is gone. */
+  /** Clears the record of a dispatcher that has sent something, or is gone. */
   clear(instance: string): void {
     this.#byInstance.delete(instance);
   }
--- a/test/contract/place-parts.test.ts
+++ b/test/contract/place-parts.test.ts
@@ -1,4 +1,4 @@
-/** When places are scarce, how runners are dealt into groups, whom a call asks, and what is a tenant's. */
+/** Tests when places are scarce, how runners are divided into groups, which dispatcher a call asks, and tenants' weights. */
 import { beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import type { GatewayContext } from "../../src/gateway/gateway-context.ts";
@@ -17,7 +17,7 @@
 
 const SLOTS = 4;
 
-describe("parts of places", () => {
+describe("components that share out places", () => {
   let nowMs: number;
   let context: GatewayContext;
   let board: RunnerBoard;
@@ -70,14 +70,14 @@
       expect(isScarce(3_200)).toEqual(false);
     });
 
-    it("is none where gateways have places enough, or operators want no dispatchers", () => {
+    it("does not occur when gateways have enough places, or when operators have turned dispatchers off", () => {
       const [id] = addRunners(5) as [RunnerId];
       reportInFlight(id, 20);
       expect(scarcity(5)(0)).toEqual(false);
       expect(scarcity(1_000, 0)(0)).toEqual(false);
     });
 
-    it("needs a quarter of the places where calls are short", () => {
+    it("requires a quarter of the places for each gateway where calls are short", () => {
       const [id] = addRunners(5) as [RunnerId];
       reportInFlight(id, 20);
       const pools = (gateways: number) =>
@@ -103,7 +103,7 @@
         expect(runners.every(({ id }) => groups.groupOf("p", id) === index)).toEqual(true);
     });
 
-    it("keep their runners when one comes, but for those that a new group takes", () => {
+    it("keep their runners when one is added, except for those that move to a new group", () => {
       const ids = addRunners(27);
       const before = ids.map((id) => groups.groupOf("p", id));
       addRunner(27);
@@ -114,7 +114,7 @@
       expect(moved.length).toBeLessThan(14);
     });
 
-    it("are about as large as each other where there are many", () => {
+    it("have similar sizes when there are many", () => {
       addRunners(800);
       const sizes = groups.of("p").map(({ runners }) => runners.length);
       expect(sizes.length).toEqual(100);
@@ -122,7 +122,7 @@
       expect(sizes.filter((size) => size < 2).length).toBeLessThan(5);
     });
 
-    it("are asked where the prompt is, unless others are known to be faster", () => {
+    it("are chosen by where the prompt is, unless others are known to be faster", () => {
       const ids = addRunners(24);
       const selector = new GroupSelector(groups, context.random);
       const [preferred] = ids as [RunnerId];
@@ -137,7 +137,7 @@
     });
   });
 
-  it("have one dispatcher for each group, whoever is asked, and another one once it is gone", () => {
+  it("agree on one dispatcher for each group, and on another one once it is gone", () => {
     const candidates = ["a", "b", "c"].map((name) => {
       return { name, hash: context.hash.hash32(name), instance: `${name}#1`, address: name };
     });
@@ -156,7 +156,7 @@
     expect(directories[0]?.of("p", 0)).toEqual(undefined);
   });
 
-  it("weigh tenants by their limits, and one without a limit as an average one", () => {
+  it("weight tenants by their limits, and a tenant without a limit as an average one", () => {
     const tenant = (name: string, perSecond: number | undefined) => ({
       name: name as TenantName,
       keys: [],
--- a/test/contract/places.test.ts
+++ b/test/contract/places.test.ts
@@ -1,13 +1,13 @@
-/** Dispatchers and those who ask them, when one part fails at a time. */
+/** Tests dispatchers and the gateways that request places from them, with one failure at a time. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import { loadTextHash, type TextHash } from "../../src/runtime/text-hash.ts";
 import { type PlacedCall, PlaceFleet, type PlaceMember } from "./support/place-fleet.ts";
 
 const SETTLE_MS = 3_000;
-/** Longest time until all know of a loss that nobody announced. */
+/** Maximum time until all gateways know of a loss that was not announced. */
 const DETECTION_MS = 3_000;
-/** What a call loses at most to a dispatcher that does not answer, beyond the wait that was announced. */
+/** Maximum time that a call loses to a dispatcher that does not answer, beyond the announced wait. */
 const FALLBACK_MS = 150;
 
 const verdictsOf = (calls: readonly PlacedCall[]) => new Set(calls.map(({ verdict }) => verdict));
@@ -18,7 +18,7 @@
     hash = await loadTextHash();
   });
 
-  /** A fleet whose gateways know each other. */
+  /** Starts a fleet, and waits until its gateways know each other. */
   async function startFleet(
     gateways: number,
     runners: number,
@@ -34,7 +34,7 @@
     await fleet.time.runUntil(fleet.time.nowMs + ms);
   }
 
-  /** A gateway that is not the dispatcher. */
+  /** The first gateway that is not the dispatcher. */
   function nonDispatcherOf(fleet: PlaceFleet): PlaceMember {
     const dispatcher = fleet.dispatcherOf(fleet.at(0));
     return fleet.members.find((member) => member !== dispatcher) as PlaceMember;
@@ -43,17 +43,17 @@
   const startCall = (fleet: PlaceFleet, holdMs: number) => (member: PlaceMember) =>
     fleet.call(member, holdMs);
 
-  it("are handed out so that no runner gets more than it works on, whoever asks", async () => {
+  it("are handed out so that no runner gets more calls than it has slots, whichever gateways ask", async () => {
     const fleet = await startFleet(6, 2, 3);
     const calls = [1, 2, 3, 4].flatMap(() => fleet.members.map(startCall(fleet, 150)));
     await advance(fleet, 1_500);
     expect(verdictsOf(calls)).toEqual(new Set(["granted" as const]));
     expect(fleet.maxCallsPerRunner).toEqual(3);
-    // 24 calls at six places, 150 ms each and what handing over takes.
+    // 24 calls on six places, 150 ms each, plus the time to hand places over.
     expect(Math.max(...calls.map(({ record }) => record?.waitedMs ?? 0))).toBeLessThan(600);
   });
 
-  it("are handed out by one dispatcher also where gateways hear of each other through relays", async () => {
+  it("are handed out by one dispatcher, also when gateways learn of each other through relays", async () => {
     const fleet = await startFleet(30, 1, 2);
     // The dispatcher learns how long calls take here.
     fleet.call(fleet.at(0), 20);
@@ -65,7 +65,7 @@
     expect(fleet.maxCallsPerRunner).toEqual(2);
   });
 
-  it("go to those that wait when a call is given up", async () => {
+  it("go to the other waiting calls when a waiting call is cancelled", async () => {
     const fleet = await startFleet(3, 1, 1);
     const requester = nonDispatcherOf(fleet);
     fleet.call(requester, 300);
@@ -77,7 +77,7 @@
     expect([first.verdict, second.verdict]).toEqual([undefined, "granted"]);
   });
 
-  it("are taken by each gateway alone when the dispatcher is killed, until another one is known", async () => {
+  it("are chosen by each gateway alone after the dispatcher was killed, until another one is known", async () => {
     const fleet = await startFleet(4, 1, 1);
     const requester = nonDispatcherOf(fleet);
     fleet.call(requester, 400);
@@ -97,8 +97,8 @@
     expect(later.verdict).toEqual("granted");
   });
 
-  // Guards against calls that are sent to full runners, and held to their deadlines, since no dispatcher answered.
-  it("are refused at once to calls that cannot be in time when no dispatcher answers", async () => {
+  // Guards against calls that are sent to full runners, and wait there until their deadlines, because no dispatcher answers.
+  it("are refused immediately to calls that cannot finish in time when no dispatcher answers", async () => {
     const fleet = await startFleet(4, 1, 1);
     const requester = nonDispatcherOf(fleet);
     fleet.call(requester, 1_000);
@@ -112,8 +112,8 @@
     expect(short.record?.unasked).toEqual("the dispatcher does not answer");
   });
 
-  // Guards against a queue that goes to full runners all at once, since its dispatcher was held up for a moment.
-  it("are waited for at a dispatcher that was held up, though it answered nobody meanwhile", async () => {
+  // Guards against a whole queue that is sent to full runners at once because its dispatcher was held up for a moment.
+  it("are granted to queued calls by a dispatcher that was held up, although it answered no requests meanwhile", async () => {
     const fleet = await startFleet(4, 1, 1);
     const requester = nonDispatcherOf(fleet);
     const dispatcher = fleet.dispatcherOf(requester);
@@ -132,11 +132,11 @@
     expect(verdictsOf(waiting)).toEqual(new Set(["granted" as const]));
   });
 
-  it("are waited for at the next dispatcher when one stops as planned", async () => {
+  it("are granted to waiting calls by the next dispatcher when one stops as planned", async () => {
     const fleet = await startFleet(4, 1, 1);
     const requester = nonDispatcherOf(fleet);
     const dispatcher = fleet.dispatcherOf(requester);
-    // The next dispatcher knows what is out from heartbeats only.
+    // The next dispatcher knows only from heartbeats which places are in use.
     fleet.call(requester, 1_500);
     await advance(fleet, 600);
     const waiting = fleet.call(requester, 50, { patienceMs: 3_000 });
@@ -148,7 +148,7 @@
     expect(fleet.maxCallsPerRunner).toEqual(1);
   });
 
-  it("are handed out anew by a dispatcher that froze for longer than its leases and woke", async () => {
+  it("are handed out again by a dispatcher that was frozen for longer than its leases last", async () => {
     const fleet = await startFleet(4, 1, 2);
     const requester = nonDispatcherOf(fleet);
     const dispatcher = fleet.dispatcherOf(requester);
@@ -157,27 +157,27 @@
     dispatcher.process.freeze();
     await advance(fleet, 6_000);
     expect(verdictsOf(held)).toEqual(new Set(["granted" as const]));
-    // Another one hands out the places meanwhile.
+    // Another gateway hands out the places meanwhile.
     const others = [fleet.call(requester, 1_300), fleet.call(requester, 1_300)];
     await advance(fleet, 20);
     dispatcher.process.wake();
     await advance(fleet, 700);
     expect(fleet.dispatcherOf(requester)).toEqual(dispatcher);
-    // It knows what is out from heartbeats only, and not how long calls take: it waits until they tell anew.
+    // It knows only from heartbeats which places are in use, and not how long calls take: it waits for new heartbeats.
     const calls = [1, 2, 3].map(() => fleet.call(requester, 100, { patienceMs: 3_000 }));
     await advance(fleet, 2_600);
     expect(verdictsOf([...others, ...calls])).toEqual(new Set(["granted" as const]));
     expect(fleet.maxCallsPerRunner).toEqual(2);
   });
 
-  it("come back when the gateway that holds them dies", async () => {
+  it("become free when the gateway that holds them dies", async () => {
     const fleet = await startFleet(4, 1, 1);
     const requester = nonDispatcherOf(fleet);
     const dispatcher = fleet.dispatcherOf(requester);
     const holder = fleet.members.find(
       (member) => member !== requester && member !== dispatcher,
     ) as PlaceMember;
-    // Calls take a second here, so that leases last far longer than it takes to notice the loss.
+    // Calls take a second here, so that leases last much longer than it takes to detect the loss.
     fleet.call(requester, 1_000);
     await advance(fleet, 2_000);
     const held = fleet.call(holder, 60_000);
@@ -190,7 +190,7 @@
     expect(next.verdict).toEqual("granted");
   });
 
-  it("are granted again when the grant was lost on the way", async () => {
+  it("are granted again when the message with the grant was lost", async () => {
     const fleet = await startFleet(3, 1, 1);
     const requester = nonDispatcherOf(fleet);
     const dispatcher = fleet.dispatcherOf(requester);
@@ -206,7 +206,7 @@
     expect(fleet.maxCallsPerRunner).toEqual(1);
   });
 
-  it("are granted though the answer that a call waits comes late, and none is lost", async () => {
+  it("are granted although the answer that queues a call arrives late, and no place is lost", async () => {
     const fleet = await startFleet(3, 1, 1);
     const requester = nonDispatcherOf(fleet);
     fleet.network.conditions.reordering = 0.5;
@@ -219,7 +219,7 @@
     expect(last.verdict).toEqual("granted");
   });
 
-  it("are handed out again soon after all gateways were restarted at once", async () => {
+  it("are handed out again soon after all gateways were restarted at the same time", async () => {
     const fleet = await startFleet(5, 2, 2);
     for (const { process } of fleet.members) process.kill();
     for (const index of fleet.members.keys()) fleet.start(index);
@@ -230,7 +230,7 @@
     expect(fleet.maxCallsPerRunner).toEqual(2);
   });
 
-  it("are handed out twice at most while two gateways take themselves for the dispatcher", async () => {
+  it("are handed out at most twice while two gateways consider themselves the dispatcher", async () => {
     const fleet = await startFleet(4, 1, 2);
     const [left, right] = [fleet.members.slice(0, 2), fleet.members.slice(2)];
     for (const one of left)
@@ -245,7 +245,7 @@
     expect(fleet.maxCallsPerRunner).toEqual(4);
   });
 
-  it("are handed out by gateways that know how, beside older ones", async () => {
+  it("are handed out by gateways that support dispatching, alongside older ones", async () => {
     const fleet = await startFleet(6, 1, 1, [0, 1, 2, 3, 4]);
     const newer = fleet.at(5);
     expect(fleet.dispatcherOf(newer)).toEqual(newer);
--- a/test/contract/support/place-fleet.ts
+++ b/test/contract/support/place-fleet.ts
@@ -1,4 +1,7 @@
-/** Gateways that compete for the places of a few runners, on virtual time: members, dispatchers and askers, no HTTP. */
+/**
+ * Gateways that compete for the places of a few runners, on virtual time. They have membership, dispatchers and place
+ * clients, but no HTTP.
+ */
 import { pino } from "pino";
 import { SimulatedNetwork } from "../../../bench/simulation/simulated-network.ts";
 import { SimulatedProcess, VirtualTime } from "../../../bench/simulation/virtual-time.ts";
@@ -45,7 +48,7 @@
   excluded: [],
 };
 
-/** One gateway. */
+/** A gateway of the fleet. */
 export interface PlaceMember {
   readonly name: string;
   readonly instance: string;
@@ -57,7 +60,7 @@
   readonly stop: () => void;
 }
 
-/** What has become of a call. */
+/** A call and the outcome of its request for a place. */
 export interface PlacedCall {
   readonly placeRequest: PendingPlaceRequest;
   verdict: PlaceVerdict["type"] | undefined;
@@ -65,13 +68,13 @@
   runner: RunnerId | undefined;
 }
 
-/** See the module's comment. */
 export class PlaceFleet {
   readonly time = new VirtualTime();
   readonly network = new SimulatedNetwork<GatewayMessage>(this.time, new SeededRandomSource(1));
   readonly members: PlaceMember[] = [];
-  /** Calls at a runner now, and the most there ever were. */
+  /** The number of calls at each runner now. */
   readonly callsByRunner = new Map<RunnerId, number>();
+  /** The highest number of calls that any runner has had at the same time. */
   maxCallsPerRunner = 0;
   readonly #hash: TextHash;
   readonly #runners: readonly RunnerId[];
@@ -79,7 +82,7 @@
   readonly #oldBuilds: ReadonlySet<number>;
   #lastNumber = 0;
 
-  /** @param oldBuilds gateways of a build that knows no dispatchers */
+  /** @param oldBuilds indexes of gateways that run a build without dispatchers */
   constructor(
     hash: TextHash,
     count: number,
@@ -94,7 +97,7 @@
     for (let index = 0; index < count; index += 1) this.start(index);
   }
 
-  /** Starts a gateway, for the first time or anew. */
+  /** Starts or restarts a gateway. */
   start(index: number): void {
     this.#lastNumber += 1;
     const name = `gateway-${index}`;
@@ -165,18 +168,18 @@
     host.start();
   }
 
-  /** A gateway. */
+  /** The gateway with an index. */
   at(index: number): PlaceMember {
     return this.members[index] as PlaceMember;
   }
 
-  /** The gateway that another one takes for the dispatcher. */
+  /** The gateway that a member considers the dispatcher. */
   dispatcherOf(member: PlaceMember): PlaceMember {
     const name = member.dispatchers.of(POOL.name, 0)?.name;
     return this.members.find((other) => other.name === name) as PlaceMember;
   }
 
-  /** Has a gateway make a call that holds its place for so long. */
+  /** Makes a call through a gateway; the call holds its place for `holdMs`. */
   call(member: PlaceMember, holdMs: number, overrides: Partial<PlaceCall> = {}): PlacedCall {
     this.#lastNumber += 1;
     const request = `q${this.#lastNumber}` as RequestId;
@@ -216,7 +219,7 @@
     this.maxCallsPerRunner = Math.max(this.maxCallsPerRunner, calls);
   }
 
-  /** Builds that know no dispatchers do not say which protocol they speak. */
+  /** The heartbeat as the sender's build sends it: builds without dispatchers do not report a protocol version. */
   #asSentByBuild<Kind extends Extract<GatewayMessage, { type: "heartbeat" }>>(heartbeat: Kind): Kind {
     const index = this.members.findIndex(({ name }) => name === heartbeat.name);
     if (!this.#oldBuilds.has(index)) return heartbeat;
