--- a/bench/mutations/tenant-mutations.ts
+++ b/bench/mutations/tenant-mutations.ts
@@ -54,8 +54,8 @@
       },
       {
         file: "src/gateway/rates/rate-host.ts",
-        from: "  #tidy(): void {",
-        to: "  #begun(partition: number): RateLedger {\n    const ledger = new RateLedger(this.#tolerance, RateLedger.after(0));\n    this.#ledgers.set(partition, { epoch: 0, ledger });\n    return ledger;\n  }\n\n  #tidy(): void {\n    if (this.#tolerance.slack >= 0) return;",
+        from: "  #cleanUp(): void {",
+        to: "  #begun(partition: number): RateLedger {\n    const ledger = new RateLedger(this.#tolerance, RateLedger.after(0));\n    this.#ledgers.set(partition, { epoch: 0, ledger });\n    return ledger;\n  }\n\n  #cleanUp(): void {\n    if (this.#tolerance.slack >= 0) return;",
       },
       {
         file: "src/gateway/partitions/partition-owners.ts",
--- a/src/gateway/rates/rate-client.ts
+++ b/src/gateway/rates/rate-client.ts
@@ -20,7 +20,7 @@
  * How long an answer of an owner may take, in ms: many times what a message between zones takes. After it the question is
  * asked again, perhaps of the next owner: the same owner then gives the same answer, and counts the requests once.
  */
-const ANSWER_MS = 400;
+const ANSWER_TIMEOUT_MS = 400;
 
 interface Waiter {
   readonly deadlineAtMs: number;
@@ -34,12 +34,12 @@
   limitVersion: number;
   waiting: Waiter[];
   /** Those that the question under way is for. */
-  asked: Waiter[];
+  inFlight: Waiter[];
   detail: string;
 }
 
 /** A question to an owner, which may have to be repeated. */
-interface TenantQuestion {
+interface AdmissionBatch {
   readonly number: number;
   readonly wanted: number;
 }
@@ -50,7 +50,7 @@
   readonly #owners: PartitionOwners;
   /** Of tenants for which somebody waits. */
   readonly #queues = new Map<TenantName, TenantQueue>();
-  #lastQuestion = 0;
+  #lastBatch = 0;
 
   constructor(
     context: GatewayContext,
@@ -82,9 +82,9 @@
         if (limitVersion > queue.limitVersion) Object.assign(queue, { limit, limitVersion });
         return;
       }
-      const begun = { tenant: name, limit, limitVersion, waiting: [waiter], asked: [], detail: "" };
-      this.#queues.set(name, begun);
-      void this.#serve(begun);
+      const created = { tenant: name, limit, limitVersion, waiting: [waiter], inFlight: [], detail: "" };
+      this.#queues.set(name, created);
+      void this.#processQueue(created);
     });
   }
 
@@ -95,49 +95,52 @@
   }
 
   /** Asks until nobody waits any more. */
-  async #serve(queue: TenantQueue): Promise<void> {
+  async #processQueue(queue: TenantQueue): Promise<void> {
     while (queue.waiting.length > 0) {
-      queue.asked = queue.waiting.splice(0);
-      this.#lastQuestion += 1;
-      await this.#askUntilAnswered(queue, { number: this.#lastQuestion, wanted: queue.asked.length });
-      this.#giveUpLate(queue);
+      queue.inFlight = queue.waiting.splice(0);
+      this.#lastBatch += 1;
+      await this.#askUntilAnswered(queue, { number: this.#lastBatch, wanted: queue.inFlight.length });
+      this.#expireWaiters(queue);
     }
     this.#queues.delete(queue.tenant);
   }
 
   /** Asks one question as often as it takes, or until nobody waits for its answer any more. */
-  async #askUntilAnswered(queue: TenantQueue, question: TenantQuestion): Promise<void> {
-    while (queue.asked.length > 0) {
-      const answer = await this.#ask(queue, question);
-      if (answer) return settle(queue.asked.splice(0), answer);
+  async #askUntilAnswered(queue: TenantQueue, batch: AdmissionBatch): Promise<void> {
+    while (queue.inFlight.length > 0) {
+      const answer = await this.#ask(queue, batch);
+      if (answer) return resolveWaiters(queue.inFlight.splice(0), answer);
       await delay(this.#context.clock, OWNER_POLL_MS);
-      this.#giveUpLate(queue);
+      this.#expireWaiters(queue);
     }
   }
 
-  async #ask(queue: TenantQueue, { number, wanted }: TenantQuestion): Promise<RateAnswer | undefined> {
+  async #ask(queue: TenantQueue, { number, wanted }: AdmissionBatch): Promise<RateAnswer | undefined> {
     const { tenant, limit, limitVersion } = queue;
     const partition = this.#owners.partitionOf(tenant);
     const request = { partition, tenant, wanted, limit, limitVersion, question: number };
-    const reply = await this.#owners.ask("admitRequests", request, ANSWER_MS);
+    const reply = await this.#owners.ask("admitRequests", request, ANSWER_TIMEOUT_MS);
     if (reply.type === "done") return reply.body;
     queue.detail = reply.type === "failed" ? reply.detail : "no gateway owns the tenant's partition";
     return undefined;
   }
 
-  #giveUpLate(queue: TenantQueue): void {
+  #expireWaiters(queue: TenantQueue): void {
     const nowMs = this.#context.clock.monotonicMs();
-    const isLate = ({ deadlineAtMs }: Waiter) => deadlineAtMs <= nowMs;
-    const late = [...queue.asked, ...queue.waiting].filter(isLate);
-    if (late.length === 0) return;
-    queue.asked = queue.asked.filter((waiter) => !isLate(waiter));
-    queue.waiting = queue.waiting.filter((waiter) => !isLate(waiter));
-    for (const { resolve } of late) resolve({ type: "unavailable", detail: queue.detail });
+    const isExpired = ({ deadlineAtMs }: Waiter) => deadlineAtMs <= nowMs;
+    const expired = [...queue.inFlight, ...queue.waiting].filter(isExpired);
+    if (expired.length === 0) return;
+    queue.inFlight = queue.inFlight.filter((waiter) => !isExpired(waiter));
+    queue.waiting = queue.waiting.filter((waiter) => !isExpired(waiter));
+    for (const { resolve } of expired) resolve({ type: "unavailable", detail: queue.detail });
   }
 }
 
 /** Those that came first go on first. */
-function settle(waiters: readonly Waiter[], { granted, retryAfterMs, retryStepMs }: RateAnswer): void {
+function resolveWaiters(
+  waiters: readonly Waiter[],
+  { granted, retryAfterMs, retryStepMs }: RateAnswer,
+): void {
   for (const [index, { resolve }] of waiters.entries()) {
     if (index < granted) resolve({ type: "granted" });
     else resolve({ type: "limited", retryAfterMs: retryAfterMs + (index - granted) * retryStepMs });
--- a/src/gateway/rates/rate-host.ts
+++ b/src/gateway/rates/rate-host.ts
@@ -19,7 +19,7 @@
 import { decodeOwner } from "../partitions/partition-rows.ts";
 import { readOwnerRow } from "../partitions/read-owner-row.ts";
 import { Standstill } from "../standstill.ts";
-import type { RateGrounds } from "./rate-grounds.ts";
+import type { RateStartGrounds } from "./rate-start-grounds.ts";
 
 /**
  * How long after a take-over the owner before may still admit requests, in ms, unless its process is known to have ended:
@@ -27,13 +27,13 @@
  * relayed heartbeat more.
  */
 const DOUBT_MS = 2_000;
-const TIDY_MS = 500;
+const CLEANUP_INTERVAL_MS = 500;
 /** How long the store may take to say whose a partition is, in ms: callers wait for it. */
-const CONFIRM_MS = 250;
+const CONFIRM_TIMEOUT_MS = 250;
 
 /** How the buckets of a partition begin, and why so. */
-interface GroundedStart {
-  readonly grounds: RateGrounds;
+interface LedgerStart {
+  readonly grounds: RateStartGrounds;
   readonly start: RateStart;
 }
 
@@ -42,7 +42,7 @@
   readonly epoch: number;
   readonly ledger: RateLedger;
   /** The owner before, as long as it may still admit requests; undefined if there is none, or it has ended. */
-  readonly rival: string | undefined;
+  readonly previousOwner: string | undefined;
   /** Whether it was handed over: nothing more is admitted. */
   readonly isClosed: boolean;
 }
@@ -55,9 +55,9 @@
   readonly #ledgers = new Map<number, PartitionLedger>();
   readonly #standstill: Standstill;
   /** When this process was found to have stood still last. */
-  #stoodStillAtMs = Number.NEGATIVE_INFINITY;
+  #lastStandstillAtMs = Number.NEGATIVE_INFINITY;
   /** Since when partitions are known to be owned here still, or their limits were begun anew. */
-  readonly #sureSinceMs = new Map<number, number>();
+  readonly #ownershipCheckedAtMs = new Map<number, number>();
   readonly #confirming = new Map<number, Promise<void>>();
 
   constructor(
@@ -75,13 +75,13 @@
   }
 
   start(): void {
-    repeat(this.#context.clock, TIDY_MS, () => this.#tidy());
+    repeat(this.#context.clock, CLEANUP_INTERVAL_MS, () => this.#cleanUp());
   }
 
   async #admit(request: AdmitRequestsRequest, from: Sender): Promise<AdmitRequestsResponse> {
     const { partition, tenant, wanted, limit, limitVersion, question: number } = request;
-    this.#noticePause();
-    while (this.#isUnsure(partition)) await this.#confirmOnce(partition);
+    this.#checkStandstill();
+    while (this.#needsConfirmation(partition)) await this.#confirmOnce(partition);
     const { ledger, isClosed } = this.#ledgerOf(partition);
     if (isClosed) throw new RedirectSignal(this.#partitions.ownerOf(partition));
     const question = number === undefined ? undefined : { asker: from.instance, number };
@@ -101,16 +101,16 @@
     if (!ownership) throw new RedirectSignal(this.#partitions.ownerOf(partition));
     const { epoch } = ownership;
     const known = this.#ledgers.get(partition);
-    if (known?.epoch === epoch) return this.#withoutDoubt(partition, known);
-    const { grounds, start } = this.#startOf(ownership);
+    if (known?.epoch === epoch) return this.#resolveDoubt(partition, known);
+    const { grounds, start } = this.#startFor(ownership);
     const ledger = new RateLedger(this.#tolerance, start);
     this.#logStart(partition, epoch, grounds);
-    const begun = { epoch, ledger, rival: ownership.rival, isClosed: false };
-    this.#ledgers.set(partition, begun);
-    return begun;
+    const created = { epoch, ledger, previousOwner: ownership.rival, isClosed: false };
+    this.#ledgers.set(partition, created);
+    return created;
   }
 
-  #startOf({ isReleased, rates, rival, takenOverAtMs }: PartitionOwnership): GroundedStart {
+  #startFor({ isReleased, rates, rival, takenOverAtMs }: PartitionOwnership): LedgerStart {
     if (rates) return { grounds: "handed over", start: RateLedger.handedOver(rates, takenOverAtMs) };
     if (isReleased) return { grounds: "released", start: RateLedger.after(takenOverAtMs) };
     if (rival === undefined) return { grounds: "first", start: RateLedger.first() };
@@ -119,18 +119,19 @@
     return { grounds: "doubt", start: RateLedger.after(takenOverAtMs + DOUBT_MS) };
   }
 
-  #logStart(partition: number, epoch: number, grounds: RateGrounds): void {
+  #logStart(partition: number, epoch: number, grounds: RateStartGrounds): void {
     this.#context.log.info({ partition, epoch, grounds }, "limits begin");
   }
 
   /** The owner before may be known to have ended only after the take-over: when all start at once, most are. */
-  #withoutDoubt(partition: number, known: PartitionLedger): PartitionLedger {
-    const endedMs = known.rival === undefined ? undefined : this.#members.endedByMs(known.rival);
+  #resolveDoubt(partition: number, known: PartitionLedger): PartitionLedger {
+    const endedMs =
+      known.previousOwner === undefined ? undefined : this.#members.endedByMs(known.previousOwner);
     if (endedMs === undefined) return known;
     known.ledger.endDoubt(endedMs, this.#context.clock.monotonicMs());
-    const certain = { ...known, rival: undefined };
-    this.#ledgers.set(partition, certain);
-    return certain;
+    const resolved = { ...known, previousOwner: undefined };
+    this.#ledgers.set(partition, resolved);
+    return resolved;
   }
 
   get #tolerance(): RateTolerance {
@@ -138,23 +139,23 @@
   }
 
   /** A process that stood still may have successors that it has not heard of. */
-  #noticePause(): void {
+  #checkStandstill(): void {
     const nowMs = this.#context.clock.monotonicMs();
-    if (this.#standstill.look(nowMs)) this.#stoodStillAtMs = nowMs;
+    if (this.#standstill.look(nowMs)) this.#lastStandstillAtMs = nowMs;
   }
 
   /** Whether a partition that this gateway takes for its own may have gone to another one while it stood still. */
-  #isUnsure(partition: number): boolean {
+  #needsConfirmation(partition: number): boolean {
     const ownership = this.#partitions.ownership(partition);
     if (!ownership) return false;
-    const confirmedMs = this.#sureSinceMs.get(partition) ?? Number.NEGATIVE_INFINITY;
-    return Math.max(confirmedMs, ownership.takenOverAtMs) < this.#stoodStillAtMs;
+    const checkedAtMs = this.#ownershipCheckedAtMs.get(partition) ?? Number.NEGATIVE_INFINITY;
+    return Math.max(checkedAtMs, ownership.takenOverAtMs) < this.#lastStandstillAtMs;
   }
 
   #confirmOnce(partition: number): Promise<void> {
     const known = this.#confirming.get(partition);
     if (known) return known;
-    const confirming = this.#confirm(partition).finally(() => this.#confirming.delete(partition));
+    const confirming = this.#confirmOwnership(partition).finally(() => this.#confirming.delete(partition));
     this.#confirming.set(partition, confirming);
     return confirming;
   }
@@ -163,14 +164,14 @@
    * Asks the store whose a partition is: as long as it is this gateway's, nobody else has admitted anything, and the limits go
    * on. Where the store does not say so, they begin as with a new owner.
    */
-  async #confirm(partition: number): Promise<void> {
+  async #confirmOwnership(partition: number): Promise<void> {
     const { clock, platform, instance, log } = this.#context;
     const askedAtMs = clock.monotonicMs();
-    const late = delay(clock, CONFIRM_MS).then(() => undefined);
-    const reading = await Promise.race([readOwnerRow(platform.store, partition), late]);
+    const timeout = delay(clock, CONFIRM_TIMEOUT_MS).then(() => undefined);
+    const reading = await Promise.race([readOwnerRow(platform.store, partition), timeout]);
     const row = reading?.row;
     const isOwner = row !== undefined && decodeOwner(row.value)?.instance === instance;
-    this.#sureSinceMs.set(partition, askedAtMs);
+    this.#ownershipCheckedAtMs.set(partition, askedAtMs);
     if (isOwner) return log.info({ partition }, "limits go on after a standstill");
     const ownership = this.#partitions.ownership(partition);
     if (!ownership) return;
@@ -178,12 +179,12 @@
     const nowMs = clock.monotonicMs();
     const ledger = new RateLedger(this.#tolerance, RateLedger.after(nowMs + DOUBT_MS));
     const isClosed = this.#ledgers.get(partition)?.isClosed ?? false;
-    this.#ledgers.set(partition, { epoch, ledger, rival: undefined, isClosed });
+    this.#ledgers.set(partition, { epoch, ledger, previousOwner: undefined, isClosed });
     this.#logStart(partition, epoch, "standstill");
   }
 
-  #tidy(): void {
-    this.#noticePause();
+  #cleanUp(): void {
+    this.#checkStandstill();
     const nowMs = this.#context.clock.monotonicMs();
     for (const [partition, { epoch, ledger }] of this.#ledgers) {
       if (this.#partitions.ownership(partition)?.epoch === epoch) ledger.forgetIdle(nowMs);
--- a/src/gateway/rates/rate-grounds.ts
+++ b/src/gateway/rates/rate-start-grounds.ts
@@ -1,5 +1,5 @@
 /** By what an owner of limits decided how its buckets begin, for the log. */
-export type RateGrounds =
+export type RateStartGrounds =
   /** Nobody has owned the partition before: buckets are full. */
   | "first"
   /** The owner before has left what was in them. */
--- a/test/contract/rate-host.test.ts
+++ b/test/contract/rate-host.test.ts
@@ -15,7 +15,7 @@
 import { gatewayContext } from "./support/gateway-parts.ts";
 
 const LIMIT = { perSecond: 20, burst: 20 };
-const TAKEN_OVER_MS = 10_000;
+const TAKEN_OVER_AT_MS = 10_000;
 
 let nowMs: number;
 let endedByMs: number | undefined;
@@ -50,7 +50,7 @@
 
 describe("a gateway that has taken tenants over", () => {
   beforeEach(async () => {
-    nowMs = TAKEN_OVER_MS;
+    nowMs = TAKEN_OVER_AT_MS;
     endedByMs = undefined;
     const rates = undefined;
     ownership = {
@@ -64,26 +64,26 @@
   });
 
   it("admits nothing as long as the owner before may still do so", async () => {
-    expect(await admittedUntil(TAKEN_OVER_MS + 2_000)).toEqual(0);
-    expect(await admittedUntil(TAKEN_OVER_MS + 3_000)).toEqual(18);
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 2_000)).toEqual(0);
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 3_000)).toEqual(18);
   });
 
   it("goes on at once when it hears that the machine of the owner before runs another process", async () => {
-    expect(await admittedUntil(TAKEN_OVER_MS + 200)).toEqual(0);
-    endedByMs = TAKEN_OVER_MS + 50;
-    expect(await admittedUntil(TAKEN_OVER_MS + 1_300)).toEqual(23);
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 200)).toEqual(0);
+    endedByMs = TAKEN_OVER_AT_MS + 50;
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 1_300)).toEqual(23);
   });
 
   it("counts from when the owner before had ended, where it knows that from the start", async () => {
-    endedByMs = TAKEN_OVER_MS - 500;
-    expect(await admittedUntil(TAKEN_OVER_MS + 100)).toEqual(10);
+    endedByMs = TAKEN_OVER_AT_MS - 500;
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 100)).toEqual(10);
   });
 
   it("doubts itself after it stood still, whatever it knows of the owner before", async () => {
-    expect(await admittedUntil(TAKEN_OVER_MS + 200)).toEqual(0);
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 200)).toEqual(0);
     nowMs += 1_500;
-    endedByMs = TAKEN_OVER_MS;
-    expect(await admittedUntil(TAKEN_OVER_MS + 3_700)).toEqual(0);
-    expect(await admittedUntil(TAKEN_OVER_MS + 4_300)).toEqual(10);
+    endedByMs = TAKEN_OVER_AT_MS;
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 3_700)).toEqual(0);
+    expect(await admittedUntil(TAKEN_OVER_AT_MS + 4_300)).toEqual(10);
   });
 });
