--- a/src/gateway/rates/rate-client.ts
+++ b/src/gateway/rates/rate-client.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the owners of tenants' limits. Requests of a tenant that come while an answer is under way go with the next
- * question: far from its limit a tenant costs one message a request, and under load one for each time that an answer
- * takes, however many requests come.
+ * Asks the owners of tenants' limits for admission. Requests of a tenant that arrive while an answer is pending are batched
+ * into the next message: at low load a tenant costs one message per request, and at high load one message per round trip,
+ * however many requests arrive.
  */
 import type { RateAnswer, RateLimit } from "../../coordination/request-rate/index.ts";
 import { delay } from "../../runtime/clock.ts";
@@ -17,8 +17,8 @@
 import type { RateVerdict } from "./rate-verdict.ts";
 
 /**
- * How long an answer of an owner may take, in ms: many times what a message between zones takes. After it the question is
- * asked again, perhaps of the next owner: the same owner then gives the same answer, and counts the requests once.
+ * Timeout for an owner's answer, in ms: many times the latency between zones. After it the batch is sent again, possibly to
+ * the next owner. The same owner then gives the same answer, and counts the requests once.
  */
 const ANSWER_TIMEOUT_MS = 400;
 
@@ -27,28 +27,28 @@
   readonly resolve: (verdict: RateVerdict) => void;
 }
 
-/** Requests of a tenant that wait for an answer. */
+/** The requests of a tenant that wait for an answer. */
 interface TenantQueue {
   readonly tenant: TenantName;
   limit: RateLimit;
   limitVersion: number;
   waiting: Waiter[];
-  /** Those that the question under way is for. */
+  /** The requests of the batch that awaits an answer. */
   inFlight: Waiter[];
+  /** Why the last attempt got no answer. */
   detail: string;
 }
 
-/** A question to an owner, which may have to be repeated. */
+/** A batch of requests that an owner is asked to admit. It keeps its number when it is sent again. */
 interface AdmissionBatch {
   readonly number: number;
   readonly wanted: number;
 }
 
-/** See the module's comment. */
 export class RateClient {
   readonly #context: GatewayContext;
   readonly #owners: PartitionOwners;
-  /** Of tenants for which somebody waits. */
+  /** Queues of the tenants that have waiting requests. */
   readonly #queues = new Map<TenantName, TenantQueue>();
   #lastBatch = 0;
 
@@ -63,10 +63,10 @@
   }
 
   /**
-   * Whether one request more of a tenant may go on.
+   * Decides whether one more request of a tenant is admitted.
    *
-   * @param limitVersion version of the configuration that the tenant's limit is from
-   * @param deadlineAtMs until when an owner is looked for, in ms of the monotonic clock
+   * @param limitVersion version of the configuration that contains the limit
+   * @param deadlineAtMs when to stop looking for an owner, in ms of the monotonic clock
    */
   admit(
     { name, limit }: Tenant,
@@ -88,13 +88,13 @@
     });
   }
 
-  /** The partition of a tenant, and who owns it as far as this gateway knows. */
+  /** The partition of a tenant, and its owner as far as this gateway knows. */
   ownerOf(tenant: TenantName): { readonly partition: number; readonly owner: string | undefined } {
     const partition = this.#owners.partitionOf(tenant);
     return { partition, owner: this.#owners.ownerOf(partition) };
   }
 
-  /** Asks until nobody waits any more. */
+  /** Sends batches until no requests of the tenant wait. */
   async #processQueue(queue: TenantQueue): Promise<void> {
     while (queue.waiting.length > 0) {
       queue.inFlight = queue.waiting.splice(0);
@@ -105,7 +105,7 @@
     this.#queues.delete(queue.tenant);
   }
 
-  /** Asks one question as often as it takes, or until nobody waits for its answer any more. */
+  /** Sends a batch until it is answered, or until none of its requests wait any more. */
   async #askUntilAnswered(queue: TenantQueue, batch: AdmissionBatch): Promise<void> {
     while (queue.inFlight.length > 0) {
       const answer = await this.#ask(queue, batch);
@@ -136,7 +136,7 @@
   }
 }
 
-/** Those that came first go on first. */
+/** Grants the requests in the order of their arrival. */
 function resolveWaiters(
   waiters: readonly Waiter[],
   { granted, retryAfterMs, retryStepMs }: RateAnswer,
--- a/src/gateway/rates/rate-host.ts
+++ b/src/gateway/rates/rate-host.ts
@@ -1,7 +1,8 @@
 /**
- * Admits requests of tenants for all gateways: those of the partitions that this gateway owns. A tenant's partition is
- * found by its name, and its owner keeps the tenant's bucket in memory. Only an owner that ends as planned leaves what is
- * in the buckets to the next one, in the row by which it lets go: a tenant below its limit must not notice a restart.
+ * Admits tenants' requests on behalf of all gateways, for the partitions that this gateway owns. A tenant's name determines
+ * its partition, and the partition's owner keeps the tenant's token bucket in memory. Only an owner that stops as planned
+ * hands over the contents of its buckets, in the row by which it releases the partition: a tenant below its limit must not
+ * notice a restart.
  */
 import {
   type RateHandOver,
@@ -22,41 +23,40 @@
 import type { RateStartGrounds } from "./rate-start-grounds.ts";
 
 /**
- * How long after a take-over the owner before may still admit requests, in ms, unless its process is known to have ended:
- * until it misses the heartbeats of those that it no longer reaches, and admits only its share (1,250 ms), and for one
- * relayed heartbeat more.
+ * How long after a takeover the previous owner may still admit requests, in ms, unless its process is known to have ended:
+ * until it misses the heartbeats of the gateways that it no longer reaches, and admits only its share (1,250 ms), plus one
+ * relayed heartbeat.
  */
 const DOUBT_MS = 2_000;
 const CLEANUP_INTERVAL_MS = 500;
-/** How long the store may take to say whose a partition is, in ms: callers wait for it. */
+/** Timeout for reading a partition's owner from the store, in ms: callers wait for it. */
 const CONFIRM_TIMEOUT_MS = 250;
 
-/** How the buckets of a partition begin, and why so. */
+/** The initial state of a partition's buckets, and the reason for it. */
 interface LedgerStart {
   readonly grounds: RateStartGrounds;
   readonly start: RateStart;
 }
 
-/** The ledger of a partition, and the ownership that it is for. */
+/** The ledger of a partition, for one epoch of its ownership. */
 interface PartitionLedger {
   readonly epoch: number;
   readonly ledger: RateLedger;
-  /** The owner before, as long as it may still admit requests; undefined if there is none, or it has ended. */
+  /** The previous owner, as long as it may still admit requests; undefined if there was none, or it has ended. */
   readonly previousOwner: string | undefined;
-  /** Whether it was handed over: nothing more is admitted. */
+  /** Whether the ledger was handed over, so that nothing more is admitted. */
   readonly isClosed: boolean;
 }
 
-/** See the module's comment. */
 export class RateHost {
   readonly #context: GatewayContext;
   readonly #members: MemberDirectory;
   readonly #partitions: PartitionHost;
   readonly #ledgers = new Map<number, PartitionLedger>();
   readonly #standstill: Standstill;
-  /** When this process was found to have stood still last. */
+  /** When a pause of this process was last detected. */
   #lastStandstillAtMs = Number.NEGATIVE_INFINITY;
-  /** Since when partitions are known to be owned here still, or their limits were begun anew. */
+  /** When ownership was last checked with the store, by partition: the ledger was then confirmed or replaced. */
   readonly #ownershipCheckedAtMs = new Map<number, number>();
   readonly #confirming = new Map<number, Promise<void>>();
 
@@ -89,7 +89,7 @@
     return ledger.take(demand, this.#members.reachedShare, this.#context.clock.monotonicMs());
   }
 
-  /** What is handed over counts only if the owner's row has not changed: nobody has to ask whether it has. */
+  /** Closes a ledger and returns its contents. They count only if the owner's row is unchanged, so nothing is checked here. */
   #handOver(partition: number): RateHandOver {
     const known = this.#ledgerOf(partition);
     this.#ledgers.set(partition, { ...known, isClosed: true });
@@ -123,7 +123,7 @@
     this.#context.log.info({ partition, epoch, grounds }, "limits begin");
   }
 
-  /** The owner before may be known to have ended only after the take-over: when all start at once, most are. */
+  /** The end of the previous owner may become known only after the takeover: typical when all gateways start at once. */
   #resolveDoubt(partition: number, known: PartitionLedger): PartitionLedger {
     const endedMs =
       known.previousOwner === undefined ? undefined : this.#members.endedByMs(known.previousOwner);
@@ -138,13 +138,13 @@
     return this.#context.settings.requestLimits;
   }
 
-  /** A process that stood still may have successors that it has not heard of. */
+  /** Detects that this process was paused: other gateways may have taken over its partitions without its knowledge. */
   #checkStandstill(): void {
     const nowMs = this.#context.clock.monotonicMs();
     if (this.#standstill.look(nowMs)) this.#lastStandstillAtMs = nowMs;
   }
 
-  /** Whether a partition that this gateway takes for its own may have gone to another one while it stood still. */
+  /** Whether a partition that this gateway considers its own may have been taken over during a pause of this process. */
   #needsConfirmation(partition: number): boolean {
     const ownership = this.#partitions.ownership(partition);
     if (!ownership) return false;
@@ -161,8 +161,8 @@
   }
 
   /**
-   * Asks the store whose a partition is: as long as it is this gateway's, nobody else has admitted anything, and the limits go
-   * on. Where the store does not say so, they begin as with a new owner.
+   * Reads the owner of a partition from the store. If it is still this gateway, no other has admitted anything, and the
+   * ledger stays valid. Unless the store confirms that, the ledger is replaced by one that starts as with a new owner.
    */
   async #confirmOwnership(partition: number): Promise<void> {
     const { clock, platform, instance, log } = this.#context;
@@ -172,7 +172,7 @@
     const row = reading?.row;
     const isOwner = row !== undefined && decodeOwner(row.value)?.instance === instance;
     this.#ownershipCheckedAtMs.set(partition, askedAtMs);
-    if (isOwner) return log.info({ partition }, "limits go on after a standstill");
+    if (isOwner) return log.info({ partition }, "limits kept after a standstill");
     const ownership = this.#partitions.ownership(partition);
     if (!ownership) return;
     const { epoch } = ownership;
--- a/src/gateway/rates/rate-start-grounds.ts
+++ b/src/gateway/rates/rate-start-grounds.ts
@@ -1,14 +1,14 @@
-/** By what an owner of limits decided how its buckets begin, for the log. */
+/** Why a partition's owner chose the initial state of its token buckets, for the log. */
 export type RateStartGrounds =
-  /** Nobody has owned the partition before: buckets are full. */
+  /** The partition had no owner before: the buckets are full. */
   | "first"
-  /** The owner before has left what was in them. */
+  /** The previous owner handed over the contents of its buckets. */
   | "handed over"
-  /** The owner before has let go, and left nothing: they are empty. */
+  /** The previous owner released the partition without handing anything over: the buckets are empty. */
   | "released"
-  /** The owner before is known to have ended: they have been filling since then. */
+  /** The previous owner is known to have ended: the buckets have been filling since then. */
   | "ended"
-  /** The owner before may still admit requests: they are empty, and fill later. */
+  /** The previous owner may still admit requests: the buckets are empty, and start to fill later. */
   | "doubt"
-  /** This process stood still, and the store does not say that the partition is still its own: the same. */
+  /** This process was paused, and the store does not confirm that it still owns the partition: as for "doubt". */
   | "standstill";
--- a/src/gateway/rates/rate-verdict.ts
+++ b/src/gateway/rates/rate-verdict.ts
@@ -1,7 +1,7 @@
-/** Whether a request of a tenant may go on. */
+/** Whether a tenant's request is admitted. */
 export type RateVerdict =
   | { readonly type: "granted" }
-  /** The tenant sends more than its limit. */
+  /** The tenant exceeds its limit. */
   | { readonly type: "limited"; readonly retryAfterMs: number }
-  /** Nobody could be asked in time. */
+  /** No owner of the tenant's partition answered in time. */
   | { readonly type: "unavailable"; readonly detail: string };
--- a/test/contract/rate-host.test.ts
+++ b/test/contract/rate-host.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway that has taken tenants over admits, by what it knows of the owner before. */
+/** Tests what a gateway admits after it has taken over a partition, depending on what it knows of the previous owner. */
 import { beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import type { GatewayContext } from "../../src/gateway/gateway-context.ts";
@@ -41,14 +41,14 @@
   };
 }
 
-/** Asks every 100 ms, as a tenant does that sends more than its limit; returns what was admitted. */
+/** Asks every 100 ms, like a tenant that exceeds its limit; returns the number of requests that were admitted. */
 async function admittedUntil(untilMs: number): Promise<number> {
   let admitted = 0;
   for (; nowMs < untilMs; nowMs += 100) admitted += (await admit(10)).granted;
   return admitted;
 }
 
-describe("a gateway that has taken tenants over", () => {
+describe("a gateway that has taken over a partition of tenants", () => {
   beforeEach(async () => {
     nowMs = TAKEN_OVER_AT_MS;
     endedByMs = undefined;
@@ -63,23 +63,23 @@
     await startHost();
   });
 
-  it("admits nothing as long as the owner before may still do so", async () => {
+  it("admits nothing as long as the previous owner may still admit requests", async () => {
     expect(await admittedUntil(TAKEN_OVER_AT_MS + 2_000)).toEqual(0);
     expect(await admittedUntil(TAKEN_OVER_AT_MS + 3_000)).toEqual(18);
   });
 
-  it("goes on at once when it hears that the machine of the owner before runs another process", async () => {
+  it("admits requests as soon as it learns that the previous owner's machine runs another process", async () => {
     expect(await admittedUntil(TAKEN_OVER_AT_MS + 200)).toEqual(0);
     endedByMs = TAKEN_OVER_AT_MS + 50;
     expect(await admittedUntil(TAKEN_OVER_AT_MS + 1_300)).toEqual(23);
   });
 
-  it("counts from when the owner before had ended, where it knows that from the start", async () => {
+  it("fills the buckets from the end of the previous owner, if it knows that from the start", async () => {
     endedByMs = TAKEN_OVER_AT_MS - 500;
     expect(await admittedUntil(TAKEN_OVER_AT_MS + 100)).toEqual(10);
   });
 
-  it("doubts itself after it stood still, whatever it knows of the owner before", async () => {
+  it("admits nothing for a while after its own standstill, whatever it knows of the previous owner", async () => {
     expect(await admittedUntil(TAKEN_OVER_AT_MS + 200)).toEqual(0);
     nowMs += 1_500;
     endedByMs = TAKEN_OVER_AT_MS;
