--- a/src/gateway/buffers/buffer-pool.ts
+++ b/src/gateway/buffers/buffer-limiter.ts
@@ -9,31 +9,31 @@
 import type { CallerBuffers } from "./caller-buffers.ts";
 
 /** Time between two looks at callers, in ms. */
-const LOOK_MS = 250;
+const CHECK_INTERVAL_MS = 250;
 /** Time that one look counts for at most, in ms: callers could not be seen to read while this process stood still. */
-const MOST_LOOK_MS = 2 * LOOK_MS;
+const MAX_ELAPSED_MS = 2 * CHECK_INTERVAL_MS;
 /**
  * Part of the process's memory that may be held. On a small machine a gateway without callers fills a third of it, and the
  * runtime leaves another third of buffers that have been used uncollected.
  */
-const MEMORY_PART = 0.15;
+const MEMORY_FRACTION = 0.15;
 const BYTES_PER_MEGABYTE = 1_000_000;
 
 /** See the module's comment. */
-export class BufferPool {
+export class BufferLimiter {
   readonly #context: GatewayContext;
   readonly #policy: BufferPolicy;
   readonly #held: Record<BufferReason, number> = { answers: 0, collected: 0, bodies: 0, outputs: 0 };
   readonly #open = new Set<CallerBuffers>();
   #heldBytes = 0;
   #timer: TimerHandle | undefined;
-  #lookedAtMs = 0;
+  #checkedAtMs = 0;
   #waitingRunners = 0;
 
   constructor(context: GatewayContext) {
     this.#context = context;
     const { mostBytes, memoryMb } = context.settings.buffers;
-    this.#policy = new BufferPolicy(mostBytes || memoryMb * BYTES_PER_MEGABYTE * MEMORY_PART);
+    this.#policy = new BufferPolicy(mostBytes || memoryMb * BYTES_PER_MEGABYTE * MEMORY_FRACTION);
   }
 
   /** Bytes held for all callers. */
@@ -75,27 +75,27 @@
   add(reason: BufferReason, bytes: number): void {
     this.#held[reason] += bytes;
     this.#heldBytes += bytes;
-    if (this.#timer === undefined && !this.#policy.isCalm(this.#heldBytes)) this.#lookSoon();
+    if (this.#timer === undefined && !this.#policy.isCalm(this.#heldBytes)) this.#scheduleCheck();
   }
 
   /** A runner begins to wait for a caller, or does so no longer. */
-  noteRunner(waits: boolean): void {
-    this.#waitingRunners += waits ? 1 : -1;
-    if (waits && this.#timer === undefined) this.#lookSoon();
+  noteRunnerWaiting(isWaiting: boolean): void {
+    this.#waitingRunners += isWaiting ? 1 : -1;
+    if (isWaiting && this.#timer === undefined) this.#scheduleCheck();
   }
 
-  #lookSoon(): void {
+  #scheduleCheck(): void {
     const { clock } = this.#context;
-    this.#lookedAtMs = clock.monotonicMs();
-    this.#timer = clock.schedule(LOOK_MS, () => this.#look());
+    this.#checkedAtMs = clock.monotonicMs();
+    this.#timer = clock.schedule(CHECK_INTERVAL_MS, () => this.#check());
   }
 
-  #look(): void {
-    const elapsedMs = Math.min(MOST_LOOK_MS, this.#context.clock.monotonicMs() - this.#lookedAtMs);
-    const waiting = [...this.#open].filter((buffers) => buffers.look(elapsedMs));
+  #check(): void {
+    const elapsedMs = Math.min(MAX_ELAPSED_MS, this.#context.clock.monotonicMs() - this.#checkedAtMs);
+    const waiting = [...this.#open].filter((buffers) => buffers.update(elapsedMs));
     for (const buffers of this.#policy.cuts(waiting, this.#heldBytes)) this.#cut(buffers);
     this.#timer = undefined;
-    if (this.#waitingRunners > 0 || !this.#policy.isCalm(this.#heldBytes)) this.#lookSoon();
+    if (this.#waitingRunners > 0 || !this.#policy.isCalm(this.#heldBytes)) this.#scheduleCheck();
   }
 
   #cut(buffers: CallerBuffers): void {
--- a/src/gateway/buffers/caller-buffers.ts
+++ b/src/gateway/buffers/caller-buffers.ts
@@ -1,37 +1,37 @@
 /** What a gateway holds for one request of a caller, from its head to the last byte that the caller takes. */
 import type { BufferReason } from "../../scheduling/buffers/buffer-reason.ts";
 import type { WaitingCaller } from "../../scheduling/buffers/waiting-caller.ts";
-import type { BufferPool } from "./buffer-pool.ts";
+import type { BufferLimiter } from "./buffer-limiter.ts";
 
 /** What the side that speaks to the caller says of it. */
 export interface CallerProgress {
   /** Bytes that the caller has still to take. */
   unreadBytes(): number;
   /** Bytes that it has taken or sent so far. */
-  movedBytes(): number;
+  transferredBytes(): number;
   /** Whether nothing goes on until the caller takes or sends something. */
-  awaitsCaller(): boolean;
+  isWaitingForCaller(): boolean;
   /** Ends the connection. */
   cut(): void;
 }
 
 /** See the module's comment. */
 export class CallerBuffers implements WaitingCaller {
-  readonly #pool: BufferPool;
+  readonly #limiter: BufferLimiter;
   readonly #held: Record<BufferReason, number> = { answers: 0, collected: 0, bodies: 0, outputs: 0 };
   #progress: CallerProgress | undefined;
-  #movedBytes = 0;
+  #transferredBytes = 0;
   #idleMs = 0;
   /** For the log: the request, once it is known. */
   request = "";
   /** Whether a runner waits until the caller takes something. */
   holdsRunner = false;
   /** Called now and then while a runner waits. */
-  onLook: () => void = () => undefined;
+  onUpdate: () => void = () => undefined;
 
-  constructor(pool: BufferPool) {
-    this.#pool = pool;
-    pool.open(this);
+  constructor(limiter: BufferLimiter) {
+    this.#limiter = limiter;
+    limiter.open(this);
   }
 
   get heldBytes(): number {
@@ -45,30 +45,30 @@
 
   /** Bytes that may wait for the caller before its runner has to wait as well. */
   get readAheadBytes(): number {
-    return this.#pool.readAheadBytes;
+    return this.#limiter.readAheadBytes;
   }
 
   /** Whether there is no room for anything more. */
   get exhausted(): boolean {
-    return this.#pool.exhausted;
+    return this.#limiter.exhausted;
   }
 
   /** Whether there is no room, and this call collects more than its part of an answer that is not whole yet. */
-  get overdrawn(): boolean {
-    return this.#pool.exhausted && this.#held.collected > this.#pool.readAheadBytes;
+  get exceedsShare(): boolean {
+    return this.#limiter.exhausted && this.#held.collected > this.#limiter.readAheadBytes;
   }
 
   /** Sets who speaks to the caller now. */
-  follow(progress: CallerProgress): void {
+  setProgress(progress: CallerProgress): void {
     this.#progress = progress;
-    this.#movedBytes = 0;
+    this.#transferredBytes = 0;
     this.#idleMs = 0;
   }
 
   /** So many bytes more are held. */
   add(reason: BufferReason, bytes: number): void {
     this.#held[reason] += bytes;
-    this.#pool.add(reason, bytes);
+    this.#limiter.add(reason, bytes);
   }
 
   /** So many bytes are held. */
@@ -88,21 +88,21 @@
     this.set("answers", 0);
     this.releaseCall();
     this.#progress = undefined;
-    this.#pool.close(this);
+    this.#limiter.close(this);
   }
 
   /** Takes in what the caller has done in the time since the last look; returns whether it is waited for. */
-  look(elapsedMs: number): boolean {
+  update(elapsedMs: number): boolean {
     const progress = this.#progress;
     if (!progress) return false;
     this.set("answers", progress.unreadBytes());
-    if (this.holdsRunner) this.onLook();
-    const movedBytes = progress.movedBytes();
-    const moved = movedBytes > this.#movedBytes;
-    this.#movedBytes = movedBytes;
-    const awaited = progress.awaitsCaller();
-    this.#idleMs = awaited && !moved ? this.#idleMs + elapsedMs : 0;
-    return awaited;
+    if (this.holdsRunner) this.onUpdate();
+    const transferredBytes = progress.transferredBytes();
+    const moved = transferredBytes > this.#transferredBytes;
+    this.#transferredBytes = transferredBytes;
+    const isWaiting = progress.isWaitingForCaller();
+    this.#idleMs = isWaiting && !moved ? this.#idleMs + elapsedMs : 0;
+    return isWaiting;
   }
 
   /** Ends the caller's connection. */
--- a/src/gateway/calls/plain-call.ts
+++ b/src/gateway/calls/plain-call.ts
@@ -29,7 +29,7 @@
       onData: (chunk) => {
         chunks.push(chunk);
         this.exchange.buffers.add("collected", chunk.length);
-        if (this.exchange.buffers.overdrawn) this.failUnknown("there is no memory for the answer");
+        if (this.exchange.buffers.exceedsShare) this.failUnknown("there is no memory for the answer");
       },
       onEnd: () => this.#answer(head, Buffer.concat(chunks)),
       onFailed: (failure) => this.#onFailed(runner, failure),
--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -12,7 +12,7 @@
 import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
 import type { Urgency } from "../../scheduling/urgency/urgency.ts";
-import type { BufferPool } from "../buffers/buffer-pool.ts";
+import type { BufferLimiter } from "../buffers/buffer-limiter.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { CallerExchange } from "../ingress/caller-exchange.ts";
 import type { PlaceClient } from "../places/place-client.ts";
@@ -43,7 +43,7 @@
   readonly connections: RunnerConnections;
   readonly callLog: CallLog;
   readonly places: PlaceClient;
-  readonly buffers: BufferPool;
+  readonly buffers: BufferLimiter;
 }
 
 /** What one try sends. */
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -250,7 +250,7 @@
     const { buffers } = this.exchange;
     if (buffers.holdsRunner === waits) return;
     buffers.holdsRunner = waits;
-    this.parts.buffers.noteRunner(waits);
+    this.parts.buffers.noteRunnerWaiting(waits);
     if (waits) this.attempt?.pause();
     else this.attempt?.resume();
   }
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -8,7 +8,7 @@
 import { CostByLoad } from "../scheduling/runner-board/cost-by-load.ts";
 import { CostByTime } from "../scheduling/runner-board/cost-by-time.ts";
 import { RunnerBoard } from "../scheduling/runner-board/runner-board.ts";
-import { BufferPool } from "./buffers/buffer-pool.ts";
+import { BufferLimiter } from "./buffers/buffer-limiter.ts";
 import { CallService } from "./calls/call-service.ts";
 import { RoutingWatch } from "./configuration/routing-watch.ts";
 import type { GatewayContext } from "./gateway-context.ts";
@@ -54,7 +54,7 @@
   readonly #runners: RunnerWatch;
   readonly #board: RunnerBoard;
   readonly #connections: RunnerConnections;
-  readonly #buffers: BufferPool;
+  readonly #buffers: BufferLimiter;
   readonly #ingress: IngressServer;
   /** Undefined where callers are told of all gateways alike. */
   readonly #headroom: HeadroomWatch | undefined;
@@ -93,7 +93,7 @@
       gateways: liveGateways,
       maxConnections: (pool) => this.#routing.routes?.pool(pool)?.maxConnections,
     });
-    this.#buffers = new BufferPool(context);
+    this.#buffers = new BufferLimiter(context);
     this.#ingress = new IngressServer(context, this.#buffers);
     const { byHeadroom } = context.settings.balance;
     if (byHeadroom) this.#headroom = new HeadroomWatch(context, () => this.#ingress.active);
--- a/src/gateway/ingress/caller-exchange.ts
+++ b/src/gateway/ingress/caller-exchange.ts
@@ -65,10 +65,10 @@
     this.arrivedAtMs = head.arrivedAtMs;
     this.#response = response;
     this.#endsConnection = endsConnection;
-    buffers.follow({
+    buffers.setProgress({
       unreadBytes: () => this.#unreadBytes,
-      movedBytes: () => this.#writtenBytes - this.#unreadBytes,
-      awaitsCaller: () => this.#unreadBytes > 0,
+      transferredBytes: () => this.#writtenBytes - this.#unreadBytes,
+      isWaitingForCaller: () => this.#unreadBytes > 0,
       cut: () => this.#cutOff(),
     });
     response.on("drain", () => this.#handOver());
@@ -115,7 +115,7 @@
   /** Sets what is called when there is room again for what waits for the caller. */
   onRoom(action: () => void): void {
     this.#onRoom = action;
-    this.buffers.onLook = () => this.#noteRoom();
+    this.buffers.onUpdate = () => this.#noteRoom();
   }
 
   /** The call is over: the body is not needed any more. */
--- a/src/gateway/ingress/ingress-server.ts
+++ b/src/gateway/ingress/ingress-server.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { CallerLimits } from "../../scheduling/routing/routing-configuration.ts";
-import type { BufferPool } from "../buffers/buffer-pool.ts";
+import type { BufferLimiter } from "../buffers/buffer-limiter.ts";
 import { CallerBuffers } from "../buffers/caller-buffers.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { CallerExchange } from "./caller-exchange.ts";
@@ -38,7 +38,7 @@
 /** See the module's comment. */
 export class IngressServer {
   readonly #context: GatewayContext;
-  readonly #pool: BufferPool;
+  readonly #pool: BufferLimiter;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   #limits = FIRST_LIMITS;
@@ -47,7 +47,7 @@
   /** Called with the head of each request. */
   onHead: (head: CallerHead) => HeadVerdict = () => STARTING;
 
-  constructor(context: GatewayContext, pool: BufferPool) {
+  constructor(context: GatewayContext, pool: BufferLimiter) {
     this.#context = context;
     this.#pool = pool;
     this.#server = createServer({
--- a/src/gateway/ingress/read-body.ts
+++ b/src/gateway/ingress/read-body.ts
@@ -19,10 +19,10 @@
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let length = 0;
-    buffers.follow({
+    buffers.setProgress({
       unreadBytes: () => 0,
-      movedBytes: () => length,
-      awaitsCaller: () => length > 0,
+      transferredBytes: () => length,
+      isWaitingForCaller: () => length > 0,
       cut: () => request.destroy(),
     });
     const refuse = (type: "tooLarge" | "noRoom") => {
--- a/test/contract/caller-exchange.test.ts
+++ b/test/contract/caller-exchange.test.ts
@@ -3,7 +3,7 @@
 import { Duplex } from "node:stream";
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
-import { BufferPool } from "../../src/gateway/buffers/buffer-pool.ts";
+import { BufferLimiter } from "../../src/gateway/buffers/buffer-limiter.ts";
 import { CallerBuffers } from "../../src/gateway/buffers/caller-buffers.ts";
 import { CallerExchange } from "../../src/gateway/ingress/caller-exchange.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
@@ -40,7 +40,7 @@
 
 describe("an answer whose caller reads late", () => {
   let server: Server;
-  let pool: BufferPool;
+  let pool: BufferLimiter;
   let buffers: CallerBuffers;
   let connection: LateConnection;
   let exchange: CallerExchange;
@@ -48,7 +48,7 @@
   beforeEach(async () => {
     const context = await gatewayContext("gateway", "127.0.0.1:1");
     const settings = { ...context.settings, buffers: { mostBytes: MOST_BYTES, memoryMb: 1 } };
-    pool = new BufferPool({ ...context, settings });
+    pool = new BufferLimiter({ ...context, settings });
     buffers = new CallerBuffers(pool);
     connection = new LateConnection();
     server = createServer();
@@ -106,16 +106,16 @@
     });
     exchange.start(200, []);
     exchange.write(CHUNK);
-    buffers.look(250);
-    buffers.look(250);
+    buffers.update(250);
+    buffers.update(250);
     expect(buffers.idleMs >= 250).toEqual(true);
     exchange.write(CHUNK);
-    buffers.look(250);
+    buffers.update(250);
     expect(buffers.idleMs >= 500).toEqual(true);
     const taking = connection.takeAll();
     await new Promise((resolve) => setImmediate(resolve));
     await new Promise((resolve) => setImmediate(resolve));
-    buffers.look(250);
+    buffers.update(250);
     expect(buffers.idleMs).toEqual(0);
     buffers.cut();
     exchange.write(CHUNK);
