--- a/src/gateway/buffers/buffer-limiter.ts
+++ b/src/gateway/buffers/buffer-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * Counts what a gateway holds for callers that read slowly, and cuts some when it is too much. Who, the policy says; while
- * little is held there is no timer, and nobody is looked at.
+ * Counts the bytes that a gateway holds for slow callers, and ends the connections of some callers when there are too many
+ * bytes. The policy selects the callers. While few bytes are held, no timer runs and no callers are checked.
  */
 import type { TimerHandle } from "../../runtime/clock.ts";
 import { BufferPolicy } from "../../scheduling/buffers/buffer-policy.ts";
@@ -8,18 +8,17 @@
 import type { GatewayContext } from "../gateway-context.ts";
 import type { CallerBuffers } from "./caller-buffers.ts";
 
-/** Time between two looks at callers, in ms. */
+/** Time between two checks of the callers, in ms. */
 const CHECK_INTERVAL_MS = 250;
-/** Time that one look counts for at most, in ms: callers could not be seen to read while this process stood still. */
+/** Maximum time that a check counts as elapsed, in ms: while this process was paused, it could not see callers read. */
 const MAX_ELAPSED_MS = 2 * CHECK_INTERVAL_MS;
 /**
- * Part of the process's memory that may be held. On a small machine a gateway without callers fills a third of it, and the
- * runtime leaves another third of buffers that have been used uncollected.
+ * Fraction of the process's memory that may be held. On a small machine, a gateway without callers uses a third of the
+ * memory, and used buffers that the runtime has not collected yet take another third.
  */
 const MEMORY_FRACTION = 0.15;
 const BYTES_PER_MEGABYTE = 1_000_000;
 
-/** See the module's comment. */
 export class BufferLimiter {
   readonly #context: GatewayContext;
   readonly #policy: BufferPolicy;
@@ -41,44 +40,44 @@
     return this.#heldBytes;
   }
 
-  /** Bytes held for all callers for one reason. */
+  /** Bytes held for all callers for a given reason. */
   heldFor(reason: BufferReason): number {
     return this.#held[reason];
   }
 
-  /** Whether there is no room for anything more. */
+  /** Whether the limit is exceeded. */
   get exhausted(): boolean {
     return this.#policy.exceeds(this.#heldBytes);
   }
 
-  /** Bytes that may wait for one caller before its runner has to wait as well. */
+  /** Bytes that may be buffered for one caller before its runner has to wait. */
   get readAheadBytes(): number {
     return this.#policy.readAheadBytes(this.#heldBytes);
   }
 
-  /** Whether a request that brings so many bytes is refused. */
+  /** Whether a request with a body of this size must be refused. */
   refuses(bodyBytes: number): boolean {
     return this.#policy.refuses(this.#heldBytes, bodyBytes);
   }
 
-  /** A request has come. */
+  /** Registers the buffers of a new request. */
   open(buffers: CallerBuffers): void {
     this.#open.add(buffers);
   }
 
-  /** A request is over. */
+  /** Unregisters the buffers of a request that is over. */
   close(buffers: CallerBuffers): void {
     this.#open.delete(buffers);
   }
 
-  /** So many bytes more are held. */
+  /** Counts bytes that are held in addition; negative when fewer are held. */
   add(reason: BufferReason, bytes: number): void {
     this.#held[reason] += bytes;
     this.#heldBytes += bytes;
     if (this.#timer === undefined && !this.#policy.isCalm(this.#heldBytes)) this.#scheduleCheck();
   }
 
-  /** A runner begins to wait for a caller, or does so no longer. */
+  /** Counts a runner that begins to wait for a caller, or that stops waiting. */
   noteRunnerWaiting(isWaiting: boolean): void {
     this.#waitingRunners += isWaiting ? 1 : -1;
     if (isWaiting && this.#timer === undefined) this.#scheduleCheck();
--- a/src/gateway/buffers/caller-buffers.ts
+++ b/src/gateway/buffers/caller-buffers.ts
@@ -1,32 +1,31 @@
-/** What a gateway holds for one request of a caller, from its head to the last byte that the caller takes. */
+/** Tracks the bytes held for one request of a caller, from the request's head to the last byte that the caller reads. */
 import type { BufferReason } from "../../scheduling/buffers/buffer-reason.ts";
 import type { WaitingCaller } from "../../scheduling/buffers/waiting-caller.ts";
 import type { BufferLimiter } from "./buffer-limiter.ts";
 
-/** What the side that speaks to the caller says of it. */
+/** The state of a caller's connection, as seen by the code that reads from it or writes to it. */
 export interface CallerProgress {
-  /** Bytes that the caller has still to take. */
+  /** Bytes that the caller has not read yet. */
   unreadBytes(): number;
-  /** Bytes that it has taken or sent so far. */
+  /** Bytes that the caller has read or sent so far. */
   transferredBytes(): number;
-  /** Whether nothing goes on until the caller takes or sends something. */
+  /** Whether the request can't proceed until the caller reads or sends something. */
   isWaitingForCaller(): boolean;
-  /** Ends the connection. */
+  /** Ends the caller's connection. */
   cut(): void;
 }
 
-/** See the module's comment. */
 export class CallerBuffers implements WaitingCaller {
   readonly #limiter: BufferLimiter;
   readonly #held: Record<BufferReason, number> = { answers: 0, collected: 0, bodies: 0, outputs: 0 };
   #progress: CallerProgress | undefined;
   #transferredBytes = 0;
   #idleMs = 0;
-  /** For the log: the request, once it is known. */
+  /** The request's ID for the log, once it is known. */
   request = "";
-  /** Whether a runner waits until the caller takes something. */
+  /** Whether a runner waits for the caller to read. */
   holdsRunner = false;
-  /** Called now and then while a runner waits. */
+  /** Called at each check while a runner waits. */
   onUpdate: () => void = () => undefined;
 
   constructor(limiter: BufferLimiter) {
@@ -43,47 +42,47 @@
     return this.#idleMs;
   }
 
-  /** Bytes that may wait for the caller before its runner has to wait as well. */
+  /** Bytes that may be buffered for the caller before its runner has to wait. */
   get readAheadBytes(): number {
     return this.#limiter.readAheadBytes;
   }
 
-  /** Whether there is no room for anything more. */
+  /** Whether the gateway holds more bytes than its limit. */
   get exhausted(): boolean {
     return this.#limiter.exhausted;
   }
 
-  /** Whether there is no room, and this call collects more than its part of an answer that is not whole yet. */
+  /** Whether the limit is exceeded, and this call has collected more than its share of an answer that is still incomplete. */
   get exceedsShare(): boolean {
     return this.#limiter.exhausted && this.#held.collected > this.#limiter.readAheadBytes;
   }
 
-  /** Sets who speaks to the caller now. */
+  /** Sets the source of the connection's state, and starts to measure its idle time again. */
   setProgress(progress: CallerProgress): void {
     this.#progress = progress;
     this.#transferredBytes = 0;
     this.#idleMs = 0;
   }
 
-  /** So many bytes more are held. */
+  /** Counts bytes that are held in addition; negative when fewer are held. */
   add(reason: BufferReason, bytes: number): void {
     this.#held[reason] += bytes;
     this.#limiter.add(reason, bytes);
   }
 
-  /** So many bytes are held. */
+  /** Sets the number of bytes held for a reason. */
   set(reason: BufferReason, bytes: number): void {
     this.add(reason, bytes - this.#held[reason]);
   }
 
-  /** Nothing is held for the call any more but what its caller has still to take. */
+  /** Releases everything held for the call, except for what its caller has not read yet. */
   releaseCall(): void {
     this.set("collected", 0);
     this.set("bodies", 0);
     this.set("outputs", 0);
   }
 
-  /** The caller has everything, or is gone. */
+  /** Releases everything: the caller has read the whole answer, or is gone. */
   close(): void {
     this.set("answers", 0);
     this.releaseCall();
@@ -91,7 +90,7 @@
     this.#limiter.close(this);
   }
 
-  /** Takes in what the caller has done in the time since the last look; returns whether it is waited for. */
+  /** Updates the state by what the caller did since the last check; returns whether the request waits for the caller. */
   update(elapsedMs: number): boolean {
     const progress = this.#progress;
     if (!progress) return false;
