--- a/bench/simulation/gateways/tenant-workload.ts
+++ b/bench/simulation/gateways/tenant-workload.ts
@@ -126,7 +126,7 @@
   if (!gateway || !used) return;
   const sentAtMs = world.time.nowMs;
   const { routes } = gateway.routing;
-  const known = gateway.routing.isCurrent ? routes?.tenantOf(used.key) : undefined;
+  const known = gateway.routing.canTrustKeys ? routes?.tenantOf(used.key) : undefined;
   if (!known || !routes) return;
   if (used.revokedAtMs !== undefined && sentAtMs - used.revokedAtMs > revokeMs)
     broken.push(`key: ${used.key} was used ${sentAtMs - used.revokedAtMs} ms after its end`);
--- a/src/gateway/configuration/follow-log.ts
+++ b/src/gateway/configuration/follower-log.ts
@@ -5,7 +5,7 @@
 import type { Logger } from "pino";
 
 /** A call for the table that was refused or not answered. */
-export interface FailedFollowCall {
+export interface FailedTableCall {
   readonly call: "read" | "watch";
   /** Names the way to the store and what it gave. */
   readonly detail: string;
@@ -14,18 +14,18 @@
 }
 
 /** See the module's comment. */
-export class FollowLog {
+export class FollowerLog {
   readonly #log: Logger;
   readonly #table: string;
   #failures = 0;
-  #longest: FailedFollowCall | undefined;
+  #longest: FailedTableCall | undefined;
 
   constructor(log: Logger, table: string) {
     this.#log = log;
     this.#table = table;
   }
 
-  failed(failed: FailedFollowCall): void {
+  failed(failed: FailedTableCall): void {
     this.#failures += 1;
     if (!this.#longest || failed.lastedMs > this.#longest.lastedMs) this.#longest = failed;
     if (this.#failures === 1) this.#log.info({ table: this.#table, ...failed }, "table not followed");
--- a/src/gateway/configuration/routing-watch.ts
+++ b/src/gateway/configuration/routing-watch.ts
@@ -15,7 +15,7 @@
  * Within what time a configuration must be known where keys are only trusted for some time, in ms. The age of what is in
  * force stays below that, and the time of two answers; the store takes one call a second of each gateway for it.
  */
-const KEYED_MAX_STALENESS_MS = 2_000;
+const MAX_STALENESS_WITH_REVOCATION_MS = 2_000;
 /**
  * Keys are trusted for so much less than operators allow, in ms: a feed may say nothing of a change for a second before
  * it says that its history is gone.
@@ -32,7 +32,7 @@
   readonly #unreadable: UnreadableRows;
   #table: RouteTable | undefined;
   /** Whether the store has a configuration that can't be read: it may be newer than the one in force. */
-  #isSpoilt = false;
+  #hasUnreadableRow = false;
   /** Called when a newer configuration has come into force. */
   onChanged: (table: RouteTable) => void = () => undefined;
 
@@ -41,21 +41,21 @@
     const { configurationTable, configurationKey } = context.platform.records;
     const { keys, timing } = context.settings;
     const { configurationMs } = timing;
-    const keyedMs = Math.min(KEYED_MAX_STALENESS_MS, configurationMs);
+    const stalenessWithRevocationMs = Math.min(MAX_STALENESS_WITH_REVOCATION_MS, configurationMs);
     this.#unreadable = new UnreadableRows(context, configurationTable);
-    const take = (rows: readonly { readonly key: string; readonly value: Buffer | undefined }[]) => {
-      for (const { key, value } of rows) if (key === configurationKey && value) this.#take(value);
+    const applyRows = (rows: readonly { readonly key: string; readonly value: Buffer | undefined }[]) => {
+      for (const { key, value } of rows) if (key === configurationKey && value) this.#applyRow(value);
     };
     this.#follower = new TableFollower(
       context,
       health,
       configurationTable,
       {
-        onTable: take,
-        onChanges: take,
-        onCurrent: (askedAtMs) => this.#confirm(askedAtMs),
+        onTable: applyRows,
+        onChanges: applyRows,
+        onCurrent: (askedAtMs) => this.#confirmCurrent(askedAtMs),
       },
-      { maxStalenessMs: keys.revokeMs === undefined ? configurationMs : keyedMs },
+      { maxStalenessMs: keys.revokeMs === undefined ? configurationMs : stalenessWithRevocationMs },
     );
   }
 
@@ -68,7 +68,7 @@
    * Whether a key that the configuration in force has may be trusted now: no newer one was acknowledged so long ago that
    * it must be in force.
    */
-  get isCurrent(): boolean {
+  get canTrustKeys(): boolean {
     const { clock, settings } = this.#context;
     const { revokeMs } = settings.keys;
     if (revokeMs === undefined) return true;
@@ -88,8 +88,8 @@
     this.#follower.stop();
   }
 
-  #confirm(askedAtMs: number): void {
-    if (!this.#table || this.#isSpoilt) return;
+  #confirmCurrent(askedAtMs: number): void {
+    if (!this.#table || this.#hasUnreadableRow) return;
     this.#snapshot.read(
       String(this.#table.configuration.version),
       askedAtMs,
@@ -97,9 +97,9 @@
     );
   }
 
-  #take(value: Buffer): void {
+  #applyRow(value: Buffer): void {
     const configuration = this.#parse(value);
-    this.#isSpoilt = configuration === undefined;
+    this.#hasUnreadableRow = configuration === undefined;
     if (!configuration) return;
     const { version } = configuration;
     if (this.#table && this.#table.configuration.version >= version) return;
--- a/src/gateway/configuration/table-follower.ts
+++ b/src/gateway/configuration/table-follower.ts
@@ -6,13 +6,13 @@
 import { delay } from "../../runtime/clock.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { StoreHealth } from "../store-health.ts";
-import { type FailedFollowCall, FollowLog } from "./follow-log.ts";
+import { type FailedTableCall, FollowerLog } from "./follower-log.ts";
 
 /** Longest wait for changes, in ms: answers to waits also show that the store is reached. */
-const LONGEST_WAIT_MS = 2_000;
+const MAX_WAIT_MS = 2_000;
 /** A wait lasts for this part of the time within which a change must be known: the rest is for an answer that is lost. */
-const WAIT_PART = 0.5;
-const RETRY_MS = 100;
+const WAIT_FRACTION = 0.5;
+const RETRY_DELAY_MS = 100;
 
 /** What a follower gives. */
 export interface TableListener {
@@ -43,7 +43,7 @@
   readonly #listener: TableListener;
   readonly #pauseMs: number;
   readonly #waitMs: number;
-  readonly #log: FollowLog;
+  readonly #log: FollowerLog;
   #stopped = false;
   /** Version of the store up to which the listener knows everything. */
   #version = 0;
@@ -62,8 +62,8 @@
     this.#table = table;
     this.#listener = listener;
     this.#pauseMs = pauseMs;
-    this.#waitMs = Math.min(LONGEST_WAIT_MS, Math.floor(maxStalenessMs * WAIT_PART));
-    this.#log = new FollowLog(context.log, table);
+    this.#waitMs = Math.min(MAX_WAIT_MS, Math.floor(maxStalenessMs * WAIT_FRACTION));
+    this.#log = new FollowerLog(context.log, table);
     this.#currentAtMs = context.clock.monotonicMs();
   }
 
@@ -86,7 +86,7 @@
       while (read && !this.#stopped) {
         if (!(await this.#watchOnce())) break;
       }
-      await delay(this.#context.clock, RETRY_MS);
+      await delay(this.#context.clock, RETRY_DELAY_MS);
     }
   }
 
@@ -125,7 +125,7 @@
     if (outcome.type === "historyGone") return false;
     if (outcome.type !== "changes") {
       this.#noteFailed("watch", outcome, askedAtMs);
-      await delay(this.#context.clock, RETRY_MS);
+      await delay(this.#context.clock, RETRY_DELAY_MS);
       return true;
     }
     if (outcome.changes.length > 0) this.#listener.onChanges(outcome.changes);
@@ -136,7 +136,7 @@
   }
 
   #noteFailed(
-    call: FailedFollowCall["call"],
+    call: FailedTableCall["call"],
     { detail }: StoreRefusal | StoreSilence,
     askedAtMs: number,
   ): void {
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -121,7 +121,7 @@
     };
     const rates = new RateClient(context, this.#members, this.#partitions, this.#rpc);
     const routes = () => (this.#canServe ? this.#routing.routes : undefined);
-    const calls = new CallService(parts, client, rates, routes, () => this.#routing.isCurrent);
+    const calls = new CallService(parts, client, rates, routes, () => this.#routing.canTrustKeys);
     this.#ingress.onHead = (head) => calls.decide(head);
     this.#routing.onChanged = (routes) => {
       this.#ingress.setLimits(routes.configuration.limits);
--- a/test/contract/routing-watch.test.ts
+++ b/test/contract/routing-watch.test.ts
@@ -17,11 +17,11 @@
 const UNUSED = "127.0.0.1:1";
 const REVOKE_MS = 5_000;
 const END_MS = 60_000;
-const LOOK_MS = 20;
+const CHECK_INTERVAL_MS = 20;
 const KEYS = ["first", "second", "third", "fourth"];
 const PATHS: readonly StorePath[] = ["open", "open", "cut", "answersLost"];
 
-interface Trial {
+interface Setup {
   readonly time: VirtualTime;
   readonly store: SharedStore;
   readonly random: SeededRandomSource;
@@ -33,7 +33,7 @@
   readonly accepts: (key: string) => boolean;
 }
 
-async function start(seed: number): Promise<Trial> {
+async function start(seed: number): Promise<Setup> {
   const time = new VirtualTime();
   const random = new SeededRandomSource(seed);
   const store = new SharedStore(time, random);
@@ -57,7 +57,7 @@
     const put = { table: "op", part: "", key: "config", value };
     store.model.transact({ conditions: [], puts: [put], removes: [] });
   };
-  const accepts = (key: string) => watch.isCurrent && watch.routes?.tenantOf(digestOf(key)) !== undefined;
+  const accepts = (key: string) => watch.canTrustKeys && watch.routes?.tenantOf(digestOf(key)) !== undefined;
   configure(KEYS);
   watch.start();
   return { time, store, random, clock, path, watch, configure, accepts };
@@ -67,9 +67,9 @@
   for (let seed = 1; seed <= 40; seed += 1) {
     it(`are trusted no longer than promised, seed ${seed}`, async () => {
       const { time, store, random, clock, path, configure, accepts } = await start(spreadSeed(seed));
-      const kept = [...KEYS];
-      const goneAtMs = new Map<string, number>();
-      const strike = (): void => {
+      const remainingKeys = [...KEYS];
+      const revokedAtMs = new Map<string, number>();
+      const injectFault = (): void => {
         path.path = PATHS[random.below(PATHS.length)] ?? "open";
         store.conditions.outage = random.unit() < 0.2 ? "busy" : "none";
         if (random.unit() < 0.2) store.model.compact();
@@ -77,21 +77,21 @@
           clock.freeze();
           time.after(random.unit() * 6_000, () => clock.wake());
         }
-        time.after(500 + random.unit() * 6_000, strike);
+        time.after(500 + random.unit() * 6_000, injectFault);
       };
       const revoke = (): void => {
-        const key = kept.pop();
+        const key = remainingKeys.pop();
         if (key === undefined) return;
-        configure(kept);
-        goneAtMs.set(key, time.nowMs);
+        configure(remainingKeys);
+        revokedAtMs.set(key, time.nowMs);
         time.after(random.unit() * 15_000, revoke);
       };
-      time.after(3_000, strike);
+      time.after(3_000, injectFault);
       time.after(3_000 + random.unit() * 10_000, revoke);
-      for (let nowMs = 0; nowMs < END_MS; nowMs += LOOK_MS) {
+      for (let nowMs = 0; nowMs < END_MS; nowMs += CHECK_INTERVAL_MS) {
         await time.runUntil(nowMs);
         if (clock.frozen) continue;
-        for (const [key, atMs] of goneAtMs)
+        for (const [key, atMs] of revokedAtMs)
           if (nowMs - atMs > REVOKE_MS)
             expect([seed, key, nowMs, accepts(key)]).toEqual([seed, key, nowMs, false]);
       }
--- a/test/contract/spoilt-rows.test.ts
+++ b/test/contract/spoilt-rows.test.ts
@@ -135,7 +135,7 @@
     const { context, put } = await start();
     const settings = { ...context.settings, keys: { revokeMs: TRUST_MS + 1_000 } };
     const watch = new RoutingWatch({ ...context, settings }, new StoreHealth(context));
-    const trusts = () => watch.isCurrent;
+    const trusts = () => watch.canTrustKeys;
     const configuration = { version: 1, routes: [], services: [], limits: {} };
     const versions: number[] = [];
     watch.onChanged = ({ configuration: { version } }) => void versions.push(version);
