--- a/src/gateway/configuration/follower-log.ts
+++ b/src/gateway/configuration/follower-log.ts
@@ -1,19 +1,18 @@
 /**
- * What an operator reads when news of a table stays away: one line when following it begins to fail, and one when it
- * works again, however many calls failed in between.
+ * Logs when a table can't be followed: one line when calls begin to fail, and one when they succeed again, however many
+ * calls failed in between.
  */
 import type { Logger } from "pino";
 
-/** A call for the table that was refused or not answered. */
+/** A store call for the table that was refused or not answered. */
 export interface FailedTableCall {
   readonly call: "read" | "watch";
-  /** Names the way to the store and what it gave. */
+  /** Names the route to the store and the result. */
   readonly detail: string;
   /** How long the call lasted, in ms. */
   readonly lastedMs: number;
 }
 
-/** See the module's comment. */
 export class FollowerLog {
   readonly #log: Logger;
   readonly #table: string;
@@ -31,7 +30,7 @@
     if (this.#failures === 1) this.#log.info({ table: this.#table, ...failed }, "table not followed");
   }
 
-  /** @param behindMs for how long nothing newer of the table can have been known, in ms */
+  /** @param behindMs upper bound on how outdated the known table was, in ms */
   followed(behindMs: number): void {
     if (this.#failures === 0) return;
     const failures = this.#failures;
--- a/src/gateway/configuration/routing-watch.ts
+++ b/src/gateway/configuration/routing-watch.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the newest routing configuration of the operators in force; never goes back to an older one. It knows for how
- * long nothing newer can have been acknowledged, so that a key that operators take away is trusted no longer than they
- * are promised, on gateways too that the news does not reach.
+ * Applies the operators' newest routing configuration, and never goes back to an older one. It also tracks how outdated the
+ * configuration in force may be, so that a revoked key is not trusted for longer than operators are promised, even on
+ * gateways that the new configuration does not reach.
  */
 import { SnapshotRelay } from "../../coordination/snapshot-relay/index.ts";
 import { RouteTable } from "../../scheduling/routing/route-table.ts";
@@ -12,28 +12,27 @@
 import { TableFollower } from "./table-follower.ts";
 
 /**
- * Within what time a configuration must be known where keys are only trusted for some time, in ms. The age of what is in
- * force stays below that, and the time of two answers; the store takes one call a second of each gateway for it.
+ * Maximum staleness of the configuration when keys are trusted for a limited time only, in ms. The age of the configuration
+ * in force stays below this plus the time of two answers. It costs the store one call a second from each gateway.
  */
 const MAX_STALENESS_WITH_REVOCATION_MS = 2_000;
 /**
- * Keys are trusted for so much less than operators allow, in ms: a feed may say nothing of a change for a second before
- * it says that its history is gone.
+ * Keys are trusted for this much less than operators allow, in ms: a change feed may fail to report a change for up to a
+ * second before it reports that its history is gone.
  */
 const TRUST_MARGIN_MS = 1_000;
-/** The gateways tell each other nothing of the configuration: each reads it itself. */
+/** Gateways do not relay the configuration to each other: each reads it from the store. */
 const NO_RELAY_MS = 0;
 
-/** See the module's comment. */
 export class RoutingWatch {
   readonly #context: GatewayContext;
   readonly #follower: TableFollower;
   readonly #snapshot = new SnapshotRelay(NO_RELAY_MS);
   readonly #unreadable: UnreadableRows;
   #table: RouteTable | undefined;
-  /** Whether the store has a configuration that can't be read: it may be newer than the one in force. */
+  /** Whether the store holds a configuration that can't be parsed; it may be newer than the one in force. */
   #hasUnreadableRow = false;
-  /** Called when a newer configuration has come into force. */
+  /** Called when a newer configuration has been applied. */
   onChanged: (table: RouteTable) => void = () => undefined;
 
   constructor(context: GatewayContext, health: StoreHealth) {
@@ -65,8 +64,8 @@
   }
 
   /**
-   * Whether a key that the configuration in force has may be trusted now: no newer one was acknowledged so long ago that
-   * it must be in force.
+   * Whether the keys of the configuration in force may be trusted now. They may not once a newer configuration may have been
+   * acknowledged so long ago that it would have to be in force.
    */
   get canTrustKeys(): boolean {
     const { clock, settings } = this.#context;
@@ -75,7 +74,7 @@
     return this.#snapshot.ageMs(clock.monotonicMs()) <= revokeMs - TRUST_MARGIN_MS;
   }
 
-  /** For how long nothing newer than what is in force can have been known, in ms. */
+  /** Upper bound on how outdated the configuration in force is, in ms. */
   get behindMs(): number {
     return this.#follower.behindMs;
   }
--- a/src/gateway/configuration/table-follower.ts
+++ b/src/gateway/configuration/table-follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one table of the store: reads it whole, then waits for changes, and reads it anew when the history is gone.
- * What it gives never goes back: an answer that is older than one before is asked for again.
+ * Follows one table of the store: reads the whole table, then waits for changes, and reads the table again when the history
+ * of changes is gone. The listener never receives an older state: a read that returns one is repeated.
  */
 import type { RowChange, StoredRow, StoreRefusal, StoreSilence } from "../../ports/store/row-store.ts";
 import { delay } from "../../runtime/clock.ts";
@@ -8,34 +8,33 @@
 import type { StoreHealth } from "../store-health.ts";
 import { type FailedTableCall, FollowerLog } from "./follower-log.ts";
 
-/** Longest wait for changes, in ms: answers to waits also show that the store is reached. */
+/** Maximum wait for changes, in ms: answers to waits also show that the store is reachable. */
 const MAX_WAIT_MS = 2_000;
-/** A wait lasts for this part of the time within which a change must be known: the rest is for an answer that is lost. */
+/** A wait lasts for this fraction of the maximum staleness: the rest is reserved for an answer that is lost. */
 const WAIT_FRACTION = 0.5;
 const RETRY_DELAY_MS = 100;
 
-/** What a follower gives. */
+/** Receives the state of a table from its follower. */
 export interface TableListener {
-  /** The table as a whole. */
+  /** Receives the whole table. */
   onTable(rows: readonly StoredRow[]): void;
   onChanges(changes: readonly RowChange[]): void;
   /**
-   * What was given is the table as it was at some moment since then.
+   * The state received so far is the table as it was at or after `askedAtMs`.
    *
    * @param askedAtMs when the store was asked, in ms of the monotonic clock
    */
   onCurrent?(askedAtMs: number): void;
 }
 
-/** How a table is followed. */
+/** Options of a TableFollower. */
 export interface TableFollowerOptions {
-  /** Within what time a change must be known, in ms. */
+  /** Maximum staleness: the time within which a change must be known, in ms. */
   readonly maxStalenessMs: number;
-  /** Least time between two waits, in ms: for tables that change all the time. */
+  /** Minimum pause between two waits, in ms: for tables that change all the time. */
   readonly pauseMs?: number;
 }
 
-/** See the module's comment. */
 export class TableFollower {
   readonly #context: GatewayContext;
   readonly #health: StoreHealth;
@@ -45,9 +44,9 @@
   readonly #waitMs: number;
   readonly #log: FollowerLog;
   #stopped = false;
-  /** Version of the store up to which the listener knows everything. */
+  /** The store's version up to which the listener has received all changes. */
   #version = 0;
-  /** What was given is the table as it was at some moment since then, in ms of the monotonic clock. */
+  /** The state given to the listener is the table as it was at or after this time, in ms of the monotonic clock. */
   #currentAtMs: number;
 
   constructor(
@@ -67,7 +66,7 @@
     this.#currentAtMs = context.clock.monotonicMs();
   }
 
-  /** For how long nothing newer of the table can have been known, in ms; since the start, until it has been read. */
+  /** Upper bound on how outdated the known table is, in ms; counts from the start until the table has been read. */
   get behindMs(): number {
     return this.#context.clock.monotonicMs() - this.#currentAtMs;
   }
@@ -104,7 +103,7 @@
         return false;
       }
       if (read.version < this.#version) return false;
-      // Pages are of different moments: what changed in between comes with the watch from the first one's version.
+      // Pages are read at different times: watching from the first page's version also delivers what changed in between.
       version ??= read.version;
       rows.push(...read.rows);
       const last = read.rows.at(-1);
@@ -117,7 +116,7 @@
     return true;
   }
 
-  /** Waits for changes once; false when the table has to be read anew. */
+  /** Waits for changes once; returns false when the table has to be read again. */
   async #watchOnce(): Promise<boolean> {
     const askedAtMs = this.#context.clock.monotonicMs();
     const outcome = await this.#context.platform.store.watch(this.#table, this.#version, this.#waitMs);
--- a/test/contract/routing-watch.test.ts
+++ b/test/contract/routing-watch.test.ts
@@ -1,4 +1,4 @@
-/** Keys that operators take away: no gateway trusts one for longer than promised, whatever keeps the news from it. */
+/** Tests that no gateway trusts a revoked key for longer than promised, whatever faults delay the new configuration. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import {
@@ -28,7 +28,7 @@
   readonly clock: SimulatedProcess;
   readonly path: SimulatedRowStore;
   readonly watch: RoutingWatch;
-  /** Writes a configuration with these keys. */
+  /** Writes a configuration with the given keys. */
   readonly configure: (keys: readonly string[]) => void;
   readonly accepts: (key: string) => boolean;
 }
@@ -63,9 +63,9 @@
   return { time, store, random, clock, path, watch, configure, accepts };
 }
 
-describe("keys that are taken away", () => {
+describe("API keys", () => {
   for (let seed = 1; seed <= 40; seed += 1) {
-    it(`are trusted no longer than promised, seed ${seed}`, async () => {
+    it(`are not trusted for longer than promised after their revocation, seed ${seed}`, async () => {
       const { time, store, random, clock, path, configure, accepts } = await start(spreadSeed(seed));
       const remainingKeys = [...KEYS];
       const revokedAtMs = new Map<string, number>();
@@ -98,7 +98,7 @@
     });
   }
 
-  it("are gone at once where the store is reached, and all others go on", async () => {
+  it("are rejected promptly after their revocation when the store is reachable, and all others stay valid", async () => {
     const { time, configure, accepts } = await start(1);
     await time.runUntil(10_000);
     expect(KEYS.map(accepts)).toEqual([true, true, true, true]);
@@ -109,11 +109,11 @@
     expect(accepts("first")).toEqual(true);
   });
 
-  it("makes keys wait in an outage that outlasts the promise, and only then", async () => {
+  it("are all rejected in an outage that lasts longer than the promised time, and not before", async () => {
     const { time, store, accepts } = await start(1);
     await time.runUntil(10_000);
     store.conditions.outage = "busy";
-    // The last proof is younger than a wait and its answer when the outage begins.
+    // When the outage begins, the last confirmation is not older than one wait and its answer.
     await time.runUntil(10_000 + REVOKE_MS - 1_000 - 1_100);
     expect(accepts("first")).toEqual(true);
     await time.runUntil(10_000 + REVOKE_MS);
--- a/test/contract/table-follower.test.ts
+++ b/test/contract/table-follower.test.ts
@@ -1,4 +1,4 @@
-/** How long a follower of a table waits for changes at a time. */
+/** Tests how long each wait of a table follower for changes is. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { SharedStore, SimulatedRowStore } from "../../bench/simulation/gateways/simulated-row-store.ts";
