--- a/bench/mutations/gateway-mutations.ts
+++ b/bench/mutations/gateway-mutations.ts
@@ -75,8 +75,8 @@
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
-        from: "return this.#host.storeTurn(turn, content, patienceMs);",
-        to: "return Promise.resolve(true || this.#host.storeTurn(turn, content, patienceMs));",
+        from: "return this.#host.storeTurn(turn, content, timeoutMs);",
+        to: "return Promise.resolve(true || this.#host.storeTurn(turn, content, timeoutMs));",
       },
     ],
     script,
@@ -88,8 +88,8 @@
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
-        from: "return this.#host.storeTurn(turn, content, patienceMs);",
-        to: "const stored = this.#host.storeTurn(turn, content, patienceMs);\n    return Promise.race([stored, delay(this.#context.clock, 200).then(() => true)]);",
+        from: "return this.#host.storeTurn(turn, content, timeoutMs);",
+        to: "const stored = this.#host.storeTurn(turn, content, timeoutMs);\n    return Promise.race([stored, delay(this.#context.clock, 200).then(() => true)]);",
       },
     ],
     script,
@@ -127,8 +127,8 @@
     edits: [
       {
         file: "src/gateway/partitions/partition-host.ts",
-        from: "if (isDoubtful && (await this.#isWritten(partition, row))) return undefined;",
-        to: "if (isDoubtful) return undefined;",
+        from: "if (mayBeOwned && (await this.#isOwnerWriting(partition, row))) return undefined;",
+        to: "if (mayBeOwned) return undefined;",
       },
     ],
     script,
--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -77,7 +77,7 @@
         to: "this.#unreadable = new Set();",
       },
     ],
-    script: "test/contract/spoilt-rows.test.ts",
+    script: "test/contract/corrupt-rows.test.ts",
     args: [],
   },
 ];
--- a/bench/mutations/soak-mutations.ts
+++ b/bench/mutations/soak-mutations.ts
@@ -62,8 +62,8 @@
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
-        from: "return this.#host.storeTurn(turn, content, patienceMs);",
-        to: "return Promise.resolve(true || this.#host.storeTurn(turn, content, patienceMs));",
+        from: "return this.#host.storeTurn(turn, content, timeoutMs);",
+        to: "return Promise.resolve(true || this.#host.storeTurn(turn, content, timeoutMs));",
       },
     ],
     script,
--- a/bench/simulation/gateways/gateway-workload.ts
+++ b/bench/simulation/gateways/gateway-workload.ts
@@ -141,7 +141,7 @@
     tokens,
   };
   const request: EndTurnRequest = { ...context, tokens, runner: undefined, retained: undefined };
-  const isKept = await orDeath(gateway, world, gateway.client.store(turn, retained, PATIENCE_MS));
+  const isKept = await orDeath(gateway, world, gateway.client.storeTurn(turn, retained, PATIENCE_MS));
   if (!isKept) {
     void gateway.client.end(request);
     return "failed";
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -297,7 +297,7 @@
       ...(this.#budget ? { tokens: this.#tokens } : {}),
     };
     const { requestId } = this.call;
-    const isStored = await this.#partitions.store(requestId, content, Math.max(0, this.leftMs));
+    const isStored = await this.#partitions.storeTurn(requestId, content, Math.max(0, this.leftMs));
     // The caller has gone, or its time is over: the owner was told then.
     if (this.over) return false;
     this.#noteRetention(isStored ? "store" : "nobody", atMs);
--- a/src/gateway/partitions/owned-partition.ts
+++ b/src/gateway/partitions/owned-partition.ts
@@ -38,13 +38,13 @@
 const WHOLE_PROGRAM = "";
 
 /** How much earlier than its asker gives up the owner says that a grant is not recorded yet, in ms. */
-const ANSWER_MS = 100;
+const ANSWER_MARGIN_MS = 100;
 
 /** The partition has another owner now. */
 export const MOVED = "moved";
 
 /** What an owned partition is made of. */
-export interface OwnedPartitionParts {
+export interface OwnedPartitionOptions {
   readonly context: GatewayContext;
   readonly health: StoreHealth;
   readonly partition: number;
@@ -65,18 +65,18 @@
   readonly #unreadable: ReadonlySet<ProgramId>;
   readonly #turns: RetainedTurns;
   readonly #writer: PartitionWriter;
-  #releasing = false;
+  #isReleasing = false;
 
   /** @param stored the accounts of the partition's programs, as the store has them */
-  constructor(parts: OwnedPartitionParts, stored: StoredAccounts) {
-    this.#context = parts.context;
-    this.partition = parts.partition;
-    this.epoch = parts.epoch;
-    this.#turns = new RetainedTurns(parts.context, () => parts.health.newestVersion, parts.findTurn);
-    this.#writer = new PartitionWriter(parts);
+  constructor(options: OwnedPartitionOptions, stored: StoredAccounts) {
+    this.#context = options.context;
+    this.partition = options.partition;
+    this.epoch = options.epoch;
+    this.#turns = new RetainedTurns(options.context, () => options.health.newestVersion, options.findTurn);
+    this.#writer = new PartitionWriter(options);
     this.#unreadable = stored.unreadable;
     for (const [program, account] of stored.accounts)
-      this.#remember(
+      this.#addProgram(
         program,
         new TokenAccount(account),
         account.open.map(([turn]) => turn as RequestId),
@@ -85,13 +85,13 @@
 
   /** Answers whether a turn may run; see {@link AdmitTurnRequest}. */
   async admit(request: AdmitTurnRequest): Promise<AdmitTurnResponse | typeof MOVED> {
-    if (this.#releasing) return MOVED;
+    if (this.#isReleasing) return MOVED;
     if (request.budget && this.#unreadable.has(request.program))
       return { type: "unavailable", detail: "the program's account cannot be read" };
-    const program = this.#program(request.program);
+    const program = this.#getOrAddProgram(request.program);
     let reserved = this.#reserve(program, request);
     if (reserved === "exhausted" && (await this.#settleInherited(program))) {
-      if (this.#releasing) return MOVED;
+      if (this.#isReleasing) return MOVED;
       reserved = this.#reserve(program, request);
     }
     if (reserved === "exhausted") return { type: "exhausted", spent: program.account.committed };
@@ -109,21 +109,21 @@
   /** Records how a turn ended; see {@link EndTurnRequest}. */
   end(request: EndTurnRequest): EndTurnResponse | typeof MOVED {
     const { turn, tokens, budget, retained, runner } = request;
-    if (this.#releasing) return MOVED;
-    const program = this.#program(request.program);
+    if (this.#isReleasing) return MOVED;
+    const program = this.#getOrAddProgram(request.program);
     const settled = budget !== undefined && program.account.settle(turn, tokens);
     if (runner !== undefined) {
       program.runners.set(request.session ?? WHOLE_PROGRAM, runner);
       program.runners.set(WHOLE_PROGRAM, runner);
     }
     if (settled) this.#replenish(program.account, request.program, budget);
-    if (retained) this.#turns.keep(turn, retained);
+    if (retained) this.#turns.cache(turn, retained);
     return { type: "ended" };
   }
 
   /** A turn that is in memory here. */
-  turnInMemory(turn: RequestId): RetainedTurnContent | undefined {
-    return this.#turns.inMemory(turn);
+  cachedTurn(turn: RequestId): RetainedTurnContent | undefined {
+    return this.#turns.cached(turn);
   }
 
   /**
@@ -132,7 +132,7 @@
    * @param handOverRates gives what is left of tenants' limits; nothing is admitted here after it
    */
   async release(handOverRates: () => RateHandOver | undefined): Promise<void> {
-    this.#releasing = true;
+    this.#isReleasing = true;
     const accounts = new Map<ProgramId, WritableAccount>();
     for (const [program, { account }] of this.#programs) {
       if (account.holdsAhead) accounts.set(program, releasedAccount(account));
@@ -145,11 +145,11 @@
     this.#writer.stop();
   }
 
-  #program(name: ProgramId): ProgramState {
-    return this.#programs.get(name) ?? this.#remember(name, new TokenAccount());
+  #getOrAddProgram(name: ProgramId): ProgramState {
+    return this.#programs.get(name) ?? this.#addProgram(name, new TokenAccount());
   }
 
-  #remember(name: ProgramId, account: TokenAccount, inherited: readonly RequestId[] = []): ProgramState {
+  #addProgram(name: ProgramId, account: TokenAccount, inherited: readonly RequestId[] = []): ProgramState {
     const program: ProgramState = { account, runners: new Map(), inherited: new Set(inherited) };
     this.#programs.set(name, program);
     return program;
@@ -164,7 +164,7 @@
     const grant = account.admit(turn, budget.most, budget.tokens, aheadTurns);
     if (grant.type === "exhausted") return "exhausted";
     if (account.holds(grant.revision)) return Promise.resolve("recorded");
-    const waitMs = this.#context.settings.timing.ownerWaitMs - ANSWER_MS;
+    const waitMs = this.#context.settings.timing.ownerWaitMs - ANSWER_MARGIN_MS;
     const late = delay(this.#context.clock, waitMs).then(() => "late" as const);
     return Promise.race([this.#writer.writeAccount(request.program, account), late]);
   }
@@ -176,8 +176,8 @@
   async #settleInherited({ account, inherited }: ProgramState): Promise<boolean> {
     const turns = [...inherited];
     inherited.clear();
-    const kept = await Promise.all(turns.map((turn) => this.#turns.kept(turn)));
-    const settled = kept.map((content, index) => {
+    const contents = await Promise.all(turns.map((turn) => this.#turns.load(turn)));
+    const settled = contents.map((content, index) => {
       const turn = turns[index] as RequestId;
       return content?.tokens !== undefined && account.settle(turn, content.tokens);
     });
--- a/src/gateway/partitions/partition-client.ts
+++ b/src/gateway/partitions/partition-client.ts
@@ -23,16 +23,16 @@
 import { PartitionOwners } from "./partition-owners.ts";
 
 /** How long the end of a turn is told again and again, in ms; after it, the turn counts at its most. */
-const END_PATIENCE_MS = 30_000;
+const END_TURN_TIMEOUT_MS = 30_000;
 /**
  * How long the end of an answer waits for the owner once the store has its turn, in ms: a few times what an answer between
  * zones takes. Until the owner knows, the turn counts with its most against the budget, and the next one reads it from the
  * store.
  */
-const OWNER_PATIENCE_MS = 300;
+const END_RETAINED_TIMEOUT_MS = 300;
 
 /** Requests about turns. */
-type TurnRequest = "admitTurn" | "endTurn";
+type TurnRequestName = "admitTurn" | "endTurn";
 
 type Unavailable = { readonly type: "unavailable"; readonly detail: string };
 
@@ -70,42 +70,42 @@
   admit(
     request: AdmitTurnRequest,
     deadlineAtMs: number,
-    cancelled: () => boolean,
+    isCancelled: () => boolean,
   ): Promise<AdmitTurnResponse> {
-    return this.#ask("admitTurn", request, deadlineAtMs, cancelled);
+    return this.#askOwner("admitTurn", request, deadlineAtMs, isCancelled);
   }
 
   /** Tells the owner that a turn has ended; keeps on trying. */
   end(request: EndTurnRequest): Promise<EndTurnResponse | Unavailable> {
-    const deadlineAtMs = this.#context.clock.monotonicMs() + END_PATIENCE_MS;
-    return this.#ask("endTurn", request, deadlineAtMs, () => false);
+    const deadlineAtMs = this.#context.clock.monotonicMs() + END_TURN_TIMEOUT_MS;
+    return this.#askOwner("endTurn", request, deadlineAtMs, () => false);
   }
 
   /**
    * Has the store keep a turn that has ended whole; resolves with true once it does, with false after `patienceMs`. Its
    * caller may be told of its end then, whichever gateways die afterwards.
    */
-  store(turn: RequestId, content: RetainedTurnContent, patienceMs: number): Promise<boolean> {
-    return this.#host.storeTurn(turn, content, patienceMs);
+  storeTurn(turn: RequestId, content: RetainedTurnContent, timeoutMs: number): Promise<boolean> {
+    return this.#host.storeTurn(turn, content, timeoutMs);
   }
 
   /** Tells the owner that a turn has ended which the store keeps; resolves when it knows, or has not answered for a while. */
   async endRetained(request: EndTurnRequest): Promise<void> {
-    await Promise.race([this.end(request), delay(this.#context.clock, OWNER_PATIENCE_MS)]);
+    await Promise.race([this.end(request), delay(this.#context.clock, END_RETAINED_TIMEOUT_MS)]);
   }
 
-  async #ask<Name extends TurnRequest>(
+  async #askOwner<Name extends TurnRequestName>(
     name: Name,
     request: GatewayRpcSchema[Name]["request"],
     deadlineAtMs: number,
-    cancelled: () => boolean,
+    isCancelled: () => boolean,
   ): Promise<GatewayRpcSchema[Name]["response"] | Unavailable> {
     const { clock } = this.#context;
     let detail = "no gateway owns the partition";
-    while (!cancelled()) {
-      const leftMs = deadlineAtMs - clock.monotonicMs();
-      if (leftMs <= 0) break;
-      const reply = await this.#owners.ask(name, request, leftMs);
+    while (!isCancelled()) {
+      const remainingMs = deadlineAtMs - clock.monotonicMs();
+      if (remainingMs <= 0) break;
+      const reply = await this.#owners.ask(name, request, remainingMs);
       if (reply.type === "done") return reply.body;
       if (reply.type === "failed") detail = reply.detail;
       else if (!this.#health.reachable) {
--- a/src/gateway/partitions/partition-host.ts
+++ b/src/gateway/partitions/partition-host.ts
@@ -31,10 +31,10 @@
   decodeAccount,
   decodeOwner,
   encodeOwner,
-  NOBODY,
+  NO_OWNER,
   type OwnerRow,
   ownerKey,
-  partOf,
+  storePartOf,
   TABLES,
 } from "./partition-rows.ts";
 import { readOwnerRow } from "./read-owner-row.ts";
@@ -50,12 +50,12 @@
  * How long the answer to the end of a turn may wait for other messages, in ms: nobody waits for it unless the turn is
  * retained, and whoever sent it asks again when this gateway is lost, or after much longer.
  */
-const END_ANSWER_MS = 5_000;
+const MAX_END_TURN_ANSWER_DELAY_MS = 5_000;
 /** Bytes of turns that a gateway keeps because they were answered through it. */
-const MAX_ANSWERED_BYTES = 4 * 1024 * 1024;
+const MAX_ANSWERED_TURN_BYTES = 4 * 1024 * 1024;
 
 /** What the owner before has left of a partition. */
-interface PartitionInheritance {
+interface PreviousOwnership {
   /** Whether the owner before has let go of it. */
   readonly isReleased: boolean;
   /** What it has left of tenants' limits. */
@@ -64,11 +64,11 @@
    * The incarnation that owned it before and has not let go; it may live on without knowing better. Undefined if the owner
    * before has let go, or there was none.
    */
-  readonly rival: string | undefined;
+  readonly unreleasedOwner: string | undefined;
 }
 
 /** How this gateway came by a partition. */
-export interface PartitionOwnership extends PartitionInheritance {
+export interface PartitionOwnership extends PreviousOwnership {
   /** Version of the owner's row, as this owner wrote it. */
   readonly epoch: number;
   /** Of the monotonic clock, in ms. */
@@ -85,18 +85,18 @@
   readonly #ownerships = new Map<number, PartitionOwnership>();
   readonly #claiming = new Set<number>();
   /** Claims that the store may have taken although this gateway does not own the partition: its answer was lost. */
-  readonly #claimed = new Map<number, PartitionInheritance>();
+  readonly #unconfirmedClaims = new Map<number, PreviousOwnership>();
   readonly #turnWriter: TurnWriter;
   readonly #finder: TurnFinder;
   /** Turns that this gateway answered its callers: their owner may need them while the store does not answer. */
-  readonly #answered = new TurnCache(MAX_ANSWERED_BYTES);
+  readonly #answeredTurns = new TurnCache(MAX_ANSWERED_TURN_BYTES);
   /** What is left of the limits of a partition's tenants; nothing of them is admitted here after it. */
   handOverRates: (partition: number) => RateHandOver | undefined = () => undefined;
   readonly #unreadableOwners: UnreadableRows;
   readonly #unreadableAccounts: UnreadableRows;
   #claimAfterMs = 0;
-  #stop: () => void = () => undefined;
-  #stopping = false;
+  #stopClaiming: () => void = () => undefined;
+  #isStopping = false;
 
   constructor(
     context: GatewayContext,
@@ -114,17 +114,19 @@
       context,
       rpc,
       peers: () => members.liveAddresses(),
-      findHere: (turn) => this.#findTurnHere(turn),
+      findLocally: (turn) => this.#findTurnLocally(turn),
     });
     rpc.handle("admitTurn", async (request) => {
-      const answer = await this.#require(request.partition).admit(request);
+      const answer = await this.#requireOwned(request.partition).admit(request);
       return answer === MOVED ? this.#redirect(request.partition) : answer;
     });
-    const answering = { patienceMs: ({ retained }: EndTurnRequest) => (retained ? 0 : END_ANSWER_MS) };
+    const answering = {
+      patienceMs: ({ retained }: EndTurnRequest) => (retained ? 0 : MAX_END_TURN_ANSWER_DELAY_MS),
+    };
     rpc.handle(
       "endTurn",
       async (request) => {
-        const answer = this.#require(request.partition).end(request);
+        const answer = this.#requireOwned(request.partition).end(request);
         return answer === MOVED ? this.#redirect(request.partition) : answer;
       },
       answering,
@@ -151,9 +153,9 @@
    * Has the store keep a turn that ends here, whoever owns its program's partition. Resolves with true once the store
    * has it, so that it outlives every gateway.
    */
-  async storeTurn(turn: RequestId, content: RetainedTurnContent, patienceMs: number): Promise<boolean> {
-    const isStored = await this.#turnWriter.write(turn, content, patienceMs);
-    if (isStored) this.#answered.add(turn, content);
+  async storeTurn(turn: RequestId, content: RetainedTurnContent, timeoutMs: number): Promise<boolean> {
+    const isStored = await this.#turnWriter.write(turn, content, timeoutMs);
+    if (isStored) this.#answeredTurns.add(turn, content);
     return isStored;
   }
 
@@ -165,13 +167,13 @@
   start(): void {
     const { clock, settings } = this.#context;
     this.#claimAfterMs = clock.monotonicMs() + settings.timing.settleInMs;
-    this.#stop = repeat(clock, settings.timing.claimMs, () => this.#claimOrphans());
+    this.#stopClaiming = repeat(clock, settings.timing.claimMs, () => this.#claimOrphans());
   }
 
   /** Releases all partitions; resolves when the store knows. */
   async release(): Promise<void> {
-    this.#stopping = true;
-    this.#stop();
+    this.#isStopping = true;
+    this.#stopClaiming();
     const owned = [...this.#owned.values()];
     await Promise.all(owned.map((one) => one.release(() => this.handOverRates(one.partition))));
   }
@@ -181,8 +183,8 @@
     const { owned } = member.status;
     this.#owners.learnAll(member.instance, owned);
     for (const [partition, epoch] of owned) {
-      const mine = this.#owned.get(partition);
-      if (mine && mine.epoch < epoch) mine.stop();
+      const ownedHere = this.#owned.get(partition);
+      if (ownedHere && ownedHere.epoch < epoch) ownedHere.stop();
     }
   }
 
@@ -191,7 +193,7 @@
     this.#owners.forgetInstance(member.instance);
   }
 
-  #require(partition: number): OwnedPartition {
+  #requireOwned(partition: number): OwnedPartition {
     const owned = this.#owned.get(partition);
     if (!owned) return this.#redirect(partition);
     return owned;
@@ -204,7 +206,7 @@
   #claimOrphans(): void {
     const { clock, settings } = this.#context;
     const nowMs = clock.monotonicMs();
-    if (this.#stopping || (nowMs < this.#claimAfterMs && !this.#members.hasSettled)) return;
+    if (this.#isStopping || (nowMs < this.#claimAfterMs && !this.#members.hasSettled)) return;
     const candidates = this.#members.ownerCandidates();
     for (let partition = 0; partition < settings.partitions; partition += 1) {
       if (!this.#isOrphan(partition)) continue;
@@ -223,29 +225,29 @@
 
   async #claim(partition: number): Promise<void> {
     this.#claiming.add(partition);
-    const taken = await this.#takeOwnerRow(partition);
-    const accounts = taken && (await this.#readAccounts(partition, taken.epoch));
-    if (taken && accounts && !this.#stopping) this.#adopt(partition, taken, accounts);
+    const ownership = await this.#claimOwnerRow(partition);
+    const accounts = ownership && (await this.#readAccounts(partition, ownership.epoch));
+    if (ownership && accounts && !this.#isStopping) this.#startOwning(partition, ownership, accounts);
     this.#claiming.delete(partition);
   }
 
   /** Writes this gateway into the owner's row; undefined if that was not done. */
-  async #takeOwnerRow(partition: number): Promise<PartitionOwnership | undefined> {
+  async #claimOwnerRow(partition: number): Promise<PartitionOwnership | undefined> {
     const { store } = this.#context.platform;
     const key = ownerKey(partition);
     const read = await this.#readOwnerRow(partition);
     if (!read) return undefined;
     const { row } = read;
-    const isDoubtful = this.#namesOther(row) || !this.#members.hearsMost;
-    if (isDoubtful) {
-      if (await this.#isWritten(partition, row)) return undefined;
+    const mayBeOwned = this.#mayNameLiveOwner(row) || !this.#members.hearsMost;
+    if (mayBeOwned) {
+      if (await this.#isOwnerWriting(partition, row)) return undefined;
       // It may have heard of others meanwhile: one that starts before all others would take everything.
       if (!this.#isPreferred(partition, this.#members.ownerCandidates())) return undefined;
     }
     // One that the row names and that does not say so itself has never heard that it took the partition over.
     if (this.#hasLiveOwner(partition)) return undefined;
-    const inheritance = this.#inheritance(partition, row);
-    this.#claimed.set(partition, inheritance);
+    const previousOwnership = this.#previousOwnership(partition, row);
+    this.#unconfirmedClaims.set(partition, previousOwnership);
     const owner = { instance: this.#context.instance, commit: FIRST_COMMIT };
     const outcome = await store.transact({
       conditions: [{ ...key, version: row?.version ?? 0 }],
@@ -255,20 +257,20 @@
     this.#health.note(outcome);
     if (outcome.type !== "committed") return undefined;
     return {
-      ...inheritance,
+      ...previousOwnership,
       epoch: outcome.version,
       takenOverAtMs: this.#context.clock.monotonicMs(),
     };
   }
 
   /** What the owner before has left, by the row that is to be replaced; that may be one of an earlier claim from here. */
-  #inheritance(partition: number, row: StoredRow | undefined): PartitionInheritance {
-    const lastOwner = row && this.#ownerIn(row);
-    const claimed = this.#claimed.get(partition);
-    if (claimed && lastOwner?.instance === this.#context.instance) return claimed;
-    const before = row && (lastOwner?.instance ?? UNKNOWN_OWNER);
-    const isReleased = before === NOBODY;
-    return { isReleased, rates: lastOwner?.rates, rival: isReleased ? undefined : before };
+  #previousOwnership(partition: number, row: StoredRow | undefined): PreviousOwnership {
+    const lastOwner = row && this.#decodeOwner(row);
+    const unconfirmedClaim = this.#unconfirmedClaims.get(partition);
+    if (unconfirmedClaim && lastOwner?.instance === this.#context.instance) return unconfirmedClaim;
+    const previousOwner = row && (lastOwner?.instance ?? UNKNOWN_OWNER);
+    const isReleased = previousOwner === NO_OWNER;
+    return { isReleased, rates: lastOwner?.rates, unreleasedOwner: isReleased ? undefined : previousOwner };
   }
 
   async #readOwnerRow(partition: number): Promise<{ readonly row: StoredRow | undefined } | undefined> {
@@ -281,7 +283,7 @@
    * Whether an owner goes on writing. A gateway that hears few of the others may itself be the one that is cut off:
    * it takes nothing from an owner whose writes it sees in the store.
    */
-  async #isWritten(partition: number, row: StoredRow | undefined): Promise<boolean> {
+  async #isOwnerWriting(partition: number, row: StoredRow | undefined): Promise<boolean> {
     const { clock, settings } = this.#context;
     await delay(clock, settings.timing.watchOwnerMs);
     const again = await this.#readOwnerRow(partition);
@@ -289,15 +291,15 @@
   }
 
   /** Whether the row names another gateway that is alive, or may do so. */
-  #namesOther(row: StoredRow | undefined): boolean {
+  #mayNameLiveOwner(row: StoredRow | undefined): boolean {
     if (!row) return false;
-    const owner = this.#ownerIn(row);
+    const owner = this.#decodeOwner(row);
     if (!owner) return true;
     return owner.instance !== this.#context.instance && this.#members.mayOwn(owner.instance);
   }
 
   /** What an owner's row says; undefined when it can't be read. */
-  #ownerIn(row: StoredRow): OwnerRow | undefined {
+  #decodeOwner(row: StoredRow): OwnerRow | undefined {
     const owner = decodeOwner(row.value);
     if (!owner) this.#unreadableOwners.note(row.part);
     return owner;
@@ -316,7 +318,7 @@
     for (;;) {
       const range = {
         table: TABLES.accounts,
-        part: partOf(partition),
+        part: storePartOf(partition),
         ...(from === undefined ? {} : { from }),
       };
       const read = await this.#context.platform.store.read(range);
@@ -328,19 +330,19 @@
         else unreadable.add(key as ProgramId);
       }
       const last = read.rows.at(-1);
-      if (!read.more || !last) return this.#noteAccounts({ accounts, unreadable });
+      if (!read.more || !last) return this.#reportUnreadable({ accounts, unreadable });
       from = `${last.key}\u0000`;
     }
   }
 
-  #noteAccounts(stored: StoredAccounts): StoredAccounts {
+  #reportUnreadable(stored: StoredAccounts): StoredAccounts {
     for (const program of stored.unreadable) this.#unreadableAccounts.note(program);
     return stored;
   }
 
-  #adopt(partition: number, taken: PartitionOwnership, stored: StoredAccounts): void {
+  #startOwning(partition: number, ownership: PartitionOwnership, stored: StoredAccounts): void {
     const { log, instance } = this.#context;
-    const { epoch, isReleased } = taken;
+    const { epoch, isReleased } = ownership;
     const owned: OwnedPartition = new OwnedPartition(
       {
         context: this.#context,
@@ -352,9 +354,9 @@
       },
       stored,
     );
-    this.#claimed.delete(partition);
+    this.#unconfirmedClaims.delete(partition);
     this.#owned.set(partition, owned);
-    this.#ownerships.set(partition, taken);
+    this.#ownerships.set(partition, ownership);
     this.#owners.learn(partition, { instance, epoch });
     log.info({ partition, epoch, isReleased, programs: stored.accounts.size }, "partition taken over");
     this.#members.tick();
@@ -370,12 +372,12 @@
   }
 
   /** A turn in this gateway's memory, as owner of its partition or because it was answered here. */
-  #findTurnHere(turn: RequestId): FindTurnResponse {
+  #findTurnLocally(turn: RequestId): FindTurnResponse {
     for (const owned of this.#owned.values()) {
-      const content = owned.turnInMemory(turn);
+      const content = owned.cachedTurn(turn);
       if (content) return { type: "found", content };
     }
-    const content = this.#answered.get(turn);
+    const content = this.#answeredTurns.get(turn);
     return content ? { type: "found", content } : { type: "absent" };
   }
 }
--- a/src/gateway/partitions/partition-owners.ts
+++ b/src/gateway/partitions/partition-owners.ts
@@ -6,10 +6,10 @@
 import type { PartitionHost } from "./partition-host.ts";
 
 /** Requests that go to the owner of a partition. */
-export type OwnerRequest = "admitTurn" | "endTurn" | "admitRequests";
+export type OwnerRequestName = "admitTurn" | "endTurn" | "admitRequests";
 
 /** What came of a question. */
-export type OwnerReply<Name extends OwnerRequest> =
+export type OwnerReply<Name extends OwnerRequestName> =
   | { readonly type: "done"; readonly body: GatewayRpcSchema[Name]["response"] }
   /** Nobody that is alive is known to own the partition. */
   | { readonly type: "nobody" }
@@ -45,7 +45,7 @@
   }
 
   /** Asks the owner of a request's partition once. An owner that says that it is none is forgotten. */
-  async ask<Name extends OwnerRequest>(
+  async ask<Name extends OwnerRequestName>(
     name: Name,
     request: GatewayRpcSchema[Name]["request"],
     timeoutMs: number,
--- a/src/gateway/partitions/partition-writer.ts
+++ b/src/gateway/partitions/partition-writer.ts
@@ -16,7 +16,7 @@
   decodeOwner,
   encodeAccount,
   encodeOwner,
-  NOBODY,
+  NO_OWNER,
   type OwnerRow,
   ownerKey,
 } from "./partition-rows.ts";
@@ -24,7 +24,7 @@
 
 /** Rows in one transaction; the store takes 100 entries, the owner's row and its condition included. */
 const MAX_ROWS = 90;
-const RETRY_MS = 40;
+const RETRY_DELAY_MS = 40;
 /** Pause between looks whether everything is written, before a partition is released, in ms. */
 const RELEASE_POLL_MS = 5;
 
@@ -59,7 +59,7 @@
 }
 
 /** What a partition's writer is made of. */
-export interface PartitionWriterParts {
+export interface PartitionWriterOptions {
   readonly context: GatewayContext;
   readonly health: StoreHealth;
   readonly partition: number;
@@ -71,25 +71,25 @@
 
 /** See the module's comment. */
 export class PartitionWriter {
-  readonly #parts: PartitionWriterParts;
+  readonly #options: PartitionWriterOptions;
   readonly #sender: TransactionSender;
   /** Accounts that differ from what the store has. */
   readonly #dirty = new Map<ProgramId, WritableAccount>();
   readonly #waiters = new Set<Waiter>();
   #version: number;
   #commit = 0;
-  #running = false;
-  #lost = false;
+  #isWriting = false;
+  #isLost = false;
 
-  constructor(parts: PartitionWriterParts) {
-    this.#parts = parts;
-    this.#version = parts.epoch;
-    this.#sender = new TransactionSender(parts.context, parts.health);
+  constructor(options: PartitionWriterOptions) {
+    this.#options = options;
+    this.#version = options.epoch;
+    this.#sender = new TransactionSender(options.context, options.health);
   }
 
   /** Resolves once the store has the account, as it is when the transaction leaves or later. */
   writeAccount(program: ProgramId, account: WritableAccount): Promise<WriteOutcome> {
-    if (this.#lost) return Promise.resolve("lost");
+    if (this.#isLost) return Promise.resolve("lost");
     this.#dirty.set(program, account);
     const { revision } = account;
     return new Promise((settle) => {
@@ -109,33 +109,33 @@
   ): Promise<void> {
     for (const [program, account] of accounts) this.#dirty.set(program, account);
     this.#startWriting();
-    while (this.#running) await delay(this.#parts.context.clock, RELEASE_POLL_MS);
-    if (this.#lost) return;
+    while (this.#isWriting) await delay(this.#options.context.clock, RELEASE_POLL_MS);
+    if (this.#isLost) return;
     const rates = handOverRates();
-    await this.#transact([], { instance: NOBODY, ...(rates ? { rates } : {}) });
-    this.#lose();
+    await this.#transact([], { instance: NO_OWNER, ...(rates ? { rates } : {}) });
+    this.#markLost();
   }
 
   /** Another owner has taken over: nothing more is written. */
   stop(): void {
-    this.#lose();
+    this.#markLost();
   }
 
   #startWriting(): void {
-    if (!this.#running && !this.#lost) void this.#write();
+    if (!this.#isWriting && !this.#isLost) void this.#writeDirty();
   }
 
-  async #write(): Promise<void> {
-    this.#running = true;
+  async #writeDirty(): Promise<void> {
+    this.#isWriting = true;
     // What the same turn of the event loop still brings goes along.
     await Promise.resolve();
-    while (this.#dirty.size > 0 && !this.#lost) {
+    while (this.#dirty.size > 0 && !this.#isLost) {
       const writes = this.#takeDirty();
-      if (!(await this.#transact(writes, { instance: this.#parts.context.instance }))) break;
+      if (!(await this.#transact(writes, { instance: this.#options.context.instance }))) break;
       for (const { account, snapshot } of writes) account.stored(snapshot);
       this.#settleRecorded();
     }
-    this.#running = false;
+    this.#isWriting = false;
   }
 
   #takeDirty(): AccountWrite[] {
@@ -153,16 +153,16 @@
     this.#settle(({ account, revision }) => account.holds(revision), "recorded");
   }
 
-  #settle(isMeant: (waiter: Waiter) => boolean, outcome: WriteOutcome): void {
+  #settle(matches: (waiter: Waiter) => boolean, outcome: WriteOutcome): void {
     for (const waiter of this.#waiters) {
-      if (!isMeant(waiter)) continue;
+      if (!matches(waiter)) continue;
       this.#waiters.delete(waiter);
       waiter.settle(outcome);
     }
   }
 
   async #transact(writes: readonly AccountWrite[], row: Omit<OwnerRow, "commit">): Promise<boolean> {
-    const { context, partition } = this.#parts;
+    const { context, partition } = this.#options;
     this.#commit += 1;
     const key = ownerKey(partition);
     const owner = { ...row, commit: this.#commit };
@@ -171,35 +171,35 @@
       value: encodeAccount(snapshot.account),
     }));
     const puts = [...accounts, { ...key, value: encodeOwner(owner) }];
-    while (!this.#lost) {
+    while (!this.#isLost) {
       const conditions = [{ ...key, version: this.#version }];
       const outcome = await this.#sender.transact({ conditions, puts, removes: [] });
       if (outcome.type === "committed") {
         this.#version = outcome.version;
-        return !this.#lost;
+        return !this.#isLost;
       }
-      if (outcome.type === "conflict") return this.#afterConflict(outcome.rows, row.instance);
-      await delay(context.clock, RETRY_MS);
+      if (outcome.type === "conflict") return this.#resolveConflict(outcome.rows, row.instance);
+      await delay(context.clock, RETRY_DELAY_MS);
     }
     return false;
   }
 
   /** The owner's row has changed: by an unanswered try of the same transaction, or by another owner. */
-  #afterConflict(rows: readonly StoredRow[], instance: string): boolean {
-    const row = rows.find((candidate) => candidate.table === ownerKey(this.#parts.partition).table);
+  #resolveConflict(rows: readonly StoredRow[], instance: string): boolean {
+    const row = rows.find((candidate) => candidate.table === ownerKey(this.#options.partition).table);
     const owner = row && decodeOwner(row.value);
     if (row && owner?.instance === instance && owner.commit === this.#commit) {
       this.#version = row.version;
-      return !this.#lost;
+      return !this.#isLost;
     }
-    this.#lose();
+    this.#markLost();
     return false;
   }
 
-  #lose(): void {
-    if (this.#lost) return;
-    this.#lost = true;
+  #markLost(): void {
+    if (this.#isLost) return;
+    this.#isLost = true;
     this.#settle(() => true, "lost");
-    this.#parts.onLost();
+    this.#options.onLost();
   }
 }
--- a/src/gateway/partitions/pending-turn.ts
+++ b/src/gateway/partitions/pending-turn.ts
@@ -6,22 +6,22 @@
   /** Parts that may hold the turn, in the order in which they are tried. */
   readonly parts: readonly string[];
   /** When nobody waits for the turn any more, in ms of the monotonic clock. */
-  readonly untilMs: number;
+  readonly deadlineMs: number;
   /** Bytes of all rows together. */
   readonly bytes: number;
   readonly #rows: readonly TurnRow[];
   readonly #settle: (written: boolean) => void;
-  readonly #waitsAt = new Set<string>();
+  readonly #queuedParts = new Set<string>();
   #isSettled = false;
 
   constructor(
     parts: readonly string[],
     rows: readonly TurnRow[],
-    untilMs: number,
+    deadlineMs: number,
     settle: (written: boolean) => void,
   ) {
     this.parts = parts;
-    this.untilMs = untilMs;
+    this.deadlineMs = deadlineMs;
     this.bytes = rows.reduce((sum, row) => sum + row.value.length, 0);
     this.#rows = rows;
     this.#settle = settle;
@@ -33,8 +33,8 @@
   }
 
   /** Parts at which the turn waits. */
-  get waitsAt(): ReadonlySet<string> {
-    return this.#waitsAt;
+  get queuedParts(): ReadonlySet<string> {
+    return this.#queuedParts;
   }
 
   get rowCount(): number {
@@ -47,24 +47,24 @@
   }
 
   /** The turn waits at one more part. */
-  waitAt(part: string): void {
-    this.#waitsAt.add(part);
+  addQueuedPart(part: string): void {
+    this.#queuedParts.add(part);
   }
 
   /** The store holds the turn. */
-  written(): void {
-    this.#end(true);
+  markWritten(): void {
+    this.#settleOnce(true);
   }
 
   /** A part has not taken the turn in time; when it waits at no other, it is not written. */
-  givenUpBy(part: string): void {
-    this.#waitsAt.delete(part);
-    if (this.#waitsAt.size === 0) this.#end(false);
+  markFailedAt(part: string): void {
+    this.#queuedParts.delete(part);
+    if (this.#queuedParts.size === 0) this.#settleOnce(false);
   }
 
-  #end(written: boolean): void {
+  #settleOnce(isWritten: boolean): void {
     if (this.#isSettled) return;
     this.#isSettled = true;
-    this.#settle(written);
+    this.#settle(isWritten);
   }
 }
--- a/src/gateway/partitions/read-owner-row.ts
+++ b/src/gateway/partitions/read-owner-row.ts
@@ -2,7 +2,7 @@
 import { ownerKey } from "./partition-rows.ts";
 
 /** What the store said of a partition's owner. */
-interface OwnerReading {
+interface OwnerRowRead {
   /** How the call ended. */
   readonly outcome: ReadOutcome;
   /** Undefined where there is no owner yet, or the store did not say. */
@@ -10,7 +10,7 @@
 }
 
 /** Reads the row of a partition's owner. */
-export async function readOwnerRow(store: RowStore, partition: number): Promise<OwnerReading> {
+export async function readOwnerRow(store: RowStore, partition: number): Promise<OwnerRowRead> {
   const { table, part, key } = ownerKey(partition);
   const outcome = await store.read({ table, part });
   const rows = outcome.type === "rows" ? outcome.rows : [];
--- a/src/gateway/partitions/usual-time.ts
+++ b/src/gateway/partitions/slow-call-threshold.ts
@@ -6,19 +6,19 @@
 import { AdaptiveTimeout } from "../../coordination/adaptive-timeout/index.ts";
 
 /** Most times the usual time that one answer counts for. As in the timeout's own doubling. */
-const MAX_FACTOR = 2;
+const MAX_ANSWER_FACTOR = 2;
 
 /** See the module's comment. */
-export class UsualTime {
+export class SlowCallThreshold {
   readonly #timeout = new AdaptiveTimeout();
 
   /** The time, in ms, after which a call without an answer has taken unusually long. */
-  get ms(): number {
+  get currentMs(): number {
     return this.#timeout.currentMs;
   }
 
   /** A call was answered. */
-  answered(elapsedMs: number): void {
-    this.#timeout.answered(Math.min(elapsedMs, MAX_FACTOR * this.ms));
+  recordAnswer(elapsedMs: number): void {
+    this.#timeout.answered(Math.min(elapsedMs, MAX_ANSWER_FACTOR * this.currentMs));
   }
 }
--- a/src/gateway/partitions/part-belief-log.ts
+++ b/src/gateway/partitions/store-part-log.ts
@@ -3,21 +3,21 @@
  * one line each way.
  */
 import type { GatewayContext } from "../gateway-context.ts";
-import type { PartBelief } from "./part-queue.ts";
+import type { StorePartState } from "./store-part-queue.ts";
 
 /** For how long changes are put together, in ms: at most three lines come of it. */
-const GATHER_MS = 500;
+const LOG_DELAY_MS = 500;
 
-const MESSAGES: Record<PartBelief, string> = {
+const MESSAGES: Record<StorePartState, string> = {
   silent: "part of the store silent",
   answers: "part of the store answers again",
   unknown: "part of the store not tried any more",
 };
 
 /** A change of what is believed of a part. */
-export interface PartBeliefChange {
+export interface StorePartStateChange {
   readonly part: string;
-  readonly belief: PartBelief;
+  readonly state: StorePartState;
   /** For how long the part has been silent. */
   readonly silentMs: number;
   /** Turns that wait for the part. */
@@ -25,32 +25,32 @@
 }
 
 /** See the module's comment. */
-export class PartBeliefLog {
+export class StorePartLog {
   readonly #context: GatewayContext;
-  #changes: PartBeliefChange[] = [];
+  #changes: StorePartStateChange[] = [];
 
   constructor(context: GatewayContext) {
     this.#context = context;
   }
 
   /** Takes in a change. */
-  note(change: PartBeliefChange): void {
-    if (this.#changes.push(change) === 1) this.#context.clock.schedule(GATHER_MS, () => this.#write());
+  record(change: StorePartStateChange): void {
+    if (this.#changes.push(change) === 1) this.#context.clock.schedule(LOG_DELAY_MS, () => this.#write());
   }
 
   #write(): void {
     const changes = this.#changes;
     this.#changes = [];
-    for (const belief of ["silent", "answers", "unknown"] as const) {
-      const alike = changes.filter((change) => change.belief === belief);
-      const [first] = alike;
+    for (const state of ["silent", "answers", "unknown"] as const) {
+      const sameState = changes.filter((change) => change.state === state);
+      const [first] = sameState;
       if (!first) continue;
-      const silentMs = Math.round(Math.max(...alike.map((change) => change.silentMs)));
-      const waiting = alike.reduce((sum, change) => sum + change.waiting, 0);
-      const about = alike.length === 1 ? { part: first.part } : { parts: alike.length };
-      this.#context.log[belief === "silent" ? "warn" : "info"](
+      const silentMs = Math.round(Math.max(...sameState.map((change) => change.silentMs)));
+      const waiting = sameState.reduce((sum, change) => sum + change.waiting, 0);
+      const about = sameState.length === 1 ? { part: first.part } : { parts: sameState.length };
+      this.#context.log[state === "silent" ? "warn" : "info"](
         { ...about, silentMs, waiting },
-        MESSAGES[belief],
+        MESSAGES[state],
       );
     }
   }
--- a/src/gateway/partitions/part-queue.ts
+++ b/src/gateway/partitions/store-part-queue.ts
@@ -6,33 +6,33 @@
 import { delay } from "../../runtime/clock.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { PendingTurn } from "./pending-turn.ts";
+import type { SlowCallThreshold } from "./slow-call-threshold.ts";
 import type { TransactionSender } from "./transaction-sender.ts";
-import type { UsualTime } from "./usual-time.ts";
 
 /** First pause after a transaction that was not done, in ms; doubles with each one in a row. */
-const FIRST_PAUSE_MS = 40;
+const FIRST_RETRY_DELAY_MS = 40;
 /** Longest such pause while turns wait for the part, in ms: what they wait at most when it answers again. */
-const LONGEST_PAUSE_MS = 320;
+const MAX_RETRY_DELAY_MS = 320;
 /** Longest pause when all turns are written elsewhere and only the part's return is to be noticed, in ms. */
-const LONGEST_PROBE_PAUSE_MS = 1_000;
+const MAX_PROBE_DELAY_MS = 1_000;
 /** Tries at the same time at a part that is silent: more of them would take up the connections to the store. */
-const TRIES_WHEN_SILENT = 1;
+const ATTEMPTS_WHEN_UNRESPONSIVE = 1;
 /** Most rows in one transaction. */
 const MAX_ROWS = 90;
 /** Most bytes of rows in one transaction; the store takes 1 MB of text in base 64. */
 const MAX_BYTES = 600_000;
 
 /** What is believed of a part: that it answers, that it does not, or nothing, as nothing was sent for a while. */
-export type PartBelief = "answers" | "silent" | "unknown";
+export type StorePartState = "answers" | "silent" | "unknown";
 
 /** What a queue is made of. */
-export interface PartQueueParts {
+export interface StorePartQueueOptions {
   readonly context: GatewayContext;
   readonly sender: TransactionSender;
-  readonly usualTime: UsualTime;
+  readonly slowCallThreshold: SlowCallThreshold;
   readonly part: string;
   /** The belief has changed, `afterMs` from when the transaction began that tells. */
-  readonly onBelief: (belief: PartBelief, afterMs: number) => void;
+  readonly onStateChange: (state: StorePartState, afterMs: number) => void;
   /** The part holds these turns. */
   readonly onWritten: (turns: readonly PendingTurn[]) => void;
   /** Nothing waits for the part any more. */
@@ -40,22 +40,22 @@
 }
 
 /** See the module's comment. */
-export class PartQueue {
-  readonly #parts: PartQueueParts;
+export class StorePartQueue {
+  readonly #options: StorePartQueueOptions;
   readonly #waiting = new Set<PendingTurn>();
   /** Turns of the transaction under way. */
   #batch: readonly PendingTurn[] = [];
   #isRunning = false;
   /** When the transaction began that was not answered; undefined while the part counts as one that answers. */
-  #silentSinceMs: number | undefined;
+  #unresponsiveSinceMs: number | undefined;
 
-  constructor(parts: PartQueueParts) {
-    this.#parts = parts;
+  constructor(options: StorePartQueueOptions) {
+    this.#options = options;
   }
 
   /** Whether the part does not answer. */
-  get isSilent(): boolean {
-    return this.#silentSinceMs !== undefined;
+  get isUnresponsive(): boolean {
+    return this.#unresponsiveSinceMs !== undefined;
   }
 
   /** Turns that wait here and have been written nowhere yet. */
@@ -77,43 +77,43 @@
   }
 
   async #run(): Promise<void> {
-    const { onIdle, onWritten, part } = this.#parts;
+    const { onIdle, onWritten, part } = this.#options;
     // What the same turn of the event loop still brings goes along.
     await Promise.resolve();
     while (this.#waiting.size > 0) {
       const batch = this.#takeBatch();
       this.#batch = batch;
-      const written = await this.#writeBatch(batch);
+      const isWritten = await this.#writeBatch(batch);
       this.#batch = [];
-      if (written) onWritten(batch);
-      else for (const turn of batch) turn.givenUpBy(part);
+      if (isWritten) onWritten(batch);
+      else for (const turn of batch) turn.markFailedAt(part);
     }
     this.#isRunning = false;
     // Nothing is under way that would tell when the part answers again: the next turn is to try.
-    this.#believe("unknown");
+    this.#setState("unknown");
     onIdle();
   }
 
   async #writeBatch(batch: readonly PendingTurn[]): Promise<boolean> {
-    const { context, sender, usualTime } = this.#parts;
+    const { context, sender, slowCallThreshold } = this.#options;
     const { clock } = context;
-    const untilMs = Math.max(...batch.map((turn) => turn.untilMs));
+    const deadlineMs = Math.max(...batch.map((turn) => turn.deadlineMs));
     const startedMs = clock.monotonicMs();
-    const timer = clock.schedule(usualTime.ms, () => this.#believe("silent", startedMs));
+    const timer = clock.schedule(slowCallThreshold.currentMs, () => this.#setState("silent", startedMs));
     let isWritten = false;
-    let pauseMs = FIRST_PAUSE_MS;
-    while (!isWritten && clock.monotonicMs() < untilMs) {
+    let retryDelayMs = FIRST_RETRY_DELAY_MS;
+    while (!isWritten && clock.monotonicMs() < deadlineMs) {
       const sentMs = clock.monotonicMs();
-      const tries = this.isSilent ? TRIES_WHEN_SILENT : undefined;
-      const outcome = await sender.transact(this.#transaction(batch), tries);
+      const maxAttempts = this.isUnresponsive ? ATTEMPTS_WHEN_UNRESPONSIVE : undefined;
+      const outcome = await sender.transact(this.#transaction(batch), maxAttempts);
       isWritten = outcome.type === "committed";
-      if (isWritten) usualTime.answered(clock.monotonicMs() - sentMs);
-      else await delay(clock, pauseMs);
+      if (isWritten) slowCallThreshold.recordAnswer(clock.monotonicMs() - sentMs);
+      else await delay(clock, retryDelayMs);
       const isProbe = batch.every((turn) => turn.isSettled);
-      pauseMs = Math.min(2 * pauseMs, isProbe ? LONGEST_PROBE_PAUSE_MS : LONGEST_PAUSE_MS);
+      retryDelayMs = Math.min(2 * retryDelayMs, isProbe ? MAX_PROBE_DELAY_MS : MAX_RETRY_DELAY_MS);
     }
     clock.cancel(timer);
-    if (isWritten) this.#believe("answers");
+    if (isWritten) this.#setState("answers");
     return isWritten;
   }
 
@@ -121,7 +121,7 @@
   #transaction(batch: readonly PendingTurn[]) {
     const unwritten = batch.filter((turn) => !turn.isSettled);
     const turns = unwritten.length > 0 ? unwritten : batch.slice(0, 1);
-    return { conditions: [], puts: turns.flatMap((turn) => turn.rowsIn(this.#parts.part)), removes: [] };
+    return { conditions: [], puts: turns.flatMap((turn) => turn.rowsIn(this.#options.part)), removes: [] };
   }
 
   /** Takes as many turns off the queue as go into one transaction: one at least, if there is any. */
@@ -139,9 +139,9 @@
     return batch;
   }
 
-  #believe(belief: PartBelief, sinceMs = this.#silentSinceMs): void {
-    if ((belief === "silent") === this.isSilent || sinceMs === undefined) return;
-    this.#silentSinceMs = belief === "silent" ? sinceMs : undefined;
-    this.#parts.onBelief(belief, this.#parts.context.clock.monotonicMs() - sinceMs);
+  #setState(state: StorePartState, sinceMs = this.#unresponsiveSinceMs): void {
+    if ((state === "silent") === this.isUnresponsive || sinceMs === undefined) return;
+    this.#unresponsiveSinceMs = state === "silent" ? sinceMs : undefined;
+    this.#options.onStateChange(state, this.#options.context.clock.monotonicMs() - sinceMs);
   }
 }
--- a/src/gateway/partitions/transaction-sender.ts
+++ b/src/gateway/partitions/transaction-sender.ts
@@ -8,7 +8,7 @@
 import type { StoreHealth } from "../store-health.ts";
 
 /** Tries of one transaction that wait for their answers at the same time. */
-const MAX_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 
 /** See the module's comment. */
 export class TransactionSender {
@@ -24,41 +24,42 @@
    * Resolves with the first answer; with a refusal or silence when every try has ended so. A conflict may come from a
    * try of the same transaction that was done.
    *
-   * @param maxTries most tries that wait for their answers at the same time
+   * @param maxAttempts most tries that wait for their answers at the same time
    */
-  transact(transaction: RowTransaction, maxTries = MAX_TRIES): Promise<TransactionOutcome> {
+  transact(transaction: RowTransaction, maxAttempts = MAX_ATTEMPTS): Promise<TransactionOutcome> {
     return new Promise((resolve) => {
-      let started = 0;
-      let open = 0;
+      let startedAttempts = 0;
+      let pendingAttempts = 0;
       let timer: TimerHandle | undefined;
-      let over = false;
+      let isOver = false;
       const finish = (outcome: TransactionOutcome) => {
-        over = true;
+        isOver = true;
         if (timer) this.#context.clock.cancel(timer);
         resolve(outcome);
       };
-      const begin = () => {
-        started += 1;
-        open += 1;
-        void this.#try(transaction).then((outcome) => {
-          open -= 1;
-          if (!over && (isAnswer(outcome) || open === 0)) finish(outcome);
+      const startAttempt = () => {
+        startedAttempts += 1;
+        pendingAttempts += 1;
+        void this.#attempt(transaction).then((outcome) => {
+          pendingAttempts -= 1;
+          if (!isOver && (isAnswer(outcome) || pendingAttempts === 0)) finish(outcome);
         });
-        if (started < maxTries) timer = this.#context.clock.schedule(this.#patienceMs, again);
+        if (startedAttempts < maxAttempts)
+          timer = this.#context.clock.schedule(this.#attemptTimeoutMs, retry);
       };
-      const again = () => {
+      const retry = () => {
         this.#health.writeTimeout.expired();
-        begin();
+        startAttempt();
       };
-      begin();
+      startAttempt();
     });
   }
 
-  get #patienceMs(): number {
+  get #attemptTimeoutMs(): number {
     return this.#health.writeTimeout.currentMs;
   }
 
-  async #try(transaction: RowTransaction): Promise<TransactionOutcome> {
+  async #attempt(transaction: RowTransaction): Promise<TransactionOutcome> {
     const { clock, metrics, platform } = this.#context;
     const startedMs = clock.monotonicMs();
     const outcome = await platform.store.transact(transaction);
--- a/src/gateway/partitions/turn-cache.ts
+++ b/src/gateway/partitions/turn-cache.ts
@@ -22,10 +22,10 @@
     if (this.#turns.has(turn)) return;
     this.#turns.set(turn, content);
     this.#bytes += sizeOf(content);
-    for (const [oldest, gone] of this.#turns) {
+    for (const [oldest, evicted] of this.#turns) {
       if (this.#bytes <= this.#maxBytes) return;
       this.#turns.delete(oldest);
-      this.#bytes -= sizeOf(gone);
+      this.#bytes -= sizeOf(evicted);
     }
   }
 }
--- a/src/gateway/partitions/turn-finder.ts
+++ b/src/gateway/partitions/turn-finder.ts
@@ -12,30 +12,30 @@
 const FIND_TIMEOUT_MS = 300;
 
 /** What the finder needs to know of the gateways. */
-export interface TurnFinderParts {
+export interface TurnFinderOptions {
   readonly context: GatewayContext;
   readonly rpc: RpcEndpoint<GatewayRpcSchema>;
   /** Addresses of all other gateways that are alive. */
   readonly peers: () => readonly string[];
   /** What this gateway itself holds. */
-  readonly findHere: (turn: RequestId) => FindTurnResponse;
+  readonly findLocally: (turn: RequestId) => FindTurnResponse;
 }
 
 /** See the module's comment. */
 export class TurnFinder {
-  readonly #parts: TurnFinderParts;
+  readonly #options: TurnFinderOptions;
 
-  constructor(parts: TurnFinderParts) {
-    this.#parts = parts;
-    parts.rpc.handle("findTurn", async ({ turn }) => parts.findHere(turn));
+  constructor(options: TurnFinderOptions) {
+    this.#options = options;
+    options.rpc.handle("findTurn", async ({ turn }) => options.findLocally(turn));
   }
 
   /** Finds a turn; `noSuchTurn` only when every gateway has denied it. */
   async find(turn: RequestId): Promise<TurnLookup> {
-    const { findHere, peers } = this.#parts;
-    const here = findHere(turn);
+    const { findLocally, peers } = this.#options;
+    const here = findLocally(turn);
     if (here.type === "found") return here;
-    const answers = await this.#ask(turn, peers());
+    const answers = await this.#askPeers(turn, peers());
     const found = answers.find((answer) => answer?.type === "found");
     if (found?.type === "found") return found;
     if (answers.every((answer) => answer?.type === "absent")) return { type: "noSuchTurn" };
@@ -43,12 +43,12 @@
   }
 
   /** The answers of the others; undefined for one that gave none. Ends with the first that has the turn. */
-  #ask(turn: RequestId, peers: readonly string[]): Promise<readonly (FindTurnResponse | undefined)[]> {
+  #askPeers(turn: RequestId, peers: readonly string[]): Promise<readonly (FindTurnResponse | undefined)[]> {
     return new Promise((resolve) => {
       const answers: (FindTurnResponse | undefined)[] = [];
       if (peers.length === 0) resolve(answers);
       for (const address of peers) {
-        void this.#parts.rpc.ask(address, "findTurn", { turn }, FIND_TIMEOUT_MS).then((reply) => {
+        void this.#options.rpc.ask(address, "findTurn", { turn }, FIND_TIMEOUT_MS).then((reply) => {
           const answer = reply.type === "done" ? reply.body : undefined;
           answers.push(answer);
           if (answer?.type === "found" || answers.length === peers.length) resolve(answers);
--- a/src/gateway/partitions/turn-rows.ts
+++ b/src/gateway/partitions/turn-rows.ts
@@ -60,10 +60,10 @@
 }
 
 /** What rows of a turn's range hold. */
-export type TurnInRows = RetainedTurnContent | "absent" | "unreadable";
+export type DecodedTurn = RetainedTurnContent | "absent" | "unreadable";
 
 /** The turn that rows of its range hold. */
-export function turnOf(turn: RequestId, rows: readonly StoredRow[]): TurnInRows {
+export function decodeTurn(turn: RequestId, rows: readonly StoredRow[]): DecodedTurn {
   const numbered = rows.flatMap((row) => {
     const number = rowNumber(turn, row.key);
     return number === undefined ? [] : [{ number, value: row.value }];
@@ -76,9 +76,11 @@
 
 function isTurn(content: RecordFields): content is RecordFields & RetainedTurnContent {
   const { previousTurn, tenant, input, output, tokens } = content;
-  const isNamed = [previousTurn, tenant].every((name) => name === undefined || typeof name === "string");
+  const hasValidNames = [previousTurn, tenant].every(
+    (name) => name === undefined || typeof name === "string",
+  );
   const hasBytes = [input, output].every((bytes) => bytes instanceof Uint8Array);
-  return isNamed && hasBytes && (tokens === undefined || Number.isFinite(tokens));
+  return hasValidNames && hasBytes && (tokens === undefined || Number.isFinite(tokens));
 }
 
 function rowNumber(turn: RequestId, key: string): number | undefined {
--- a/src/gateway/partitions/turn-writer.ts
+++ b/src/gateway/partitions/turn-writer.ts
@@ -7,79 +7,82 @@
 import type { RequestId } from "../../scheduling/ids/request-id.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RetainedTurnContent } from "../gateway-messages.ts";
-import { PartBeliefLog } from "./part-belief-log.ts";
-import { type PartBelief, PartQueue } from "./part-queue.ts";
 import { PendingTurn } from "./pending-turn.ts";
+import { SlowCallThreshold } from "./slow-call-threshold.ts";
+import { StorePartLog } from "./store-part-log.ts";
+import { StorePartQueue, type StorePartState } from "./store-part-queue.ts";
 import type { TransactionSender } from "./transaction-sender.ts";
 import { turnParts, turnRows } from "./turn-rows.ts";
-import { UsualTime } from "./usual-time.ts";
 
 /** See the module's comment. */
 export class TurnWriter {
   readonly #context: GatewayContext;
   readonly #sender: TransactionSender;
-  readonly #beliefLog: PartBeliefLog;
+  readonly #partLog: StorePartLog;
   /** How long transactions of turns take, in whichever part. */
-  readonly #usualTime = new UsualTime();
+  readonly #slowWriteThreshold = new SlowCallThreshold();
   /** By part. A part for which nothing waits and nothing is under way has no entry. */
-  readonly #queues = new Map<string, PartQueue>();
+  readonly #queues = new Map<string, StorePartQueue>();
 
   constructor(context: GatewayContext, sender: TransactionSender) {
     this.#context = context;
     this.#sender = sender;
-    this.#beliefLog = new PartBeliefLog(context);
+    this.#partLog = new StorePartLog(context);
   }
 
   /** Resolves with true once the turn is in the store; with false when that took longer than `patienceMs`. */
-  write(turn: RequestId, content: RetainedTurnContent, patienceMs: number): Promise<boolean> {
+  write(turn: RequestId, content: RetainedTurnContent, timeoutMs: number): Promise<boolean> {
     const { clock, hash, settings } = this.#context;
     const parts = turnParts(turn, settings.turnParts, hash);
     const rows = turnRows(turn, content, parts[0] ?? "");
-    const untilMs = clock.monotonicMs() + patienceMs;
-    return new Promise((settle) => this.#place(new PendingTurn(parts, rows, untilMs, settle)));
+    const deadlineMs = clock.monotonicMs() + timeoutMs;
+    return new Promise((settle) => this.#enqueue(new PendingTurn(parts, rows, deadlineMs, settle)));
   }
 
   /** Has a turn wait at a part that is believed to answer; at all of its parts when there is none. */
-  #place(turn: PendingTurn): void {
-    if (Array.from(turn.waitsAt).some((part) => !this.#isSilent(part))) return;
-    const next = turn.parts.find((part) => !this.#isSilent(part));
+  #enqueue(turn: PendingTurn): void {
+    if (Array.from(turn.queuedParts).some((part) => !this.#isUnresponsive(part))) return;
+    const next = turn.parts.find((part) => !this.#isUnresponsive(part));
     for (const part of next === undefined ? turn.parts : [next]) {
-      if (turn.waitsAt.has(part)) continue;
-      turn.waitAt(part);
+      if (turn.queuedParts.has(part)) continue;
+      turn.addQueuedPart(part);
       this.#queueOf(part).add(turn);
     }
   }
 
-  #isSilent(part: string): boolean {
-    return this.#queues.get(part)?.isSilent ?? false;
+  #isUnresponsive(part: string): boolean {
+    return this.#queues.get(part)?.isUnresponsive ?? false;
   }
 
-  #queueOf(part: string): PartQueue {
+  #queueOf(part: string): StorePartQueue {
     const known = this.#queues.get(part);
     if (known) return known;
-    const queue: PartQueue = new PartQueue({
+    const queue: StorePartQueue = new StorePartQueue({
       context: this.#context,
       sender: this.#sender,
-      usualTime: this.#usualTime,
+      slowCallThreshold: this.#slowWriteThreshold,
       part,
-      onBelief: (belief, silentMs) => this.#changed(queue, { part, belief, silentMs }),
-      onWritten: (turns) => this.#written(turns),
+      onStateChange: (state, silentMs) => this.#onStateChange(queue, { part, state, silentMs }),
+      onWritten: (turns) => this.#onWritten(turns),
       onIdle: () => this.#queues.delete(part),
     });
     this.#queues.set(part, queue);
     return queue;
   }
 
-  #changed(queue: PartQueue, change: { part: string; belief: PartBelief; silentMs: number }): void {
+  #onStateChange(
+    queue: StorePartQueue,
+    change: { part: string; state: StorePartState; silentMs: number },
+  ): void {
     const turns = queue.unwritten;
-    this.#beliefLog.note({ ...change, waiting: turns.length });
-    if (change.belief === "silent") for (const turn of turns) this.#place(turn);
+    this.#partLog.record({ ...change, waiting: turns.length });
+    if (change.state === "silent") for (const turn of turns) this.#enqueue(turn);
   }
 
-  #written(turns: readonly PendingTurn[]): void {
+  #onWritten(turns: readonly PendingTurn[]): void {
     for (const turn of turns) {
-      turn.written();
-      for (const part of turn.waitsAt) this.#queues.get(part)?.remove(turn);
+      turn.markWritten();
+      for (const part of turn.queuedParts) this.#queues.get(part)?.remove(turn);
     }
   }
 }
--- a/src/gateway/rates/rate-host.ts
+++ b/src/gateway/rates/rate-host.ts
@@ -105,12 +105,12 @@
     const { grounds, start } = this.#startOf(ownership);
     const ledger = new RateLedger(this.#tolerance, start);
     this.#logStart(partition, epoch, grounds);
-    const begun = { epoch, ledger, rival: ownership.rival, isClosed: false };
+    const begun = { epoch, ledger, rival: ownership.unreleasedOwner, isClosed: false };
     this.#ledgers.set(partition, begun);
     return begun;
   }
 
-  #startOf({ isReleased, rates, rival, takenOverAtMs }: PartitionOwnership): GroundedStart {
+  #startOf({ isReleased, rates, unreleasedOwner: rival, takenOverAtMs }: PartitionOwnership): GroundedStart {
     if (rates) return { grounds: "handed over", start: RateLedger.handedOver(rates, takenOverAtMs) };
     if (isReleased) return { grounds: "released", start: RateLedger.after(takenOverAtMs) };
     if (rival === undefined) return { grounds: "first", start: RateLedger.first() };
--- a/test/contract/spoilt-rows.test.ts
+++ b/test/contract/corrupt-rows.test.ts
@@ -15,7 +15,7 @@
   encodeAccount,
   ownerKey,
 } from "../../src/gateway/partitions/partition-rows.ts";
-import { turnOf } from "../../src/gateway/partitions/turn-rows.ts";
+import { decodeTurn } from "../../src/gateway/partitions/turn-rows.ts";
 import { StoreHealth } from "../../src/gateway/store-health.ts";
 import type { RowKey } from "../../src/ports/store/row-store.ts";
 import { delay } from "../../src/runtime/clock.ts";
@@ -31,28 +31,28 @@
 const CONTENT = { previousTurn: undefined, input: Buffer.from("in"), output: Buffer.from("out"), tokens: 3 };
 /** How long keys are trusted after a proof that the configuration is the newest, in ms. */
 const TRUST_MS = 1_500;
-const [SPOILT, WHOLE] = ["spoilt", "whole"] as [ProgramId, ProgramId];
+const [CORRUPT, VALID] = ["spoilt", "whole"] as [ProgramId, ProgramId];
 
 /** The row of the turn with this value. */
-const turnIn = (value: Uint8Array) =>
-  turnOf(TURN, [{ table: "turns", part: "t0", key: TURN, value: Buffer.from(value), version: 1 }]);
+const decodeTurnRow = (value: Uint8Array) =>
+  decodeTurn(TURN, [{ table: "turns", part: "t0", key: TURN, value: Buffer.from(value), version: 1 }]);
 
 /** Each kind of row: a whole value, how it is read, and what says that it can't be. */
-const ROWS: [what: string, whole: object, read: (value: Buffer) => unknown, none: unknown][] = [
+const ROWS: [what: string, whole: object, read: (value: Buffer) => unknown, unreadable: unknown][] = [
   ["owner", OWNER, decodeOwner, undefined],
   ["account", ACCOUNT, decodeAccount, undefined],
-  ["turn", CONTENT, turnIn, "unreadable"],
+  ["turn", CONTENT, decodeTurnRow, "unreadable"],
 ];
 
 describe("rows of gateways that somebody has spoilt", () => {
-  for (const [what, whole, read, none] of ROWS) {
+  for (const [what, whole, read, unreadable] of ROWS) {
     it(`are no ${what}, whatever their bytes, and a whole one is`, () => {
       const bytes = encode(whole);
       expect(read(bytes) as object).toLooseEqual(whole);
       const cut = fc.nat(bytes.length - 1).map((length) => bytes.subarray(0, length));
       const other = fc.uint8Array().map((some) => Buffer.from(some));
       const value = fc.jsonValue().map((json) => encode(json));
-      fc.assert(fc.property(fc.oneof(cut, other, value), (some) => expect(read(some)).toEqual(none)));
+      fc.assert(fc.property(fc.oneof(cut, other, value), (some) => expect(read(some)).toEqual(unreadable)));
     });
 
     it(`are no ${what} with a field of another type`, () => {
@@ -60,7 +60,7 @@
       const wrong = fc.constantFrom<unknown>(null, true, {}, [[1]], [["name"]], [["name", "1"]], Number.NaN);
       fc.assert(
         fc.property(field, wrong, (name, value) => {
-          expect(read(encode({ ...whole, [name]: value }))).toEqual(none);
+          expect(read(encode({ ...whole, [name]: value }))).toEqual(unreadable);
         }),
       );
     });
@@ -87,8 +87,8 @@
     const { context, put } = await start();
     const partition = 0;
     await put(ownerKey(partition), Buffer.from([0xff]));
-    await put(accountKey(partition, SPOILT), Buffer.from([0x01]));
-    await put(accountKey(partition, WHOLE), encodeAccount(ACCOUNT));
+    await put(accountKey(partition, CORRUPT), Buffer.from([0x01]));
+    await put(accountKey(partition, VALID), encodeAccount(ACCOUNT));
     type Admit = (request: object) => Promise<GatewayRpcSchema["admitTurn"]["response"]>;
     const handlers = new Map<string, Admit>();
     const rpc = { handle: (name: string, handler: Admit) => handlers.set(name, handler) };
@@ -101,12 +101,12 @@
     host.start();
     while (host.owned.length < context.settings.partitions) await delay(context.clock, 20);
     expect(host.ownership(partition)?.isReleased).toEqual(false);
-    expect(host.ownership(partition)?.rival !== undefined).toEqual(true);
+    expect(host.ownership(partition)?.unreleasedOwner !== undefined).toEqual(true);
     const admit = (program: ProgramId, tokens: number) =>
       handlers.get("admitTurn")?.({ partition, program, turn: `of-${program}`, budget: { tokens, most: 5 } });
-    expect((await admit(SPOILT, 1_000_000))?.type).toEqual("unavailable");
-    expect((await admit(WHOLE, 74))?.type).toEqual("exhausted");
-    expect((await admit(WHOLE, 1_000))?.type).toEqual("granted");
+    expect((await admit(CORRUPT, 1_000_000))?.type).toEqual("unavailable");
+    expect((await admit(VALID, 74))?.type).toEqual("exhausted");
+    expect((await admit(VALID, 1_000))?.type).toEqual("granted");
     await host.release();
   });
 
--- a/test/contract/owned-partition.test.ts
+++ b/test/contract/owned-partition.test.ts
@@ -15,14 +15,14 @@
 
 /** The owner says that a grant is late 100 ms earlier, after 200 ms. */
 const OWNER_WAIT_MS = 300;
-const BETWEEN_ASKS_MS = 80;
+const BETWEEN_REQUESTS_MS = 80;
 /** After the first ask was told that its grant is late, before the second one is. */
-const RECORDED_AFTER_MS = 240;
+const WRITE_DELAY_MS = 240;
 /** How long the gateways' memory, and the store's answer to the second ask, take. */
-const FIND_MS = 150;
+const LOOKUP_DELAY_MS = 150;
 /** Longer than what is still under way to the store takes. */
 const SETTLED_MS = 500;
-const [BEFORE, TURN, OTHER] = ["before", "turn", "other"] as RequestId[];
+const [PREVIOUS_TURN, TURN, OTHER_TURN] = ["before", "turn", "other"] as RequestId[];
 /** Holds one turn. */
 const BUDGET = { tokens: 100, most: 100 };
 
@@ -30,34 +30,36 @@
 let transact: () => Promise<TransactionOutcome>;
 let read: () => Promise<ReadOutcome>;
 
-function ask(turn: RequestId, previousTurn?: RequestId): AdmitTurnRequest {
+function admitRequest(turn: RequestId, previousTurn?: RequestId): AdmitTurnRequest {
   const history = { previousTurn };
   return { partition: 1, program: "program" as ProgramId, session: undefined, turn, budget: BUDGET, history };
 }
 
-function owner(stored: StoredAccounts = { accounts: new Map(), unreadable: new Set() }): OwnedPartition {
+function createPartition(
+  stored: StoredAccounts = { accounts: new Map(), unreadable: new Set() },
+): OwnedPartition {
   const health = new StoreHealth(context);
   const findTurn = async () => {
-    await delay(context.clock, FIND_MS);
+    await delay(context.clock, LOOKUP_DELAY_MS);
     return { type: "unavailable", detail: "none" } as const;
   };
   const onLost = () => undefined;
   return new OwnedPartition({ context, health, partition: 1, epoch: 1, findTurn, onLost }, stored);
 }
 
-async function committed(): Promise<TransactionOutcome> {
+async function commit(): Promise<TransactionOutcome> {
   return { type: "committed", version: 2 };
 }
 
 /** Grants of a budget that holds one turn: `first` and `second` ask for the same turn, then another turn is asked for. */
-async function grants(partition: OwnedPartition, previousTurn?: RequestId): Promise<number> {
-  const first = partition.admit(ask(TURN, previousTurn));
-  await delay(context.clock, BETWEEN_ASKS_MS);
-  const answers = await Promise.all([first, partition.admit(ask(TURN, previousTurn))]);
+async function countGrants(partition: OwnedPartition, previousTurn?: RequestId): Promise<number> {
+  const first = partition.admit(admitRequest(TURN, previousTurn));
+  await delay(context.clock, BETWEEN_REQUESTS_MS);
+  const answers = await Promise.all([first, partition.admit(admitRequest(TURN, previousTurn))]);
   const isGranted = answers.some((answer) => answer !== "moved" && answer.type === "granted");
-  transact = committed;
+  transact = commit;
   await delay(context.clock, SETTLED_MS);
-  const other = await partition.admit(ask(OTHER));
+  const other = await partition.admit(admitRequest(OTHER_TURN));
   return Number(isGranted) + Number(other !== "moved" && other.type === "granted");
 }
 
@@ -75,25 +77,25 @@
       settings: { ...base.settings, timing },
       platform: { ...base.platform, store },
     };
-    transact = committed;
+    transact = commit;
     read = async () => ({ type: "unknown", detail: "none" });
   });
 
   it("counts a turn whose grant was late for the first ask and in time for the second", async () => {
-    transact = () => delay(context.clock, RECORDED_AFTER_MS).then(committed);
-    expect(await grants(owner())).toEqual(1);
+    transact = () => delay(context.clock, WRITE_DELAY_MS).then(commit);
+    expect(await countGrants(createPartition())).toEqual(1);
   });
 
   it("counts a turn whose history was out of reach for the first ask and found for the second", async () => {
     const content = { previousTurn: undefined, input: Buffer.from("in"), output: Buffer.from("out") };
-    const rows = turnRows(BEFORE as RequestId, content, "").map((row) => ({ ...row, version: 1 }));
+    const rows = turnRows(PREVIOUS_TURN as RequestId, content, "").map((row) => ({ ...row, version: 1 }));
     const startedMs = context.clock.monotonicMs();
     read = async () => {
-      if (context.clock.monotonicMs() - startedMs < BETWEEN_ASKS_MS / 2)
+      if (context.clock.monotonicMs() - startedMs < BETWEEN_REQUESTS_MS / 2)
         return { type: "unknown", detail: "none" };
-      await delay(context.clock, FIND_MS);
+      await delay(context.clock, LOOKUP_DELAY_MS);
       return { type: "rows", rows, more: false, version: 1 };
     };
-    expect(await grants(owner(), BEFORE)).toEqual(1);
+    expect(await countGrants(createPartition(), PREVIOUS_TURN)).toEqual(1);
   });
 });
--- a/test/contract/partition-host.test.ts
+++ b/test/contract/partition-host.test.ts
@@ -8,9 +8,9 @@
 import {
   decodeOwner,
   encodeOwner,
-  NOBODY,
+  NO_OWNER,
   ownerKey,
-  partOf,
+  storePartOf,
 } from "../../src/gateway/partitions/partition-rows.ts";
 import { StoreHealth } from "../../src/gateway/store-health.ts";
 import { delay } from "../../src/runtime/clock.ts";
@@ -23,13 +23,13 @@
 /** Within the time for which a gateway that hears few watches an owner's writes. */
 const HEARD_AFTER_MS = 800;
 /** Longer than it waits for others and watches, together. */
-const CLAIMED_MS = 2_000;
+const CLAIM_WAIT_MS = 2_000;
 
-const OWNED_AFTER_MS = 3_000;
+const OWNERSHIP_TIMEOUT_MS = 3_000;
 const RATES = { tokens: [["tenant", 3] as const], filledForMs: undefined };
 
 /** What the other gateways are to one that hears of nobody. */
-const NOBODY_ELSE = {
+const NO_OTHER_GATEWAYS = {
   hasSettled: true,
   hearsMost: true,
   mayOwn: () => false,
@@ -46,18 +46,18 @@
   afterEach(() => store.close());
 
   /** Has a gateway take partition 1 over, while one thing goes wrong for a moment; returns what it was left. */
-  async function takeOver(goesWrong: () => Promise<void>): Promise<PartitionOwnership | undefined> {
+  async function takeOver(injectFault: () => Promise<void>): Promise<PartitionOwnership | undefined> {
     const context = await gatewayContext(SELF, await store.listen());
     const members = {
-      ...NOBODY_ELSE,
+      ...NO_OTHER_GATEWAYS,
       ownerCandidates: () => [{ name: SELF, hash: 1 }],
     } as unknown as MemberDirectory;
-    const value = encodeOwner({ instance: NOBODY, commit: 5, rates: RATES }).toString("base64");
+    const value = encodeOwner({ instance: NO_OWNER, commit: 5, rates: RATES }).toString("base64");
     store.model.transact({ conditions: [], puts: [{ ...ownerKey(PARTITION), value }], removes: [] });
     const host = new PartitionHost(context, members, new StoreHealth(context), NO_RPC);
     host.start();
-    await goesWrong();
-    const untilMs = performance.now() + OWNED_AFTER_MS;
+    await injectFault();
+    const untilMs = performance.now() + OWNERSHIP_TIMEOUT_MS;
     while (!host.ownership(PARTITION) && performance.now() < untilMs) await delay(context.clock, 10);
     const ownership = host.ownership(PARTITION);
     await host.release();
@@ -65,12 +65,12 @@
   }
 
   /** Resolves once the owner's row names the gateway. */
-  async function isTaken(): Promise<void> {
+  async function waitUntilClaimed(): Promise<void> {
     const { table, part } = ownerKey(PARTITION);
     for (;;) {
       const [row] = store.model.read(table, part, "", undefined);
       const owner = row && decodeOwner(Buffer.from(row.value ?? "", "base64"));
-      if (owner && owner.instance !== NOBODY) return;
+      if (owner && owner.instance !== NO_OWNER) return;
       await new Promise((resolve) => setTimeout(resolve, 2));
     }
   }
@@ -83,21 +83,21 @@
   // Guards against tenants below their limits that are turned away after a planned stop.
   it("goes on with them although the store's answer to its claim was lost", async () => {
     const ownership = await takeOver(async () => {
-      store.partFaults.set(partOf(PARTITION), "lostAnswer");
-      await isTaken();
+      store.partFaults.set(storePartOf(PARTITION), "lostAnswer");
+      await waitUntilClaimed();
       store.partFaults.clear();
     });
-    expect([ownership?.rates, ownership?.rival]).toEqual([RATES, undefined]);
+    expect([ownership?.rates, ownership?.unreleasedOwner]).toEqual([RATES, undefined]);
   });
 
   it("goes on with them although it could not read the accounts at first", async () => {
     const ownership = await takeOver(async () => {
-      await isTaken();
-      store.partFaults.set(partOf(PARTITION), "busy");
+      await waitUntilClaimed();
+      store.partFaults.set(storePartOf(PARTITION), "busy");
       await new Promise((resolve) => setTimeout(resolve, 300));
       store.partFaults.clear();
     });
-    expect([ownership?.rates, ownership?.rival]).toEqual([RATES, undefined]);
+    expect([ownership?.rates, ownership?.unreleasedOwner]).toEqual([RATES, undefined]);
   });
 });
 
@@ -123,11 +123,11 @@
     host.start();
     await delay(context.clock, HEARD_AFTER_MS);
     heard = all;
-    await delay(context.clock, CLAIMED_MS - HEARD_AFTER_MS);
+    await delay(context.clock, CLAIM_WAIT_MS - HEARD_AFTER_MS);
     const partitions = Array.from({ length: context.settings.partitions }, (_, index) => index);
-    const mine = partitions.filter((partition) => preferredOwner(partition, all) === SELF);
-    expect(host.owned.map(([partition]) => partition).sort()).toEqual(mine);
-    expect(mine.length < partitions.length).toEqual(true);
+    const expected = partitions.filter((partition) => preferredOwner(partition, all) === SELF);
+    expect(host.owned.map(([partition]) => partition).sort()).toEqual(expected);
+    expect(expected.length < partitions.length).toEqual(true);
     await host.release();
   });
 });
--- a/test/contract/partition-writer.test.ts
+++ b/test/contract/partition-writer.test.ts
@@ -19,11 +19,11 @@
 const PARTITION = 1;
 const PROGRAM = "program" as ProgramId;
 /** How long calls of the store wait where nothing else is said, in ms. */
-const PATIENT_STORE_MS = 1_000;
+const STORE_TIMEOUT_MS = 1_000;
 
 let standin: RowStoreStandin;
 let context: GatewayContext;
-let lost: number;
+let lostCount: number;
 
 async function takeOver(owner: GatewayContext, version: number): Promise<PartitionWriter> {
   const key = ownerKey(PARTITION);
@@ -38,7 +38,7 @@
   health.note(outcome);
   const epoch = outcome.version;
   const onLost = () => {
-    lost += 1;
+    lostCount += 1;
   };
   return new PartitionWriter({
     context: owner,
@@ -64,8 +64,8 @@
 describe("partition writer", () => {
   beforeEach(async () => {
     standin = new RowStoreStandin();
-    context = await gatewayContext("first", await standin.listen(), PATIENT_STORE_MS);
-    lost = 0;
+    context = await gatewayContext("first", await standin.listen(), STORE_TIMEOUT_MS);
+    lostCount = 0;
   });
   afterEach(() => standin.close());
 
@@ -86,7 +86,7 @@
       // A write that was done late must not put an older count in place of a newer one.
       await new Promise((resolve) => setTimeout(resolve, 400));
       expect(await storedTokens()).toEqual(200);
-      expect(lost).toEqual(0);
+      expect(lostCount).toEqual(0);
     });
   }
 
@@ -102,7 +102,7 @@
       standin.fault = "none";
     }, 20);
     expect(await write).toEqual("recorded");
-    expect(performance.now() - startedMs < PATIENT_STORE_MS / 2).toEqual(true);
+    expect(performance.now() - startedMs < STORE_TIMEOUT_MS / 2).toEqual(true);
     expect(await storedTokens()).toEqual(600);
   });
 
@@ -138,7 +138,7 @@
     const second = { ...context, instance: "second#1" };
     const writer = await takeOver(second, standin.model.version);
     expect(await first.writeAccount(PROGRAM, spend(new TokenAccount(), "turn"))).toEqual("lost");
-    expect(lost).toEqual(1);
+    expect(lostCount).toEqual(1);
     expect(await storedTokens()).toEqual(undefined);
     expect(await writer.writeAccount(PROGRAM, spend(new TokenAccount(), "turn"))).toEqual("recorded");
   });
@@ -170,6 +170,6 @@
     };
     await writer.release(new Map([[PROGRAM, released]]), () => undefined);
     expect(await storedTokens()).toEqual(100);
-    expect(lost).toEqual(1);
+    expect(lostCount).toEqual(1);
   });
 });
--- a/test/contract/rate-host.test.ts
+++ b/test/contract/rate-host.test.ts
@@ -57,7 +57,7 @@
       epoch: 7,
       isReleased: false,
       rates,
-      rival: "other#1",
+      unreleasedOwner: "other#1",
       takenOverAtMs: nowMs,
     };
     await startHost();
--- a/test/contract/turn-writer.test.ts
+++ b/test/contract/turn-writer.test.ts
@@ -9,7 +9,7 @@
 import { RetainedTurns } from "../../src/gateway/partitions/retained-turns.ts";
 import { TransactionSender } from "../../src/gateway/partitions/transaction-sender.ts";
 import type { TurnLookup } from "../../src/gateway/partitions/turn-lookup.ts";
-import { turnOf, turnParts, turnRows } from "../../src/gateway/partitions/turn-rows.ts";
+import { decodeTurn, turnParts, turnRows } from "../../src/gateway/partitions/turn-rows.ts";
 import { TurnWriter } from "../../src/gateway/partitions/turn-writer.ts";
 import { StoreHealth } from "../../src/gateway/store-health.ts";
 import type { TransactionOutcome } from "../../src/ports/store/row-store.ts";
@@ -18,11 +18,11 @@
 import { RowStoreStandin, type StoreFault } from "../../standins/platform/row-store-standin.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
 
-const PATIENT_STORE_MS = 1_000;
+const STORE_TIMEOUT_MS = 1_000;
 /** Longer than it takes to notice that parts of a turn are silent, one after the other, in ms; less than a call waits. */
-const NOTICED_MS = 900;
+const DETECTION_LIMIT_MS = 900;
 /** How long turns are tried where nothing else is said, in ms. */
-const PATIENCE_MS = 30_000;
+const WRITE_TIMEOUT_MS = 30_000;
 const [TURN_0, TURN_1, TURN_2, TURN_3] = ["turn-0", "turn-1", "turn-2", "turn-3"] as RequestId[];
 const [LARGE, AFTER_LARGE] = ["large", "after-large"] as RequestId[];
 /** The second begins with the first. */
@@ -36,13 +36,13 @@
   return { previousTurn, input: Buffer.from(`in ${text}`), output: Buffer.from(`out ${text}`) };
 }
 
-async function nowhereElse(): Promise<TurnLookup> {
+async function findInNoGateway(): Promise<TurnLookup> {
   return { type: "noSuchTurn" };
 }
 
 /** What another gateway, which has nothing in memory, finds of a turn and those before it. */
-async function said(turn: RequestId): Promise<string> {
-  const outcome = await new RetainedTurns(context, () => 0, nowhereElse).history(turn);
+async function readHistory(turn: RequestId): Promise<string> {
+  const outcome = await new RetainedTurns(context, () => 0, findInNoGateway).history(turn);
   return outcome.type === "history" ? Buffer.concat(outcome.parts).toString() : outcome.type;
 }
 
@@ -55,14 +55,14 @@
 }
 
 /** Turns that lie in the same part of the store as each other. */
-function turnsOfOnePart(count: number): RequestId[] {
+function turnsOfSamePart(count: number): RequestId[] {
   const names = Array.from({ length: 10_000 }, (_, index) => `turn-${index}` as RequestId);
   const first = firstPart(TURN_0);
   return names.filter((name) => firstPart(name) === first).slice(0, count);
 }
 
 /** A turn that lies in another part than `turn`. */
-function turnElsewhere(turn: RequestId): RequestId {
+function turnOfOtherPart(turn: RequestId): RequestId {
   const part = firstPart(turn);
   for (let index = 0; ; index += 1) {
     const name = `other-${index}` as RequestId;
@@ -70,12 +70,12 @@
   }
 }
 
-function writerOf(ofContext: GatewayContext): TurnWriter {
+function createWriter(ofContext: GatewayContext): TurnWriter {
   return new TurnWriter(ofContext, new TransactionSender(ofContext, new StoreHealth(ofContext)));
 }
 
 /** A context whose calls of the store are counted by kind and part. */
-function counted(counts: Map<string, number>): GatewayContext {
+function withCallCounts(counts: Map<string, number>): GatewayContext {
   const { store } = context.platform;
   const count = (call: string) => counts.set(call, (counts.get(call) ?? 0) + 1);
   return {
@@ -98,7 +98,7 @@
 }
 
 /** Which of a turn's parts hold it: numbers, the first is 0. */
-function heldIn(turn: RequestId): number[] {
+function partsHolding(turn: RequestId): number[] {
   return partsOf(turn).flatMap((part, index) => {
     const rows = standin.model.read("turns", part, turn, `${turn}0`);
     return rows.some((row) => row.value !== undefined) ? [index] : [];
@@ -106,19 +106,19 @@
 }
 
 /** Has the first parts of a turn go wrong. */
-function spoil(turn: RequestId, count: number, fault: StoreFault): void {
+function setPartFaults(turn: RequestId, count: number, fault: StoreFault): void {
   for (const part of partsOf(turn).slice(0, count)) standin.partFaults.set(part, fault);
 }
 
-async function pause(delayMs: number): Promise<void> {
+async function sleep(delayMs: number): Promise<void> {
   await new Promise((resolve) => setTimeout(resolve, delayMs));
 }
 
 describe("retained turns in the store", () => {
   beforeEach(async () => {
     standin = new RowStoreStandin();
-    context = await gatewayContext("first", await standin.listen(), PATIENT_STORE_MS);
-    writer = writerOf(context);
+    context = await gatewayContext("first", await standin.listen(), STORE_TIMEOUT_MS);
+    writer = createWriter(context);
   });
   afterEach(() => standin.close());
 
@@ -126,20 +126,20 @@
   for (const fault of FAULTS) {
     it(`are there once they are said to be written, after ${fault}`, async () => {
       standin.fault = fault;
-      const written = writer.write(TURN_1, content("1"), PATIENCE_MS);
+      const written = writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
       setTimeout(() => {
         standin.fault = "none";
       }, 100);
       expect(await written).toEqual(true);
-      expect(await said(TURN_1)).toEqual("in 1out 1");
+      expect(await readHistory(TURN_1)).toEqual("in 1out 1");
     });
   }
 
   it("are found with all before them, whichever program they are of", async () => {
-    await writer.write(TURN_1, content("1"), PATIENCE_MS);
-    await writer.write(TURN_2, content("2", TURN_1), PATIENCE_MS);
-    expect(await said(TURN_2)).toEqual("in 1out 1in 2out 2");
-    expect(await said(TURN_3)).toEqual("noSuchTurn");
+    await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
+    await writer.write(TURN_2, content("2", TURN_1), WRITE_TIMEOUT_MS);
+    expect(await readHistory(TURN_2)).toEqual("in 1out 1in 2out 2");
+    expect(await readHistory(TURN_3)).toEqual("noSuchTurn");
   });
 
   it("may be larger than a row of the store", async () => {
@@ -148,39 +148,41 @@
       input: Buffer.alloc(150_000, "i"),
       output: Buffer.alloc(50_000, "o"),
     };
-    expect(await writer.write(LARGE, large, PATIENCE_MS)).toEqual(true);
-    expect(await writer.write(AFTER_LARGE, content("next", LARGE), PATIENCE_MS)).toEqual(true);
-    const text = await said(AFTER_LARGE);
+    expect(await writer.write(LARGE, large, WRITE_TIMEOUT_MS)).toEqual(true);
+    expect(await writer.write(AFTER_LARGE, content("next", LARGE), WRITE_TIMEOUT_MS)).toEqual(true);
+    const text = await readHistory(AFTER_LARGE);
     expect([text.length, text.endsWith("oin nextout next")]).toEqual([200_015, true]);
   });
 
   it("are put together from the turn's own rows alone, in their order", () => {
     const large = { previousTurn: undefined, input: Buffer.alloc(600_000, "x"), output: Buffer.from("end") };
     const rows = turnRows(NAMED_A, large, "t0").map((row) => ({ ...row, version: 1 }));
-    const stranger = turnRows(NAMED_A_B, content("stranger"), "t0").map((row) => ({ ...row, version: 1 }));
+    const otherRows = turnRows(NAMED_A_B, content("stranger"), "t0").map((row) => ({ ...row, version: 1 }));
     expect(rows.length > 10).toEqual(true);
-    const byKey = [...rows, ...stranger].sort((left, right) => (left.key < right.key ? -1 : 1));
-    const found = turnOf(NAMED_A, byKey);
+    const byKey = [...rows, ...otherRows].sort((left, right) => (left.key < right.key ? -1 : 1));
+    const found = decodeTurn(NAMED_A, byKey);
     expect(typeof found === "string" ? found : found.input.length).toEqual(600_000);
-    expect(turnOf(NAMED_A, stranger)).toEqual("absent");
+    expect(decodeTurn(NAMED_A, otherRows)).toEqual("absent");
   });
 
   it("go into one transaction when they end at the same time in one part", async () => {
-    const turns = turnsOfOnePart(20);
+    const turns = turnsOfSamePart(20);
     const before = standin.counts.writes;
-    const written = await Promise.all(turns.map((turn) => writer.write(turn, content(turn), PATIENCE_MS)));
+    const written = await Promise.all(
+      turns.map((turn) => writer.write(turn, content(turn), WRITE_TIMEOUT_MS)),
+    );
     expect(written).toEqual(turns.map(() => true));
     expect(standin.counts.writes - before).toEqual(1);
   });
 
   it("do not wait for a transaction of another part that is not answered", async () => {
     standin.fault = "silent";
-    const first = writer.write(TURN_1, content("1"), PATIENCE_MS);
+    const first = writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     await new Promise((resolve) => setTimeout(resolve, 50));
     standin.fault = "none";
-    const other = turnElsewhere(TURN_1);
+    const other = turnOfOtherPart(TURN_1);
     const startedMs = performance.now();
-    expect(await writer.write(other, content("2"), PATIENCE_MS)).toEqual(true);
+    expect(await writer.write(other, content("2"), WRITE_TIMEOUT_MS)).toEqual(true);
     expect(performance.now() - startedMs < 150).toEqual(true);
     expect(await first).toEqual(true);
   });
@@ -189,8 +191,8 @@
 describe("parts of a retained turn", () => {
   beforeEach(async () => {
     standin = new RowStoreStandin();
-    context = await gatewayContext("first", await standin.listen(), PATIENT_STORE_MS);
-    writer = writerOf(context);
+    context = await gatewayContext("first", await standin.listen(), STORE_TIMEOUT_MS);
+    writer = createWriter(context);
   });
   afterEach(() => standin.close());
 
@@ -203,7 +205,7 @@
     [64, 4],
   ] as const) {
     it(`are ${expected} different ones of ${partCount}, the same each time`, () => {
-      for (const turn of turnsOfOnePart(50)) {
+      for (const turn of turnsOfSamePart(50)) {
         const parts = turnParts(turn, partCount, context.hash);
         expect(new Set(parts).size).toEqual(expected);
         expect(parts.length).toEqual(expected);
@@ -216,83 +218,83 @@
 
   const FAULTS: StoreFault[] = ["silent", "busy", "throttled", "reset"];
   for (const fault of FAULTS) {
-    for (const spoilt of [1, 2, 3]) {
-      it(`are passed over while they do not answer: ${spoilt} with ${fault}`, async () => {
-        spoil(TURN_1, spoilt, fault);
+    for (const faultyParts of [1, 2, 3]) {
+      it(`are passed over while they do not answer: ${faultyParts} with ${fault}`, async () => {
+        setPartFaults(TURN_1, faultyParts, fault);
         const startedMs = performance.now();
-        expect(await writer.write(TURN_1, content("1"), PATIENCE_MS)).toEqual(true);
-        expect(performance.now() - startedMs < NOTICED_MS).toEqual(true);
-        expect(heldIn(TURN_1)).toEqual([spoilt]);
-        expect(await said(TURN_1)).toEqual("in 1out 1");
+        expect(await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS)).toEqual(true);
+        expect(performance.now() - startedMs < DETECTION_LIMIT_MS).toEqual(true);
+        expect(partsHolding(TURN_1)).toEqual([faultyParts]);
+        expect(await readHistory(TURN_1)).toEqual("in 1out 1");
       });
     }
 
     it(`all take the turn when they answer again, after ${fault}`, async () => {
-      spoil(TURN_1, 4, fault);
+      setPartFaults(TURN_1, 4, fault);
       let isWritten = false;
-      const written = writer.write(TURN_1, content("1"), PATIENCE_MS).finally(() => {
+      const written = writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS).finally(() => {
         isWritten = true;
       });
-      await pause(NOTICED_MS + 400);
-      expect([isWritten, heldIn(TURN_1)]).toEqual([false, []]);
+      await sleep(DETECTION_LIMIT_MS + 400);
+      expect([isWritten, partsHolding(TURN_1)]).toEqual([false, []]);
       standin.partFaults.clear();
       expect(await written).toEqual(true);
-      expect(await said(TURN_1)).toEqual("in 1out 1");
+      expect(await readHistory(TURN_1)).toEqual("in 1out 1");
     });
   }
 
   it("are left when they fall silent, also by turns that wait behind others, and used again later", async () => {
-    const [first, ...behind] = turnsOfOnePart(5);
+    const [first, ...behind] = turnsOfSamePart(5);
     if (!first) throw new Error("no turns");
-    expect(await writer.write(first, content("first"), PATIENCE_MS)).toEqual(true);
-    spoil(first, 1, "silent");
-    const underWay = writer.write(behind[0] as RequestId, content("under way"), PATIENCE_MS);
-    await pause(20);
-    const waiting = behind.slice(1, 3).map((turn) => writer.write(turn, content(turn), PATIENCE_MS));
+    expect(await writer.write(first, content("first"), WRITE_TIMEOUT_MS)).toEqual(true);
+    setPartFaults(first, 1, "silent");
+    const underWay = writer.write(behind[0] as RequestId, content("under way"), WRITE_TIMEOUT_MS);
+    await sleep(20);
+    const waiting = behind.slice(1, 3).map((turn) => writer.write(turn, content(turn), WRITE_TIMEOUT_MS));
     expect(await Promise.all([underWay, ...waiting])).toEqual([true, true, true]);
-    expect(behind.slice(0, 3).map(heldIn)).toEqual([[1], [1], [1]]);
+    expect(behind.slice(0, 3).map(partsHolding)).toEqual([[1], [1], [1]]);
     standin.partFaults.clear();
     // Until the call under way has waited for its answer, and the next has one.
-    await pause(3 * PATIENT_STORE_MS);
-    expect(await writer.write(behind[3] as RequestId, content("last"), PATIENCE_MS)).toEqual(true);
-    expect(heldIn(behind[3] as RequestId)).toEqual([0]);
+    await sleep(3 * STORE_TIMEOUT_MS);
+    expect(await writer.write(behind[3] as RequestId, content("last"), WRITE_TIMEOUT_MS)).toEqual(true);
+    expect(partsHolding(behind[3] as RequestId)).toEqual([0]);
     // What was not sent before it was written elsewhere has left the queue.
-    expect(behind.slice(1, 3).map(heldIn)).toEqual([[1], [1]]);
+    expect(behind.slice(1, 3).map(partsHolding)).toEqual([[1], [1]]);
   });
 
   it("are not tried by the turns that follow while they are silent", async () => {
-    const [first, second] = turnsOfOnePart(2) as [RequestId, RequestId];
-    spoil(first, 1, "silent");
-    await writer.write(first, content("1"), PATIENCE_MS);
+    const [first, second] = turnsOfSamePart(2) as [RequestId, RequestId];
+    setPartFaults(first, 1, "silent");
+    await writer.write(first, content("1"), WRITE_TIMEOUT_MS);
     const startedMs = performance.now();
-    expect(await writer.write(second, content("2"), PATIENCE_MS)).toEqual(true);
+    expect(await writer.write(second, content("2"), WRITE_TIMEOUT_MS)).toEqual(true);
     expect(performance.now() - startedMs < 100).toEqual(true);
-    expect(heldIn(second)).toEqual([1]);
+    expect(partsHolding(second)).toEqual([1]);
   });
 
   it("may two hold the turn", async () => {
-    spoil(TURN_1, 1, "lostAnswer");
-    expect(await writer.write(TURN_1, content("1"), PATIENCE_MS)).toEqual(true);
-    expect(heldIn(TURN_1)).toEqual([0, 1]);
-    expect(await said(TURN_1)).toEqual("in 1out 1");
+    setPartFaults(TURN_1, 1, "lostAnswer");
+    expect(await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS)).toEqual(true);
+    expect(partsHolding(TURN_1)).toEqual([0, 1]);
+    expect(await readHistory(TURN_1)).toEqual("in 1out 1");
   });
 
-  for (const [partCount, spoilt] of [
+  for (const [partCount, faultyParts] of [
     [1, 1],
     [2, 1],
     [2, 2],
   ] as const) {
-    it(`may be fewer: ${spoilt} of ${partCount} silent`, async () => {
+    it(`may be fewer: ${faultyParts} of ${partCount} silent`, async () => {
       context = { ...context, settings: { ...context.settings, turnParts: partCount } };
-      spoil(TURN_1, spoilt, "silent");
-      const written = writerOf(context).write(TURN_1, content("1"), PATIENCE_MS);
-      if (spoilt === partCount) {
-        await pause(NOTICED_MS);
-        expect(heldIn(TURN_1)).toEqual([]);
+      setPartFaults(TURN_1, faultyParts, "silent");
+      const written = createWriter(context).write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
+      if (faultyParts === partCount) {
+        await sleep(DETECTION_LIMIT_MS);
+        expect(partsHolding(TURN_1)).toEqual([]);
         standin.partFaults.clear();
       }
       expect(await written).toEqual(true);
-      expect(await said(TURN_1)).toEqual("in 1out 1");
+      expect(await readHistory(TURN_1)).toEqual("in 1out 1");
     });
   }
 
@@ -300,9 +302,9 @@
     ["refuse at once", 0, async () => ({ type: "refused", detail: "status 429" })],
     [
       "do not answer",
-      PATIENT_STORE_MS,
+      STORE_TIMEOUT_MS,
       async (clock) => {
-        await delay(clock, PATIENT_STORE_MS);
+        await delay(clock, STORE_TIMEOUT_MS);
         return { type: "unknown", detail: "no answer" };
       },
     ],
@@ -318,22 +320,22 @@
       };
       let calls = 0;
       const store = {
-        ...counted(new Map()).platform.store,
+        ...withCallCounts(new Map()).platform.store,
         transact: () => {
           calls += 1;
           return transact(clock);
         },
       };
       const outcomes: boolean[] = [];
-      void writerOf({ ...context, clock, platform: { ...context.platform, store } })
-        .write(TURN_1, content("1"), PATIENCE_MS)
+      void createWriter({ ...context, clock, platform: { ...context.platform, store } })
+        .write(TURN_1, content("1"), WRITE_TIMEOUT_MS)
         .then((written) => outcomes.push(written));
       await fake.tickAsync(29_000);
       expect(outcomes).toEqual([]);
       await fake.tickAsync(10_000);
       expect(outcomes).toEqual([false]);
       // Four parts, four tries at once of each transaction at most, and the pause after it.
-      const rounds = PATIENCE_MS / (callMs + 40) + 1;
+      const rounds = WRITE_TIMEOUT_MS / (callMs + 40) + 1;
       expect(calls <= 4 * rounds * (callMs > 0 ? 4 : 1)).toEqual(true);
       const after = calls;
       await fake.tickAsync(10_000);
@@ -344,15 +346,15 @@
   it("are named in few lines of the log when they fall silent and answer again", async () => {
     const lines: Record<string, unknown>[] = [];
     const log = pino({ base: null }, { write: (line: string) => void lines.push(JSON.parse(line)) });
-    const logging = writerOf({ ...context, log });
+    const logging = createWriter({ ...context, log });
     for (let part = 0; part < 20; part += 1) standin.partFaults.set(`t${part}`, "busy");
     const turns = Array.from({ length: 40 }, (_, index) => `turn-${index}` as RequestId).filter((turn) =>
       partsOf(turn).some((part) => !standin.partFaults.has(part)),
     );
-    await Promise.all(turns.map((turn) => logging.write(turn, content(turn), PATIENCE_MS)));
-    await pause(600);
+    await Promise.all(turns.map((turn) => logging.write(turn, content(turn), WRITE_TIMEOUT_MS)));
+    await sleep(600);
     standin.partFaults.clear();
-    await pause(1_000);
+    await sleep(1_000);
     const silent = lines.filter(({ msg }) => msg === "part of the store silent");
     const again = lines.filter(({ msg }) => msg === "part of the store answers again");
     expect([silent.length >= 1 && silent.length <= 3, again.length >= 1 && again.length <= 3]).toEqual([
@@ -371,55 +373,59 @@
 
 describe("looking for a retained turn", () => {
   const counts = new Map<string, number>();
-  let memory: TurnLookup;
-  let memoryAsked: number;
+  let gatewayLookup: TurnLookup;
+  let gatewayLookups: number;
 
   beforeEach(async () => {
     standin = new RowStoreStandin();
-    context = await gatewayContext("first", await standin.listen(), PATIENT_STORE_MS);
-    writer = writerOf(context);
+    context = await gatewayContext("first", await standin.listen(), STORE_TIMEOUT_MS);
+    writer = createWriter(context);
     counts.clear();
-    memory = { type: "noSuchTurn" };
-    memoryAsked = 0;
+    gatewayLookup = { type: "noSuchTurn" };
+    gatewayLookups = 0;
   });
   afterEach(() => standin.close());
 
-  async function look(turn: RequestId, newestVersion = 0): Promise<string> {
+  async function lookUp(turn: RequestId, newestVersion = 0): Promise<string> {
     const findInMemory = async () => {
-      memoryAsked += 1;
-      return memory;
+      gatewayLookups += 1;
+      return gatewayLookup;
     };
-    const outcome = await new RetainedTurns(counted(counts), () => newestVersion, findInMemory).history(turn);
+    const outcome = await new RetainedTurns(
+      withCallCounts(counts),
+      () => newestVersion,
+      findInMemory,
+    ).history(turn);
     return outcome.type === "history" ? Buffer.concat(outcome.parts).toString() : outcome.type;
   }
 
-  function reads(turn: RequestId): number[] {
+  function readCounts(turn: RequestId): number[] {
     return partsOf(turn).map((part) => counts.get(`read ${part}`) ?? 0);
   }
 
   it("reads the first part alone when it has the turn", async () => {
-    await writer.write(TURN_1, content("1"), PATIENCE_MS);
-    expect(await look(TURN_1)).toEqual("in 1out 1");
-    expect([reads(TURN_1), memoryAsked]).toEqual([[1, 0, 0, 0], 0]);
+    await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
+    expect(await lookUp(TURN_1)).toEqual("in 1out 1");
+    expect([readCounts(TURN_1), gatewayLookups]).toEqual([[1, 0, 0, 0], 0]);
   });
 
   for (const holder of [1, 2, 3]) {
     it(`reads the others once when part ${holder} has the turn`, async () => {
       const puts = turnRows(TURN_1, content("1"), partsOf(TURN_1)[holder] as string);
       await context.platform.store.transact({ conditions: [], puts, removes: [] });
-      expect(heldIn(TURN_1)).toEqual([holder]);
-      expect(await look(TURN_1)).toEqual("in 1out 1");
-      expect([reads(TURN_1), memoryAsked]).toEqual([[1, 1, 1, 1], 0]);
+      expect(partsHolding(TURN_1)).toEqual([holder]);
+      expect(await lookUp(TURN_1)).toEqual("in 1out 1");
+      expect([readCounts(TURN_1), gatewayLookups]).toEqual([[1, 1, 1, 1], 0]);
     });
   }
 
   it("asks the gateways' memory when no part has the turn, and denies it when they do, too", async () => {
-    expect(await look(TURN_1)).toEqual("noSuchTurn");
-    expect([reads(TURN_1), memoryAsked]).toEqual([[1, 1, 1, 1], 1]);
-    memory = { type: "found", content: content("1") };
-    expect(await look(TURN_1)).toEqual("in 1out 1");
-    memory = { type: "unavailable", detail: "a gateway gave no answer" };
-    expect(await look(TURN_1)).toEqual("unavailable");
+    expect(await lookUp(TURN_1)).toEqual("noSuchTurn");
+    expect([readCounts(TURN_1), gatewayLookups]).toEqual([[1, 1, 1, 1], 1]);
+    gatewayLookup = { type: "found", content: content("1") };
+    expect(await lookUp(TURN_1)).toEqual("in 1out 1");
+    gatewayLookup = { type: "unavailable", detail: "a gateway gave no answer" };
+    expect(await lookUp(TURN_1)).toEqual("unavailable");
   });
 
   const FAULTS: StoreFault[] = ["silent", "busy", "throttled", "reset"];
@@ -427,36 +433,36 @@
     for (const index of [0, 1, 2, 3]) {
       it(`does not deny a turn while part ${index} gives no answer: ${fault}`, async () => {
         standin.partFaults.set(partsOf(TURN_1)[index] as string, fault);
-        expect(await look(TURN_1)).toEqual("unavailable");
+        expect(await lookUp(TURN_1)).toEqual("unavailable");
         standin.partFaults.clear();
-        expect(await look(TURN_1)).toEqual("noSuchTurn");
+        expect(await lookUp(TURN_1)).toEqual("noSuchTurn");
       });
     }
 
     it(`finds a turn in memory when no part answers: ${fault}`, async () => {
-      spoil(TURN_1, 4, fault);
-      memory = { type: "found", content: content("1") };
+      setPartFaults(TURN_1, 4, fault);
+      gatewayLookup = { type: "found", content: content("1") };
       const startedMs = performance.now();
-      expect(await look(TURN_1)).toEqual("in 1out 1");
-      expect(performance.now() - startedMs < NOTICED_MS).toEqual(true);
+      expect(await lookUp(TURN_1)).toEqual("in 1out 1");
+      expect(performance.now() - startedMs < DETECTION_LIMIT_MS).toEqual(true);
     });
   }
 
   it("does not deny a turn on an answer that is older than what was seen", async () => {
-    expect(await look(TURN_1, 1_000)).toEqual("unavailable");
+    expect(await lookUp(TURN_1, 1_000)).toEqual("unavailable");
   });
 
   it("does not wait for a first part that is silent", async () => {
-    spoil(TURN_1, 1, "silent");
-    await writer.write(TURN_1, content("1"), PATIENCE_MS);
+    setPartFaults(TURN_1, 1, "silent");
+    await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     const startedMs = performance.now();
-    expect(await look(TURN_1)).toEqual("in 1out 1");
-    expect(performance.now() - startedMs < NOTICED_MS).toEqual(true);
+    expect(await lookUp(TURN_1)).toEqual("in 1out 1");
+    expect(performance.now() - startedMs < DETECTION_LIMIT_MS).toEqual(true);
   });
 
   it("finds a turn in a part that answers late", async () => {
-    await writer.write(TURN_1, content("1"), PATIENCE_MS);
+    await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     standin.delayMs = 600;
-    expect(await look(TURN_1)).toEqual("in 1out 1");
+    expect(await lookUp(TURN_1)).toEqual("in 1out 1");
   });
 });
