--- a/src/gateway/partitions/first-found.ts
+++ b/src/gateway/partitions/first-found.ts
@@ -1,8 +1,8 @@
 import type { TurnLookup } from "./turn-lookup.ts";
 
 /**
- * Resolves with the first lookup that finds the turn. When all have ended and none has, nobody can be sure if one could
- * not: the first of these counts.
+ * Resolves with the first lookup that finds the turn. If none does, resolves once all have ended: with the first
+ * `unavailable` result if there is one, since the turn may exist there, and with `noSuchTurn` otherwise.
  */
 export function firstFound(lookups: readonly Promise<TurnLookup>[]): Promise<TurnLookup> {
   return new Promise((resolve) => {
--- a/src/gateway/partitions/owned-partition.ts
+++ b/src/gateway/partitions/owned-partition.ts
@@ -1,4 +1,4 @@
-/** One partition that this gateway owns: the accounts of its programs, and their retained turns. */
+/** A partition owned by this gateway: its programs' token accounts and their retained turns. */
 
 import type { RateHandOver } from "../../coordination/request-rate/index.ts";
 import { type StoredAccount, TokenAccount } from "../../coordination/token-account/index.ts";
@@ -19,55 +19,55 @@
 import { type HistoryOutcome, RetainedTurns } from "./retained-turns.ts";
 import type { TurnLookup } from "./turn-lookup.ts";
 
-/** What this gateway remembers of a program, beside its account. */
+/** In-memory state of a program. */
 interface ProgramState {
   readonly account: TokenAccount;
-  /** The runner of the last turn, by session; the empty text stands for the whole program. */
+  /** Runner of the last turn by session. The key {@link WHOLE_PROGRAM} holds the last turn of any session. */
   readonly runners: Map<string, RunnerId>;
-  /** Turns that an earlier owner left under way, and that may have ended without this one being told. */
+  /** Turns that a previous owner left in progress. They may have ended without this owner being notified. */
   readonly inherited: Set<RequestId>;
 }
 
-/** What the store has of the accounts of a partition's programs. */
+/** The accounts of a partition's programs as read from the store. */
 export interface StoredAccounts {
   readonly accounts: ReadonlyMap<ProgramId, StoredAccount>;
-  /** Programs whose rows can't be read. */
+  /** Programs whose account rows can't be decoded. */
   readonly unreadable: ReadonlySet<ProgramId>;
 }
 
 const WHOLE_PROGRAM = "";
 
-/** How much earlier than its asker gives up the owner says that a grant is not recorded yet, in ms. */
+/** The owner reports an unrecorded grant this long before the requesting gateway times out, in ms. */
 const ANSWER_MARGIN_MS = 100;
 
-/** The partition has another owner now. */
+/** Result for a request to a partition that this gateway no longer owns. */
 export const MOVED = "moved";
 
-/** What an owned partition is made of. */
+/** Dependencies and identity of an {@link OwnedPartition}. */
 export interface OwnedPartitionOptions {
   readonly context: GatewayContext;
   readonly health: StoreHealth;
   readonly partition: number;
-  /** Version of the owner's row, as this owner wrote it. */
+  /** Version of the owner row that this owner wrote when it took over. */
   readonly epoch: number;
   readonly findTurn: (turn: RequestId) => Promise<TurnLookup>;
-  /** Called once when another owner has taken over. */
+  /** Called once when this gateway loses or releases the partition. */
   readonly onLost: () => void;
 }
 
-/** See the module's comment. */
+/** Admits turns, charges their tokens to the accounts and keeps recent retained turns in memory. */
 export class OwnedPartition {
   readonly partition: number;
   readonly epoch: number;
   readonly #context: GatewayContext;
   readonly #programs = new Map<ProgramId, ProgramState>();
-  /** Programs whose accounts can't be read: all of their budgets may be spent, and nothing is granted. */
+  /** Programs whose accounts can't be decoded. Their budgets may be used up, so no turn with a budget is granted. */
   readonly #unreadable: ReadonlySet<ProgramId>;
   readonly #turns: RetainedTurns;
   readonly #writer: PartitionWriter;
   #isReleasing = false;
 
-  /** @param stored the accounts of the partition's programs, as the store has them */
+  /** @param stored the accounts of the partition's programs as read from the store */
   constructor(options: OwnedPartitionOptions, stored: StoredAccounts) {
     this.#context = options.context;
     this.partition = options.partition;
@@ -83,7 +83,7 @@
       );
   }
 
-  /** Answers whether a turn may run; see {@link AdmitTurnRequest}. */
+  /** Decides whether a turn may run; see {@link AdmitTurnRequest}. */
   async admit(request: AdmitTurnRequest): Promise<AdmitTurnResponse | typeof MOVED> {
     if (this.#isReleasing) return MOVED;
     if (request.budget && this.#unreadable.has(request.program))
@@ -97,7 +97,8 @@
     if (reserved === "exhausted") return { type: "exhausted", spent: program.account.committed };
     const [recorded, history] = await Promise.all([reserved, this.#history(request)]);
     if (recorded === "lost") return MOVED;
-    // The turn stays under way until its asker tells its end: another ask for it may wait still, or have been granted.
+    // Keep the reservation until the turn is reported as ended: another request for the same turn may still be waiting
+    // or may have been granted.
     if (history.type !== "history") return history;
     if (recorded === "late")
       return { type: "unavailable", detail: "the store has not recorded the grant in time" };
@@ -106,7 +107,7 @@
     return { type: "granted", history: history.parts, runner };
   }
 
-  /** Records how a turn ended; see {@link EndTurnRequest}. */
+  /** Records the end of a turn; see {@link EndTurnRequest}. */
   end(request: EndTurnRequest): EndTurnResponse | typeof MOVED {
     const { turn, tokens, budget, retained, runner } = request;
     if (this.#isReleasing) return MOVED;
@@ -121,15 +122,16 @@
     return { type: "ended" };
   }
 
-  /** A turn that is in memory here. */
+  /** Returns a retained turn from this partition's in-memory cache. */
   cachedTurn(turn: RequestId): RetainedTurnContent | undefined {
     return this.#turns.cached(turn);
   }
 
   /**
-   * Writes everything and releases the partition.
+   * Writes all changed accounts and releases the partition.
    *
-   * @param handOverRates gives what is left of tenants' limits; nothing is admitted here after it
+   * @param handOverRates returns the remaining rate limits of tenants; this gateway admits none of their requests after
+   *   the call
    */
   async release(handOverRates: () => RateHandOver | undefined): Promise<void> {
     this.#isReleasing = true;
@@ -140,7 +142,7 @@
     await this.#writer.release(accounts, handOverRates);
   }
 
-  /** Another owner has taken over. */
+  /** Stops writing, because another owner has taken over. */
   stop(): void {
     this.#writer.stop();
   }
@@ -155,7 +157,10 @@
     return program;
   }
 
-  /** Reserves tokens for a turn. */
+  /**
+   * Reserves tokens for a turn. Resolves once the store has the reservation, or with `late` shortly before the
+   * requesting gateway times out.
+   */
   #reserve(program: ProgramState, request: AdmitTurnRequest): Promise<WriteOutcome | "late"> | "exhausted" {
     const { turn, budget } = request;
     if (!budget) return Promise.resolve("recorded");
@@ -170,8 +175,8 @@
   }
 
   /**
-   * Charges turns that an earlier owner left under way with what they used, where the store has kept their answers: nobody
-   * tells their end once the gateways that knew it are gone. Returns whether any was found.
+   * Charges turns left in progress by a previous owner with their actual usage, if they are retained. Their ends are
+   * never reported once the gateways that served them are gone. Returns whether any turn was charged.
    */
   async #settleInherited({ account, inherited }: ProgramState): Promise<boolean> {
     const turns = [...inherited];
@@ -196,7 +201,7 @@
   }
 }
 
-/** An account as it is written at the end: with nothing reserved for turns to come. */
+/** Wraps an account so that its snapshots reserve nothing for future turns. Used when a partition is released. */
 function releasedAccount(account: TokenAccount): WritableAccount {
   return {
     revision: account.revision,
--- a/src/gateway/partitions/owner-poll.ts
+++ b/src/gateway/partitions/owner-poll.ts
@@ -1,2 +1,2 @@
-/** How often the owner of a partition is looked for, in ms. */
+/** Delay between two attempts to reach the owner of a partition, in ms. */
 export const OWNER_POLL_MS = 20;
--- a/src/gateway/partitions/partition-client.ts
+++ b/src/gateway/partitions/partition-client.ts
@@ -1,6 +1,6 @@
 /**
- * Asks the owners of partitions, wherever they are: every gateway takes callers' requests, and one of them owns the
- * partition of a program.
+ * Sends requests to the owners of partitions. Every gateway accepts callers' requests, but only one of them owns the
+ * partition of a given program.
  */
 
 import { delay } from "../../runtime/clock.ts";
@@ -22,21 +22,24 @@
 import type { PartitionHost } from "./partition-host.ts";
 import { PartitionOwners } from "./partition-owners.ts";
 
-/** How long the end of a turn is told again and again, in ms; after it, the turn counts at its most. */
+/**
+ * How long the report of a turn's end is retried, in ms. After that, the turn stays charged with the most tokens that
+ * it could generate.
+ */
 const END_TURN_TIMEOUT_MS = 30_000;
 /**
- * How long the end of an answer waits for the owner once the store has its turn, in ms: a few times what an answer between
- * zones takes. Until the owner knows, the turn counts with its most against the budget, and the next one reads it from the
- * store.
+ * How long the end of an answer waits for the owner once its turn is in the store, in ms. This is a few times the
+ * latency of a request between zones. Until the owner is notified, the turn is charged with the most tokens that it
+ * could generate, and the next turn reads it from the store.
  */
 const END_RETAINED_TIMEOUT_MS = 300;
 
-/** Requests about turns. */
+/** Names of the requests about turns. */
 type TurnRequestName = "admitTurn" | "endTurn";
 
 type Unavailable = { readonly type: "unavailable"; readonly detail: string };
 
-/** See the module's comment. */
+/** Finds the owner of a program's partition and retries requests until it responds or time is up. */
 export class PartitionClient {
   readonly #context: GatewayContext;
   readonly #owners: PartitionOwners;
@@ -56,17 +59,17 @@
     this.#health = health;
   }
 
-  /** The partition of a program. */
+  /** Returns the partition of a program. */
   partitionOf(program: ProgramId): number {
     return this.#owners.partitionOf(program);
   }
 
-  /** The incarnation that owns a partition, as far as this gateway knows. */
+  /** Returns the instance that owns a partition, as far as this gateway knows. */
   ownerOf(partition: number): string | undefined {
     return this.#owners.ownerOf(partition);
   }
 
-  /** Asks whether a turn may run, until `deadlineAtMs` of the clock or `cancelled`. */
+  /** Asks the owner whether a turn may run. Retries until `deadlineAtMs` (monotonic clock) or until `isCancelled`. */
   admit(
     request: AdmitTurnRequest,
     deadlineAtMs: number,
@@ -75,21 +78,21 @@
     return this.#askOwner("admitTurn", request, deadlineAtMs, isCancelled);
   }
 
-  /** Tells the owner that a turn has ended; keeps on trying. */
+  /** Reports the end of a turn to the owner, with retries. */
   end(request: EndTurnRequest): Promise<EndTurnResponse | Unavailable> {
     const deadlineAtMs = this.#context.clock.monotonicMs() + END_TURN_TIMEOUT_MS;
     return this.#askOwner("endTurn", request, deadlineAtMs, () => false);
   }
 
   /**
-   * Has the store keep a turn that has ended whole; resolves with true once it does, with false after `patienceMs`. Its
-   * caller may be told of its end then, whichever gateways die afterwards.
+   * Writes a completed turn to the store. Resolves with true once it is stored, or with false after `timeoutMs`. Once
+   * it is stored, the caller may be told that the turn has ended: the turn survives the loss of any gateway.
    */
   storeTurn(turn: RequestId, content: RetainedTurnContent, timeoutMs: number): Promise<boolean> {
     return this.#host.storeTurn(turn, content, timeoutMs);
   }
 
-  /** Tells the owner that a turn has ended which the store keeps; resolves when it knows, or has not answered for a while. */
+  /** Reports the end of a stored turn to the owner. Resolves when the owner confirms it or after a short timeout. */
   async endRetained(request: EndTurnRequest): Promise<void> {
     await Promise.race([this.end(request), delay(this.#context.clock, END_RETAINED_TIMEOUT_MS)]);
   }
--- a/src/gateway/partitions/partition-host.ts
+++ b/src/gateway/partitions/partition-host.ts
@@ -1,6 +1,7 @@
 /**
- * The partitions that this gateway owns. A gateway takes over a partition whose owner is gone when rendezvous hashing
- * prefers it; the store's condition on the owner's row decides between several.
+ * The partitions that this gateway owns. When the owner of a partition is gone, the gateway preferred by rendezvous
+ * hashing takes it over. If several gateways try, the conditional write of the owner row in the store lets only one
+ * win.
  */
 
 import {
@@ -44,38 +45,39 @@
 import { TurnWriter } from "./turn-writer.ts";
 
 const FIRST_COMMIT = 0;
-/** Stands for the incarnation that an owner's row names that can't be read: it may live on. */
+/** Placeholder for the owner in a row that can't be decoded. That owner may still be running. */
 const UNKNOWN_OWNER = "?";
 /**
- * How long the answer to the end of a turn may wait for other messages, in ms: nobody waits for it unless the turn is
- * retained, and whoever sent it asks again when this gateway is lost, or after much longer.
+ * How long the response to an `endTurn` request may be delayed to be sent with other messages, in ms. Only the ends of
+ * retained turns are waited for. The sender retries when it loses the connection to this gateway, or after a much
+ * longer time.
  */
 const MAX_END_TURN_ANSWER_DELAY_MS = 5_000;
-/** Bytes of turns that a gateway keeps because they were answered through it. */
+/** Size limit, in bytes, of the cache of turns that were answered through this gateway. */
 const MAX_ANSWERED_TURN_BYTES = 4 * 1024 * 1024;
 
-/** What the owner before has left of a partition. */
+/** How the previous owner left a partition. */
 interface PreviousOwnership {
-  /** Whether the owner before has let go of it. */
+  /** Whether the previous owner released the partition. */
   readonly isReleased: boolean;
-  /** What it has left of tenants' limits. */
+  /** Remaining rate limits of tenants, handed over by the previous owner. */
   readonly rates: RateHandOver | undefined;
   /**
-   * The incarnation that owned it before and has not let go; it may live on without knowing better. Undefined if the owner
-   * before has let go, or there was none.
+   * The previous owner's instance if it has not released the partition. It may still be running and act as owner.
+   * Undefined if the previous owner released the partition, or if there was none.
    */
   readonly unreleasedOwner: string | undefined;
 }
 
-/** How this gateway came by a partition. */
+/** How and when this gateway took over a partition. */
 export interface PartitionOwnership extends PreviousOwnership {
-  /** Version of the owner's row, as this owner wrote it. */
+  /** Version of the owner row that this owner wrote when it took over. */
   readonly epoch: number;
-  /** Of the monotonic clock, in ms. */
+  /** Time of the takeover on the monotonic clock, in ms. */
   readonly takenOverAtMs: number;
 }
 
-/** See the module's comment. */
+/** Claims partitions without a live owner, and handles the requests to partitions that this gateway owns. */
 export class PartitionHost {
   readonly #owners = new OwnershipMap();
   readonly #context: GatewayContext;
@@ -84,13 +86,19 @@
   readonly #owned = new Map<number, OwnedPartition>();
   readonly #ownerships = new Map<number, PartitionOwnership>();
   readonly #claiming = new Set<number>();
-  /** Claims that the store may have taken although this gateway does not own the partition: its answer was lost. */
+  /**
+   * Claims that this gateway sent but that have not led to ownership. The store may have accepted a claim whose
+   * response was lost, or the accounts could not be read after it.
+   */
   readonly #unconfirmedClaims = new Map<number, PreviousOwnership>();
   readonly #turnWriter: TurnWriter;
   readonly #finder: TurnFinder;
-  /** Turns that this gateway answered its callers: their owner may need them while the store does not answer. */
+  /** Turns that callers received through this gateway. The partition's owner may need them while the store is down. */
   readonly #answeredTurns = new TurnCache(MAX_ANSWERED_TURN_BYTES);
-  /** What is left of the limits of a partition's tenants; nothing of them is admitted here after it. */
+  /**
+   * Returns the remaining rate limits of a partition's tenants. This gateway admits none of their requests after the
+   * call.
+   */
   handOverRates: (partition: number) => RateHandOver | undefined = () => undefined;
   readonly #unreadableOwners: UnreadableRows;
   readonly #unreadableAccounts: UnreadableRows;
@@ -133,25 +141,25 @@
     );
   }
 
-  /** The incarnation that owns a partition, as far as this gateway knows. */
+  /** Returns the instance that owns a partition, as far as this gateway knows. */
   ownerOf(partition: number): string | undefined {
     if (this.#owned.has(partition)) return this.#context.instance;
     return this.#owners.owner(partition)?.instance;
   }
 
-  /** How this gateway came by a partition; undefined when it does not own it. */
+  /** Returns how this gateway took over a partition; undefined if it does not own it. */
   ownership(partition: number): PartitionOwnership | undefined {
     return this.#ownerships.get(partition);
   }
 
-  /** Forgets an owner that says that it is none. */
+  /** Forgets an owner that has redirected a request because it does not own the partition. */
   forgetOwner(partition: number, instance: string): void {
     this.#owners.forget(partition, instance);
   }
 
   /**
-   * Has the store keep a turn that ends here, whoever owns its program's partition. Resolves with true once the store
-   * has it, so that it outlives every gateway.
+   * Writes a turn that ended at this gateway to the store, whichever gateway owns its program's partition. Resolves
+   * with true once the store has it: it then survives the loss of any gateway.
    */
   async storeTurn(turn: RequestId, content: RetainedTurnContent, timeoutMs: number): Promise<boolean> {
     const isStored = await this.#turnWriter.write(turn, content, timeoutMs);
@@ -159,7 +167,7 @@
     return isStored;
   }
 
-  /** Partitions owned here, for the heartbeat. */
+  /** Partitions owned by this gateway with their epochs, for the heartbeat. */
   get owned(): [number, number][] {
     return [...this.#owned.values()].map(({ partition, epoch }) => [partition, epoch]);
   }
@@ -170,7 +178,7 @@
     this.#stopClaiming = repeat(clock, settings.timing.claimMs, () => this.#claimOrphans());
   }
 
-  /** Releases all partitions; resolves when the store knows. */
+  /** Releases all partitions. Resolves when the releases are recorded in the store. */
   async release(): Promise<void> {
     this.#isStopping = true;
     this.#stopClaiming();
@@ -178,7 +186,7 @@
     await Promise.all(owned.map((one) => one.release(() => this.handOverRates(one.partition))));
   }
 
-  /** Takes in what another gateway owns. */
+  /** Records which partitions another gateway owns, and stops owning those that it took over with a newer epoch. */
   learn(member: Member): void {
     const { owned } = member.status;
     this.#owners.learnAll(member.instance, owned);
@@ -188,7 +196,7 @@
     }
   }
 
-  /** Forgets what a gateway owned that is gone. */
+  /** Forgets the ownerships of a gateway that is gone. */
   forget(member: Member): void {
     this.#owners.forgetInstance(member.instance);
   }
@@ -231,7 +239,10 @@
     this.#claiming.delete(partition);
   }
 
-  /** Writes this gateway into the owner's row; undefined if that was not done. */
+  /**
+   * Writes this gateway to the owner row. Returns undefined if another gateway may own the partition or the write
+   * fails.
+   */
   async #claimOwnerRow(partition: number): Promise<PartitionOwnership | undefined> {
     const { store } = this.#context.platform;
     const key = ownerKey(partition);
@@ -241,10 +252,12 @@
     const mayBeOwned = this.#mayNameLiveOwner(row) || !this.#members.hearsMost;
     if (mayBeOwned) {
       if (await this.#isOwnerWriting(partition, row)) return undefined;
-      // It may have heard of others meanwhile: one that starts before all others would take everything.
+      // Check again, since other gateways may have become known meanwhile. Without this, a gateway that starts before
+      // all others would claim every partition.
       if (!this.#isPreferred(partition, this.#members.ownerCandidates())) return undefined;
     }
-    // One that the row names and that does not say so itself has never heard that it took the partition over.
+    // A gateway that the row names but that does not report the partition as its own never learned that its claim
+    // succeeded, so only owners that report it count.
     if (this.#hasLiveOwner(partition)) return undefined;
     const previousOwnership = this.#previousOwnership(partition, row);
     this.#unconfirmedClaims.set(partition, previousOwnership);
@@ -263,7 +276,10 @@
     };
   }
 
-  /** What the owner before has left, by the row that is to be replaced; that may be one of an earlier claim from here. */
+  /**
+   * Returns how the previous owner left the partition, from the owner row to be replaced. If that row is from an
+   * earlier claim of this gateway, returns what was found at that claim.
+   */
   #previousOwnership(partition: number, row: StoredRow | undefined): PreviousOwnership {
     const lastOwner = row && this.#decodeOwner(row);
     const unconfirmedClaim = this.#unconfirmedClaims.get(partition);
@@ -280,8 +296,8 @@
   }
 
   /**
-   * Whether an owner goes on writing. A gateway that hears few of the others may itself be the one that is cut off:
-   * it takes nothing from an owner whose writes it sees in the store.
+   * Whether the owner row changes while it is watched, or can't be read again. A gateway that hears few others may
+   * itself be the one that is cut off, so it takes nothing from an owner that still writes to the store.
    */
   async #isOwnerWriting(partition: number, row: StoredRow | undefined): Promise<boolean> {
     const { clock, settings } = this.#context;
@@ -290,7 +306,7 @@
     return !again || again.row?.version !== row?.version;
   }
 
-  /** Whether the row names another gateway that is alive, or may do so. */
+  /** Whether the row names another gateway that may be alive, or can't be decoded. */
   #mayNameLiveOwner(row: StoredRow | undefined): boolean {
     if (!row) return false;
     const owner = this.#decodeOwner(row);
@@ -298,14 +314,14 @@
     return owner.instance !== this.#context.instance && this.#members.mayOwn(owner.instance);
   }
 
-  /** What an owner's row says; undefined when it can't be read. */
+  /** Decodes an owner row. Reports it and returns undefined if it can't be decoded. */
   #decodeOwner(row: StoredRow): OwnerRow | undefined {
     const owner = decodeOwner(row.value);
     if (!owner) this.#unreadableOwners.note(row.part);
     return owner;
   }
 
-  /** Whether a gateway that is alive says that it owns the partition. */
+  /** Whether a gateway that may be alive reports that it owns the partition. */
   #hasLiveOwner(partition: number): boolean {
     const owner = this.ownerOf(partition);
     return owner !== undefined && this.#members.mayOwn(owner);
@@ -371,7 +387,7 @@
     this.#context.log.info({ partition: owned.partition, epoch: owned.epoch }, "partition released");
   }
 
-  /** A turn in this gateway's memory, as owner of its partition or because it was answered here. */
+  /** Looks up a turn in this gateway's memory: in the caches of owned partitions, and among the turns answered here. */
   #findTurnLocally(turn: RequestId): FindTurnResponse {
     for (const owned of this.#owned.values()) {
       const content = owned.cachedTurn(turn);
--- a/src/gateway/partitions/partition-owners.ts
+++ b/src/gateway/partitions/partition-owners.ts
@@ -1,21 +1,21 @@
-/** Who owns the partitions that names lead to, and one question to an owner, wherever it is. */
+/** Maps program and tenant names to partitions, and sends requests to the partitions' owners. */
 import type { RpcEndpoint } from "../../runtime/rpc.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { GatewayRpcSchema } from "../gateway-messages.ts";
 import type { MemberDirectory } from "../members/member-directory.ts";
 import type { PartitionHost } from "./partition-host.ts";
 
-/** Requests that go to the owner of a partition. */
+/** Names of the requests that are sent to the owner of a partition. */
 export type OwnerRequestName = "admitTurn" | "endTurn" | "admitRequests";
 
-/** What came of a question. */
+/** Result of a request to an owner. */
 export type OwnerReply<Name extends OwnerRequestName> =
   | { readonly type: "done"; readonly body: GatewayRpcSchema[Name]["response"] }
-  /** Nobody that is alive is known to own the partition. */
-  | { readonly type: "nobody" }
+  /** No live gateway is known to own the partition. */
+  | { readonly type: "noOwner" }
   | { readonly type: "failed"; readonly detail: string };
 
-/** See the module's comment. */
+/** Sends single requests, without retries, to the owner of a partition. */
 export class PartitionOwners {
   readonly #context: GatewayContext;
   readonly #members: MemberDirectory;
@@ -34,17 +34,17 @@
     this.#rpc = rpc;
   }
 
-  /** The partition of a program, or of a tenant. */
+  /** Returns the partition of a program or tenant name. */
   partitionOf(name: string): number {
     return this.#context.hash.hash32(name) % this.#context.settings.partitions;
   }
 
-  /** The incarnation that owns a partition, as far as this gateway knows. */
+  /** Returns the instance that owns a partition, as far as this gateway knows. */
   ownerOf(partition: number): string | undefined {
     return this.#host.ownerOf(partition);
   }
 
-  /** Asks the owner of a request's partition once. An owner that says that it is none is forgotten. */
+  /** Sends a request once to the owner of its partition. An owner that redirects the request is forgotten. */
   async ask<Name extends OwnerRequestName>(
     name: Name,
     request: GatewayRpcSchema[Name]["request"],
@@ -53,7 +53,7 @@
     const { partition } = request;
     const owner = this.ownerOf(partition);
     const address = owner === undefined ? undefined : this.#members.addressOf(owner);
-    if (owner === undefined || address === undefined) return { type: "nobody" };
+    if (owner === undefined || address === undefined) return { type: "noOwner" };
     const reply = await this.#rpc.ask(address, name, request, timeoutMs);
     if (reply.type === "done") return reply;
     if (reply.type === "redirect") this.#host.forgetOwner(partition, owner);
--- a/src/gateway/partitions/partition-rows.ts
+++ b/src/gateway/partitions/partition-rows.ts
@@ -1,4 +1,7 @@
-/** How partitions lie in the store: a part each, with the owner and the accounts. Rows may be spoilt: each is checked. */
+/**
+ * Store layout of partitions: each has its own part of the store, with an owner row and account rows. Rows may be
+ * corrupt, so each is validated when it is decoded.
+ */
 
 import { encode } from "cbor-x";
 import type { RateHandOver } from "../../coordination/request-rate/index.ts";
@@ -8,33 +11,36 @@
 import { decodeRecord } from "../store/decode-record.ts";
 
 const OWNER_KEY = "owner";
-/** What the owner's row names when the last owner has let go. */
+/** Instance in the owner row of a partition that its last owner released. */
 export const NO_OWNER = "";
 
-/** Tables of the store. */
+/** Store tables for partitions. */
 export const TABLES = { owners: "owners", accounts: "accounts" } as const;
 
-/** Who owns a partition. Every write of the owner changes this row, so each write is fenced by the one before. */
+/**
+ * Names the owner of a partition. Every write of the owner changes this row, so each write is fenced by the previous
+ * one.
+ */
 export interface OwnerRow {
-  /** {@link NO_OWNER} when the last owner has let go. */
+  /** {@link NO_OWNER} if the last owner released the partition. */
   readonly instance: string;
   /** Counts the owner's writes. */
   readonly commit: number;
-  /** Limits of tenants, from an owner that has let go. */
+  /** Remaining rate limits of tenants, handed over by an owner that released the partition. */
   readonly rates?: RateHandOver;
 }
 
-/** The part of the store that holds a partition. */
+/** Returns the part of the store that holds a partition. */
 export function storePartOf(partition: number): string {
   return `p${partition}`;
 }
 
-/** The row of a partition's owner. */
+/** Returns the key of a partition's owner row. */
 export function ownerKey(partition: number): RowKey {
   return { table: TABLES.owners, part: storePartOf(partition), key: OWNER_KEY };
 }
 
-/** The row of a program's account. */
+/** Returns the key of a program's account row. */
 export function accountKey(partition: number, program: ProgramId): RowKey {
   return { table: TABLES.accounts, part: storePartOf(partition), key: program };
 }
@@ -43,7 +49,7 @@
   return encode(row);
 }
 
-/** Undefined when the row can't be read: then anybody may own the partition. */
+/** Returns undefined if the row can't be decoded. Any gateway may own the partition then. */
 export function decodeOwner(value: Buffer): OwnerRow | undefined {
   const { instance, commit, rates } = decodeRecord(value) ?? {};
   if (typeof instance !== "string" || !isNonNegativeNumber(commit)) return undefined;
@@ -55,10 +61,10 @@
   return encode(account);
 }
 
-/** Undefined when the row can't be read: then all of the budget may be spent. */
+/** Returns undefined if the row can't be decoded. The whole budget may be used up then. */
 export function decodeAccount(value: Buffer): StoredAccount | undefined {
   const { settled, ahead, open } = decodeRecord(value) ?? {};
-  // Less than nothing is set aside once a turn has generated more than it said.
+  // `ahead` is negative if a turn generated more tokens than its declared maximum.
   if (!isNonNegativeNumber(settled) || !isFiniteNumber(ahead) || !isNameNumberPairs(open)) return undefined;
   return open.every(([, most]) => isNonNegativeNumber(most)) ? { settled, ahead, open } : undefined;
 }
@@ -69,7 +75,7 @@
   return isNameNumberPairs(tokens) && (filledForMs === undefined || isFiniteNumber(filledForMs));
 }
 
-/** Whether a value is a list of names, each with a number. */
+/** Whether a value is a list of pairs of a name and a finite number. */
 function isNameNumberPairs(value: unknown): value is [name: string, number: number][] {
   if (!Array.isArray(value)) return false;
   return value.every((pair) => Array.isArray(pair) && typeof pair[0] === "string" && isFiniteNumber(pair[1]));
--- a/src/gateway/partitions/partition-writer.ts
+++ b/src/gateway/partitions/partition-writer.ts
@@ -1,7 +1,7 @@
 /**
- * Records a partition's accounts in the store, many at a time, one transaction after the other. Each transaction is fenced
- * by the one before: it changes the owner's row and demands the version that the last one left. A transaction without an
- * answer is sent again as it was; if it had been done, the owner's row says so.
+ * Writes a partition's accounts to the store in batches, one transaction at a time. Each transaction is fenced by the
+ * previous one: it changes the owner row, on condition that the row still has the version of the previous transaction.
+ * A transaction without a response is sent again unchanged. If it had been committed, the owner row shows it.
  */
 
 import type { RateHandOver } from "../../coordination/request-rate/index.ts";
@@ -22,58 +22,58 @@
 } from "./partition-rows.ts";
 import { TransactionSender } from "./transaction-sender.ts";
 
-/** Rows in one transaction; the store takes 100 entries, the owner's row and its condition included. */
+/** Account rows in one transaction. The store accepts 100 entries, including the owner row and its condition. */
 const MAX_ROWS = 90;
 const RETRY_DELAY_MS = 40;
-/** Pause between looks whether everything is written, before a partition is released, in ms. */
+/** Interval at which a release checks whether all pending writes are done, in ms. */
 const RELEASE_POLL_MS = 5;
 
-/** What the writer needs of a program's account. */
+/** The operations of a program's account that the writer needs. */
 export interface WritableAccount {
   readonly revision: number;
   holds(revision: number): boolean;
   snapshot(releaseAhead: boolean): AccountSnapshot;
-  /** The store has the snapshot. */
+  /** Records that the store has the snapshot. */
   stored(snapshot: AccountSnapshot): void;
 }
 
-/** How a write ended. */
+/** Result of a write. */
 export type WriteOutcome =
-  /** A new owner of the partition finds it. */
+  /** The write is in the store, where a new owner of the partition finds it. */
   | "recorded"
-  /** Another owner has taken over. */
+  /** This gateway no longer owns the partition. */
   | "lost";
 
-/** Somebody waits until an account is recorded as it was at some revision. */
+/** A pending {@link PartitionWriter.writeAccount} call, waiting for a revision of an account to be stored. */
 interface Waiter {
   readonly account: WritableAccount;
   readonly revision: number;
   readonly settle: (outcome: WriteOutcome) => void;
 }
 
-/** A snapshot of an account, as it is on its way to the store. */
+/** An account snapshot that is part of the current transaction. */
 interface AccountWrite {
   readonly program: ProgramId;
   readonly account: WritableAccount;
   readonly snapshot: AccountSnapshot;
 }
 
-/** What a partition's writer is made of. */
+/** Dependencies and identity of a {@link PartitionWriter}. */
 export interface PartitionWriterOptions {
   readonly context: GatewayContext;
   readonly health: StoreHealth;
   readonly partition: number;
-  /** Version of the owner's row, as this owner wrote it. */
+  /** Version of the owner row that this owner wrote when it took over. */
   readonly epoch: number;
-  /** Called once when another owner has taken over. */
+  /** Called once when this gateway loses or releases the partition. */
   readonly onLost: () => void;
 }
 
-/** See the module's comment. */
+/** Writes changed accounts until the partition is released or another owner takes over. */
 export class PartitionWriter {
   readonly #options: PartitionWriterOptions;
   readonly #sender: TransactionSender;
-  /** Accounts that differ from what the store has. */
+  /** Accounts with changes that are not in the store. */
   readonly #dirty = new Map<ProgramId, WritableAccount>();
   readonly #waiters = new Set<Waiter>();
   #version: number;
@@ -87,7 +87,7 @@
     this.#sender = new TransactionSender(options.context, options.health);
   }
 
-  /** Resolves once the store has the account, as it is when the transaction leaves or later. */
+  /** Resolves once the store has the account's current revision or a later one. */
   writeAccount(program: ProgramId, account: WritableAccount): Promise<WriteOutcome> {
     if (this.#isLost) return Promise.resolve("lost");
     this.#dirty.set(program, account);
@@ -99,9 +99,10 @@
   }
 
   /**
-   * Writes what is left, with nothing set aside any more, and releases the partition.
+   * Writes the remaining changes and the given accounts, and releases the partition.
    *
-   * @param handOverRates gives what is left of tenants' limits, once nothing else is to be written
+   * @param accounts accounts to be written with nothing reserved for future turns
+   * @param handOverRates returns the remaining rate limits of tenants; called after all other writes
    */
   async release(
     accounts: ReadonlyMap<ProgramId, WritableAccount>,
@@ -116,7 +117,7 @@
     this.#markLost();
   }
 
-  /** Another owner has taken over: nothing more is written. */
+  /** Stops all writes, because another owner has taken over. */
   stop(): void {
     this.#markLost();
   }
@@ -127,7 +128,7 @@
 
   async #writeDirty(): Promise<void> {
     this.#isWriting = true;
-    // What the same turn of the event loop still brings goes along.
+    // Include accounts that are added in the same event loop turn.
     await Promise.resolve();
     while (this.#dirty.size > 0 && !this.#isLost) {
       const writes = this.#takeDirty();
@@ -148,7 +149,7 @@
     return writes;
   }
 
-  /** Answers those whose accounts are recorded as they were when they asked. */
+  /** Resolves the waiters whose awaited revisions are in the store. */
   #settleRecorded(): void {
     this.#settle(({ account, revision }) => account.holds(revision), "recorded");
   }
@@ -184,7 +185,10 @@
     return false;
   }
 
-  /** The owner's row has changed: by an unanswered try of the same transaction, or by another owner. */
+  /**
+   * Handles a changed owner row. Either an earlier attempt of the same transaction was committed without a response, or
+   * another owner has taken over.
+   */
   #resolveConflict(rows: readonly StoredRow[], instance: string): boolean {
     const row = rows.find((candidate) => candidate.table === ownerKey(this.#options.partition).table);
     const owner = row && decodeOwner(row.value);
--- a/src/gateway/partitions/pending-turn.ts
+++ b/src/gateway/partitions/pending-turn.ts
@@ -1,13 +1,13 @@
-/** A turn on its way to the store, and the parts at which it waits. */
+/** A retained turn to be written to the store, with the store parts for which it is queued. */
 import type { TurnRow } from "./turn-rows.ts";
 
-/** See the module's comment. */
+/** Tracks where a turn is queued, and reports once whether it was written. */
 export class PendingTurn {
-  /** Parts that may hold the turn, in the order in which they are tried. */
+  /** Parts of the store that may hold the turn, in the order in which they are tried. */
   readonly parts: readonly string[];
-  /** When nobody waits for the turn any more, in ms of the monotonic clock. */
+  /** Time on the monotonic clock after which the write is given up, in ms. */
   readonly deadlineMs: number;
-  /** Bytes of all rows together. */
+  /** Total size of the turn's rows, in bytes. */
   readonly bytes: number;
   readonly #rows: readonly TurnRow[];
   readonly #settle: (written: boolean) => void;
@@ -27,12 +27,12 @@
     this.#settle = settle;
   }
 
-  /** Whether it is known how the turn ended. */
+  /** Whether the result of the write is known. */
   get isSettled(): boolean {
     return this.#isSettled;
   }
 
-  /** Parts at which the turn waits. */
+  /** Parts for which the turn is queued or in flight. */
   get queuedParts(): ReadonlySet<string> {
     return this.#queuedParts;
   }
@@ -41,22 +41,22 @@
     return this.#rows.length;
   }
 
-  /** The rows of the turn in one of its parts. */
+  /** Returns the turn's rows with the keys that they have in one of its parts. */
   rowsIn(part: string): TurnRow[] {
     return this.#rows.map((row) => ({ ...row, part }));
   }
 
-  /** The turn waits at one more part. */
+  /** Records that the turn is queued for another part. */
   addQueuedPart(part: string): void {
     this.#queuedParts.add(part);
   }
 
-  /** The store holds the turn. */
+  /** Records that a part of the store has the turn. */
   markWritten(): void {
     this.#settleOnce(true);
   }
 
-  /** A part has not taken the turn in time; when it waits at no other, it is not written. */
+  /** Records that a part did not accept the turn before the deadline. The write fails if no other part is left. */
   markFailedAt(part: string): void {
     this.#queuedParts.delete(part);
     if (this.#queuedParts.size === 0) this.#settleOnce(false);
--- a/src/gateway/partitions/read-owner-row.ts
+++ b/src/gateway/partitions/read-owner-row.ts
@@ -1,15 +1,15 @@
 import type { ReadOutcome, RowStore, StoredRow } from "../../ports/store/row-store.ts";
 import { ownerKey } from "./partition-rows.ts";
 
-/** What the store said of a partition's owner. */
+/** Result of reading a partition's owner row. */
 interface OwnerRowRead {
-  /** How the call ended. */
+  /** Outcome of the store call. */
   readonly outcome: ReadOutcome;
-  /** Undefined where there is no owner yet, or the store did not say. */
+  /** Undefined if the row does not exist yet or the read failed. */
   readonly row: StoredRow | undefined;
 }
 
-/** Reads the row of a partition's owner. */
+/** Reads a partition's owner row from the store. */
 export async function readOwnerRow(store: RowStore, partition: number): Promise<OwnerRowRead> {
   const { table, part, key } = ownerKey(partition);
   const outcome = await store.read({ table, part });
--- a/src/gateway/partitions/retained-turns.ts
+++ b/src/gateway/partitions/retained-turns.ts
@@ -1,4 +1,4 @@
-/** The turns that are kept: recent ones of one partition's programs in memory, all in the store. */
+/** The retained turns of one partition's programs. All are in the store; recent ones are also in memory. */
 import type { ReadOutcome } from "../../ports/store/row-store.ts";
 import type { RequestId } from "../../scheduling/ids/request-id.ts";
 import type { TenantName } from "../../scheduling/ids/tenant-name.ts";
@@ -10,30 +10,30 @@
 import type { TurnLookup } from "./turn-lookup.ts";
 import { decodeTurn, turnParts, turnRange } from "./turn-rows.ts";
 
-/** Longest chain of turns that is put together. */
+/** Longest chain of turns that is assembled into a history. */
 const MAX_CHAIN_TURNS = 1_000;
 
-/** Bytes of turns that the owner of a partition keeps in memory; older ones are read from the store again. */
+/** Size limit, in bytes, of an owner's in-memory cache. Turns evicted from it are read from the store again. */
 const MAX_CACHED_BYTES = 8 * 1024 * 1024;
 
-/** What was said before a turn. */
+/** The conversation before a turn, or why it is not available. */
 export type HistoryOutcome =
   | { readonly type: "history"; readonly parts: readonly Uint8Array[] }
   | { readonly type: "noSuchTurn" }
   | { readonly type: "unavailable"; readonly detail: string };
 
-/** What the store answers to a read. */
+/** Outcome of a read that the store answered. */
 type RowsRead = Extract<ReadOutcome, { type: "rows" }>;
 
-/** See the module's comment. */
+/** Caches retained turns, and looks up the others in the store and in the memory of the gateways. */
 export class RetainedTurns {
   readonly #context: GatewayContext;
   readonly #cache = new TurnCache(MAX_CACHED_BYTES);
-  /** Newest version of the store that was seen: an answer that is older cannot say that a turn is not there. */
+  /** Newest store version seen. A read at an older version is stale and can't prove that a turn does not exist. */
   readonly #newestVersion: () => number;
-  /** Looks for a turn in the memory of the gateways, while the store does not answer for it. */
+  /** Looks up a turn in the memory of the gateways, for use when the store does not return it. */
   readonly #findInGateways: (turn: RequestId) => Promise<TurnLookup>;
-  /** How long reads of the store take. */
+  /** Time after which a read of the store is unusually slow. */
   readonly #slowReadThreshold = new SlowCallThreshold();
 
   constructor(
@@ -46,17 +46,17 @@
     this.#findInGateways = findInGateways;
   }
 
-  /** A turn that is in memory here. */
+  /** Returns a turn from the in-memory cache. */
   cached(turn: RequestId): RetainedTurnContent | undefined {
     return this.#cache.get(turn);
   }
 
-  /** Keeps a turn in memory that has ended; the store has it. */
+  /** Adds a completed turn that is already in the store to the in-memory cache. */
   cache(turn: RequestId, content: RetainedTurnContent): void {
     this.#cache.add(turn, content);
   }
 
-  /** A turn that was kept: from memory, or as the store has it. Undefined where neither has it, or the store is silent. */
+  /** Loads a turn from the cache or the store. Returns undefined if neither has it or the store does not respond. */
   async load(turn: RequestId): Promise<RetainedTurnContent | undefined> {
     const known = this.cached(turn);
     if (known) return known;
@@ -67,15 +67,15 @@
     return lookup.type === "found" ? lookup.content : undefined;
   }
 
-  /** Input and output of a turn of a tenant and of all before it, oldest first. */
+  /** Returns the inputs and outputs of a tenant's turn and of all turns before it, oldest first. */
   async history(turn: RequestId, tenant?: TenantName): Promise<HistoryOutcome> {
     const contents: RetainedTurnContent[] = [];
     for (let next: RequestId | undefined = turn; next !== undefined; ) {
       const lookup = await this.#findTurn(next);
       if (lookup.type === "unavailable") return lookup;
-      // A turn that is there has all before it: they were kept first.
+      // A turn's predecessors are stored before it, so a missing predecessor means that the chain is broken.
       if (lookup.type === "noSuchTurn") return contents.length === 0 ? lookup : unavailable("chain broken");
-      // Another tenant's turn is as good as none. Those before it are its tenant's, too.
+      // Treat another tenant's turn as missing. Its predecessors belong to the same tenant as the turn itself.
       if (lookup.content.tenant !== tenant) return { type: "noSuchTurn" };
       if (contents.push(lookup.content) > MAX_CHAIN_TURNS) return unavailable("chain too long");
       next = lookup.content.previousTurn;
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Looks in the turn's first part, in its others when that one does not have it, and in the gateways' memory when none
-   * has. What takes longer than usual is not waited for before the next is asked.
+   * Looks up a turn in its first store part, then in its other parts, then in the memory of the gateways. If a step
+   * takes longer than usual, the next one starts while it is still pending.
    */
   async #readTurn(turn: RequestId): Promise<TurnLookup> {
     const { hash, settings } = this.#context;
@@ -121,7 +121,7 @@
     return contentOf(turn, outcome, newestVersion);
   }
 
-  /** What a lookup finds; undefined when it takes longer than usual. */
+  /** Resolves with the result of a lookup, or with undefined if it takes longer than usual. */
   #resultUnlessSlow(lookup: Promise<TurnLookup>): Promise<TurnLookup | undefined> {
     const { clock } = this.#context;
     return new Promise((resolve) => {
@@ -134,7 +134,7 @@
   }
 }
 
-/** What rows of the store say about a turn. */
+/** Converts rows read from the store to a lookup result. */
 function contentOf(turn: RequestId, read: RowsRead, newestVersion: number): TurnLookup {
   const content = decodeTurn(turn, read.rows);
   if (content === "unreadable") return unavailable("the turn's rows cannot be read");
--- a/src/gateway/partitions/slow-call-threshold.ts
+++ b/src/gateway/partitions/slow-call-threshold.ts
@@ -1,23 +1,23 @@
 /**
- * How long calls of the store usually take, with room for how much that varies. Calls that are not answered do not raise
- * it, and one that is answered late raises it to no more than a few times: a part that is silent does not make the
- * others look slow, while a store that is slow as a whole is known for it after a few answers.
+ * Adaptive threshold above which a store call counts as slow, from the usual duration of calls and its variation. Calls
+ * without an answer don't raise it, and the effect of a late answer is capped. So one unresponsive part does not raise
+ * the threshold for the others, while a store that is slow as a whole raises it within a few answers.
  */
 import { AdaptiveTimeout } from "../../coordination/adaptive-timeout/index.ts";
 
-/** Most times the usual time that one answer counts for. As in the timeout's own doubling. */
+/** An answer counts for at most this many times the current threshold. Same factor as the doubling of the timeout. */
 const MAX_ANSWER_FACTOR = 2;
 
-/** See the module's comment. */
+/** Derives the threshold from the durations of answered calls. */
 export class SlowCallThreshold {
   readonly #timeout = new AdaptiveTimeout();
 
-  /** The time, in ms, after which a call without an answer has taken unusually long. */
+  /** Duration after which a call without an answer is slow, in ms. */
   get currentMs(): number {
     return this.#timeout.currentMs;
   }
 
-  /** A call was answered. */
+  /** Records the duration of an answered call. */
   recordAnswer(elapsedMs: number): void {
     this.#timeout.answered(Math.min(elapsedMs, MAX_ANSWER_FACTOR * this.currentMs));
   }
--- a/src/gateway/partitions/store-part-queue.ts
+++ b/src/gateway/partitions/store-part-queue.ts
@@ -1,7 +1,8 @@
 /**
- * The turns that wait for one part of the store, and the transaction of them that is under way. A part whose transaction
- * has waited for longer than usual is silent until it commits; meanwhile the transaction is tried on, also when its turns
- * were written elsewhere, so that it is noticed when the part answers again.
+ * Queue of the retained turns to be written to one part of the store, with at most one transaction in flight. A part
+ * becomes unresponsive when its transaction takes longer than usual, and stays so until the transaction commits. The
+ * transaction is retried even after all of its turns have been written to other parts: its success shows that the part
+ * responds again.
  */
 import { delay } from "../../runtime/clock.ts";
 import type { GatewayContext } from "../gateway-context.ts";
@@ -9,61 +10,67 @@
 import type { SlowCallThreshold } from "./slow-call-threshold.ts";
 import type { TransactionSender } from "./transaction-sender.ts";
 
-/** First pause after a transaction that was not done, in ms; doubles with each one in a row. */
+/** Delay before the first retry of a transaction that did not commit, in ms. It doubles with each further retry. */
 const FIRST_RETRY_DELAY_MS = 40;
-/** Longest such pause while turns wait for the part, in ms: what they wait at most when it answers again. */
+/**
+ * Longest retry delay while turns are queued for the part, in ms. It bounds how long they wait after the part responds
+ * again.
+ */
 const MAX_RETRY_DELAY_MS = 320;
-/** Longest pause when all turns are written elsewhere and only the part's return is to be noticed, in ms. */
+/** Longest retry delay when all turns are written to other parts and the retries only probe the part, in ms. */
 const MAX_PROBE_DELAY_MS = 1_000;
-/** Tries at the same time at a part that is silent: more of them would take up the connections to the store. */
+/** Concurrent attempts at an unresponsive part. More of them would use up the connections to the store. */
 const ATTEMPTS_WHEN_UNRESPONSIVE = 1;
-/** Most rows in one transaction. */
+/** Largest number of rows in one transaction. */
 const MAX_ROWS = 90;
-/** Most bytes of rows in one transaction; the store takes 1 MB of text in base 64. */
+/** Largest total size of the rows in one transaction, in bytes. The store accepts 1 MB of base64 text. */
 const MAX_BYTES = 600_000;
 
-/** What is believed of a part: that it answers, that it does not, or nothing, as nothing was sent for a while. */
-export type StorePartState = "answers" | "silent" | "unknown";
+/** State of a part of the store. It is unknown if the last transaction was given up and nothing is in flight. */
+export type StorePartState = "responsive" | "unresponsive" | "unknown";
 
-/** What a queue is made of. */
+/** Dependencies and callbacks of a {@link StorePartQueue}. */
 export interface StorePartQueueOptions {
   readonly context: GatewayContext;
   readonly sender: TransactionSender;
   readonly slowCallThreshold: SlowCallThreshold;
   readonly part: string;
-  /** The belief has changed, `afterMs` from when the transaction began that tells. */
+  /**
+   * Called when the state changes. `afterMs` is the time since the start of the transaction that made the part
+   * unresponsive.
+   */
   readonly onStateChange: (state: StorePartState, afterMs: number) => void;
-  /** The part holds these turns. */
+  /** Called when turns have been written to the part. */
   readonly onWritten: (turns: readonly PendingTurn[]) => void;
-  /** Nothing waits for the part any more. */
+  /** Called when the queue is empty and nothing is in flight. */
   readonly onIdle: () => void;
 }
 
-/** See the module's comment. */
+/** Writes queued turns in batches and tracks whether the part responds. */
 export class StorePartQueue {
   readonly #options: StorePartQueueOptions;
   readonly #waiting = new Set<PendingTurn>();
-  /** Turns of the transaction under way. */
+  /** Turns of the transaction in flight. */
   #batch: readonly PendingTurn[] = [];
   #isRunning = false;
-  /** When the transaction began that was not answered; undefined while the part counts as one that answers. */
+  /** Start of the transaction that made the part unresponsive; undefined while the part is not unresponsive. */
   #unresponsiveSinceMs: number | undefined;
 
   constructor(options: StorePartQueueOptions) {
     this.#options = options;
   }
 
-  /** Whether the part does not answer. */
+  /** Whether the part has stopped responding. */
   get isUnresponsive(): boolean {
     return this.#unresponsiveSinceMs !== undefined;
   }
 
-  /** Turns that wait here and have been written nowhere yet. */
+  /** Turns in this queue or in flight that have not been written to any part yet. */
   get unwritten(): PendingTurn[] {
     return [...this.#batch, ...this.#waiting].filter((turn) => !turn.isSettled);
   }
 
-  /** A turn waits for the part from now on. */
+  /** Adds a turn to the queue. */
   add(turn: PendingTurn): void {
     this.#waiting.add(turn);
     if (this.#isRunning) return;
@@ -71,14 +78,14 @@
     void this.#run();
   }
 
-  /** A turn need not be sent any more. */
+  /** Removes a turn that no longer needs to be written to this part. */
   remove(turn: PendingTurn): void {
     this.#waiting.delete(turn);
   }
 
   async #run(): Promise<void> {
     const { onIdle, onWritten, part } = this.#options;
-    // What the same turn of the event loop still brings goes along.
+    // Include turns that are added in the same event loop turn.
     await Promise.resolve();
     while (this.#waiting.size > 0) {
       const batch = this.#takeBatch();
@@ -89,7 +96,7 @@
       else for (const turn of batch) turn.markFailedAt(part);
     }
     this.#isRunning = false;
-    // Nothing is under way that would tell when the part answers again: the next turn is to try.
+    // Nothing in flight would show that the part responds again, so the next turn must try it.
     this.#setState("unknown");
     onIdle();
   }
@@ -99,7 +106,9 @@
     const { clock } = context;
     const deadlineMs = Math.max(...batch.map((turn) => turn.deadlineMs));
     const startedMs = clock.monotonicMs();
-    const timer = clock.schedule(slowCallThreshold.currentMs, () => this.#setState("silent", startedMs));
+    const timer = clock.schedule(slowCallThreshold.currentMs, () =>
+      this.#setState("unresponsive", startedMs),
+    );
     let isWritten = false;
     let retryDelayMs = FIRST_RETRY_DELAY_MS;
     while (!isWritten && clock.monotonicMs() < deadlineMs) {
@@ -113,18 +122,18 @@
       retryDelayMs = Math.min(2 * retryDelayMs, isProbe ? MAX_PROBE_DELAY_MS : MAX_RETRY_DELAY_MS);
     }
     clock.cancel(timer);
-    if (isWritten) this.#setState("answers");
+    if (isWritten) this.#setState("responsive");
     return isWritten;
   }
 
-  /** Puts what has been written nowhere else; one turn again when all has, to see whether the part answers. */
+  /** Writes the turns that are not written anywhere yet. If there are none, rewrites one turn to probe the part. */
   #transaction(batch: readonly PendingTurn[]) {
     const unwritten = batch.filter((turn) => !turn.isSettled);
     const turns = unwritten.length > 0 ? unwritten : batch.slice(0, 1);
     return { conditions: [], puts: turns.flatMap((turn) => turn.rowsIn(this.#options.part)), removes: [] };
   }
 
-  /** Takes as many turns off the queue as go into one transaction: one at least, if there is any. */
+  /** Removes from the queue as many turns as fit into one transaction, and at least one if any is queued. */
   #takeBatch(): PendingTurn[] {
     const batch: PendingTurn[] = [];
     let rows = 0;
@@ -140,8 +149,8 @@
   }
 
   #setState(state: StorePartState, sinceMs = this.#unresponsiveSinceMs): void {
-    if ((state === "silent") === this.isUnresponsive || sinceMs === undefined) return;
-    this.#unresponsiveSinceMs = state === "silent" ? sinceMs : undefined;
+    if ((state === "unresponsive") === this.isUnresponsive || sinceMs === undefined) return;
+    this.#unresponsiveSinceMs = state === "unresponsive" ? sinceMs : undefined;
     this.#options.onStateChange(state, this.#options.context.clock.monotonicMs() - sinceMs);
   }
 }
--- a/src/gateway/partitions/transaction-sender.ts
+++ b/src/gateway/partitions/transaction-sender.ts
@@ -1,16 +1,17 @@
 /**
- * Sends transactions to the store. One that is not answered for longer than answers take is sent again beside the first
- * try, as it was: its conditions, or that it may be done twice, make this harmless. The first answer counts.
+ * Sends transactions to the store with hedged retries. A transaction whose response is overdue is sent again unchanged
+ * while the first attempt is still pending. This is safe because the transactions are conditional or idempotent. The
+ * first response wins.
  */
 import type { RowTransaction, TransactionOutcome } from "../../ports/store/row-store.ts";
 import type { TimerHandle } from "../../runtime/clock.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { StoreHealth } from "../store-health.ts";
 
-/** Tries of one transaction that wait for their answers at the same time. */
+/** Largest number of attempts of one transaction. */
 const MAX_ATTEMPTS = 4;
 
-/** See the module's comment. */
+/** Sends each transaction with overlapping attempts, and records response times and outcomes. */
 export class TransactionSender {
   readonly #context: GatewayContext;
   readonly #health: StoreHealth;
@@ -21,10 +22,11 @@
   }
 
   /**
-   * Resolves with the first answer; with a refusal or silence when every try has ended so. A conflict may come from a
-   * try of the same transaction that was done.
+   * Resolves with the first response (committed or conflict). If all pending attempts end without one, resolves with
+   * the last refusal or unknown outcome. A conflict may be caused by another attempt of the same transaction that was
+   * committed.
    *
-   * @param maxAttempts most tries that wait for their answers at the same time
+   * @param maxAttempts largest number of attempts
    */
   transact(transaction: RowTransaction, maxAttempts = MAX_ATTEMPTS): Promise<TransactionOutcome> {
     return new Promise((resolve) => {
--- a/src/gateway/partitions/turn-cache.ts
+++ b/src/gateway/partitions/turn-cache.ts
@@ -1,15 +1,15 @@
-/** Turns in memory, of which the oldest give way. */
+/** An in-memory cache of turns with a size limit. It evicts the oldest turns first. */
 import type { RequestId } from "../../scheduling/ids/request-id.ts";
 import type { RetainedTurnContent } from "../gateway-messages.ts";
 
-/** See the module's comment. */
+/** Caches the content of turns by their identifiers. */
 export class TurnCache {
   readonly #maxBytes: number;
-  /** In the order in which they were added. */
+  /** In insertion order. */
   readonly #turns = new Map<RequestId, RetainedTurnContent>();
   #bytes = 0;
 
-  /** @param maxBytes most bytes of input and output of all turns together */
+  /** @param maxBytes limit on the total size of the inputs and outputs of all turns */
   constructor(maxBytes: number) {
     this.#maxBytes = maxBytes;
   }
--- a/src/gateway/partitions/turn-finder.ts
+++ b/src/gateway/partitions/turn-finder.ts
@@ -1,6 +1,7 @@
 /**
- * Looks for retained turns in the memory of the gateways: the owner of a program's partition has the last ones, and so
- * has the gateway that answered a turn. They serve while the store does not answer, or answers with an older state.
+ * Looks up retained turns in the memory of the gateways. The owner of a program's partition has the program's recent
+ * turns in memory, and so does the gateway that answered a turn. They are used while the store does not respond or
+ * returns stale data.
  */
 import type { RpcEndpoint } from "../../runtime/rpc.ts";
 import type { RequestId } from "../../scheduling/ids/request-id.ts";
@@ -8,20 +9,20 @@
 import type { FindTurnResponse, GatewayRpcSchema } from "../gateway-messages.ts";
 import type { TurnLookup } from "./turn-lookup.ts";
 
-/** Longest wait for a gateway's answer, in ms. */
+/** Timeout of a request to another gateway, in ms. */
 const FIND_TIMEOUT_MS = 300;
 
-/** What the finder needs to know of the gateways. */
+/** Dependencies of a {@link TurnFinder}. */
 export interface TurnFinderOptions {
   readonly context: GatewayContext;
   readonly rpc: RpcEndpoint<GatewayRpcSchema>;
-  /** Addresses of all other gateways that are alive. */
+  /** Returns the addresses of all other live gateways. */
   readonly peers: () => readonly string[];
-  /** What this gateway itself holds. */
+  /** Looks up a turn in this gateway's own memory. */
   readonly findLocally: (turn: RequestId) => FindTurnResponse;
 }
 
-/** See the module's comment. */
+/** Asks all live gateways for a turn, and answers such requests of other gateways. */
 export class TurnFinder {
   readonly #options: TurnFinderOptions;
 
@@ -30,7 +31,7 @@
     options.rpc.handle("findTurn", async ({ turn }) => options.findLocally(turn));
   }
 
-  /** Finds a turn; `noSuchTurn` only when every gateway has denied it. */
+  /** Looks up a turn. Resolves with `noSuchTurn` only if every gateway has answered that it does not have the turn. */
   async find(turn: RequestId): Promise<TurnLookup> {
     const { findLocally, peers } = this.#options;
     const here = findLocally(turn);
@@ -42,7 +43,10 @@
     return { type: "unavailable", detail: "the turn may be at a gateway that gave no answer" };
   }
 
-  /** The answers of the others; undefined for one that gave none. Ends with the first that has the turn. */
+  /**
+   * Returns the responses of the other gateways; undefined stands for one that did not respond. Resolves early when a
+   * gateway has the turn.
+   */
   #askPeers(turn: RequestId, peers: readonly string[]): Promise<readonly (FindTurnResponse | undefined)[]> {
     return new Promise((resolve) => {
       const answers: (FindTurnResponse | undefined)[] = [];
--- a/src/gateway/partitions/turn-lookup.ts
+++ b/src/gateway/partitions/turn-lookup.ts
@@ -1,8 +1,8 @@
 import type { RetainedTurnContent } from "../gateway-messages.ts";
 
-/** What came of looking for a turn. */
+/** Result of looking up a retained turn. */
 export type TurnLookup =
   | { readonly type: "found"; readonly content: RetainedTurnContent }
   | { readonly type: "noSuchTurn" }
-  /** Nobody can be sure now. */
+  /** It is not known whether the turn exists, because not all places where it may be could be read. */
   | { readonly type: "unavailable"; readonly detail: string };
--- a/src/gateway/partitions/turn-rows.ts
+++ b/src/gateway/partitions/turn-rows.ts
@@ -1,7 +1,8 @@
 /**
- * How retained turns lie in the store. The parts that a turn may lie in follow from its identifier alone, so that whoever
- * knows the identifier finds it, and turns of one partition do not queue behind each other or behind its accounts. A
- * turn lies in the first of them, unless that did not answer. A turn is one row, or several when it is large.
+ * Store layout of retained turns. The parts of the store that may hold a turn are derived from its identifier alone, so
+ * any gateway that knows the identifier finds it, and turns of one partition don't queue behind each other or behind
+ * the partition's accounts. A turn is in the first of its parts, unless that part did not respond. It has one row, or
+ * several if it is large.
  */
 
 import { encode } from "cbor-x";
@@ -13,25 +14,25 @@
 
 const TABLE = "turns";
 /**
- * Parts that a turn may lie in. Computed: with 21 of 64 parts silent, all four of a turn are silent for one turn of 106
- * (C(64, 4) / C(21, 4)); all of three would be for one of 31, all of five for one of 375.
+ * Number of parts that may hold a turn. With 21 of 64 parts unresponsive, all four parts of a turn are unresponsive for
+ * one turn in 106 (C(64, 4) / C(21, 4)). With three parts it would be one in 31, with five one in 375.
  */
 const PARTS_PER_TURN = 4;
-/** Most bytes of a row's value; the store takes 65,536 in base 64. */
+/** Largest size of a row's value, in bytes. The store accepts 65,536 bytes of base64. */
 const MAX_ROW_BYTES = 48_000;
-/** Stands between a turn's identifier and the number of a further row. */
+/** Separates the turn's identifier from the row number in the keys of the second and later rows. */
 const SEPARATOR = "/";
-/** The character after the separator. */
+/** The character that follows the separator in sort order. It ends the key range of a turn. */
 const AFTER_SEPARATOR = "0";
 
-/** A row of a turn, to be written. */
+/** A row of a turn to be written to the store. */
 export interface TurnRow extends RowKey {
   readonly value: Buffer;
 }
 
 /**
- * The parts of the store that may hold a turn, all different, in the order in which they are tried; as many as there are
- * when there are fewer than usual.
+ * Returns the distinct parts of the store that may hold a turn, in the order in which they are tried. If the store has
+ * fewer than {@link PARTS_PER_TURN} parts for turns, returns all of them.
  */
 export function turnParts(turn: RequestId, partCount: number, hash: TextHash): string[] {
   const numbers = new Set([hash.hash32(turn) % partCount]);
@@ -43,7 +44,7 @@
   return Array.from(numbers, (number) => `t${number}`);
 }
 
-/** The rows of a turn; all of them go into one transaction. */
+/** Encodes a turn as rows, which must be written in one transaction. */
 export function turnRows(turn: RequestId, content: RetainedTurnContent, part: string): TurnRow[] {
   const bytes = encode(content);
   const rows: TurnRow[] = [];
@@ -54,15 +55,15 @@
   return rows;
 }
 
-/** Where the rows of a turn lie; some rows of others may lie there too. */
+/** Returns the key range of a turn's rows. It may also contain rows of other turns. */
 export function turnRange(turn: RequestId, part: string): RowRange {
   return { table: TABLE, part, from: turn, until: `${turn}${AFTER_SEPARATOR}` };
 }
 
-/** What rows of a turn's range hold. */
+/** Result of decoding the rows in a turn's key range. */
 export type DecodedTurn = RetainedTurnContent | "absent" | "unreadable";
 
-/** The turn that rows of its range hold. */
+/** Decodes a turn from the rows in its key range; ignores rows of other turns. */
 export function decodeTurn(turn: RequestId, rows: readonly StoredRow[]): DecodedTurn {
   const numbered = rows.flatMap((row) => {
     const number = rowNumber(turn, row.key);
--- a/src/gateway/partitions/turn-writer.ts
+++ b/src/gateway/partitions/turn-writer.ts
@@ -1,8 +1,8 @@
 /**
- * Writes retained turns, those of one part of the store together, one transaction of a part after the other. A turn goes
- * to the first of its parts that is not known to be silent; when that falls silent, to the next as well, and counts as
- * written with the first that commits. A turn's rows never change once they are there, so that they need no fence:
- * whoever writes them, however late, and in however many parts, writes the same.
+ * Writes retained turns to the store. Turns for the same part of the store are batched, with one transaction per part
+ * at a time. A turn is queued for the first of its parts that is not unresponsive. If that part becomes unresponsive,
+ * the turn is also queued for the next one, and it is written as soon as one part commits it. A turn's rows never
+ * change, so their writes need no fencing: late or repeated writes, to any number of parts, all write the same content.
  */
 import type { RequestId } from "../../scheduling/ids/request-id.ts";
 import type { GatewayContext } from "../gateway-context.ts";
@@ -14,14 +14,14 @@
 import type { TransactionSender } from "./transaction-sender.ts";
 import { turnParts, turnRows } from "./turn-rows.ts";
 
-/** See the module's comment. */
+/** Distributes turns over the queues of the store's parts. */
 export class TurnWriter {
   readonly #context: GatewayContext;
   readonly #sender: TransactionSender;
   readonly #partLog: StorePartLog;
-  /** How long transactions of turns take, in whichever part. */
+  /** Time after which a transaction of turns is unusually slow, over all parts. */
   readonly #slowWriteThreshold = new SlowCallThreshold();
-  /** By part. A part for which nothing waits and nothing is under way has no entry. */
+  /** Queues by part. A part without queued or in-flight turns has no entry. */
   readonly #queues = new Map<string, StorePartQueue>();
 
   constructor(context: GatewayContext, sender: TransactionSender) {
@@ -30,7 +30,7 @@
     this.#partLog = new StorePartLog(context);
   }
 
-  /** Resolves with true once the turn is in the store; with false when that took longer than `patienceMs`. */
+  /** Resolves with true once the turn is in the store, or with false if that takes longer than `timeoutMs`. */
   write(turn: RequestId, content: RetainedTurnContent, timeoutMs: number): Promise<boolean> {
     const { clock, hash, settings } = this.#context;
     const parts = turnParts(turn, settings.turnParts, hash);
@@ -39,7 +39,7 @@
     return new Promise((settle) => this.#enqueue(new PendingTurn(parts, rows, deadlineMs, settle)));
   }
 
-  /** Has a turn wait at a part that is believed to answer; at all of its parts when there is none. */
+  /** Queues a turn for its first part that is not unresponsive, or for all of its parts if there is none. */
   #enqueue(turn: PendingTurn): void {
     if (Array.from(turn.queuedParts).some((part) => !this.#isUnresponsive(part))) return;
     const next = turn.parts.find((part) => !this.#isUnresponsive(part));
@@ -76,7 +76,7 @@
   ): void {
     const turns = queue.unwritten;
     this.#partLog.record({ ...change, waiting: turns.length });
-    if (change.state === "silent") for (const turn of turns) this.#enqueue(turn);
+    if (change.state === "unresponsive") for (const turn of turns) this.#enqueue(turn);
   }
 
   #onWritten(turns: readonly PendingTurn[]): void {
--- a/test/contract/corrupt-rows.test.ts
+++ b/test/contract/corrupt-rows.test.ts
@@ -1,4 +1,7 @@
-/** Rows of the gateways' own that somebody has spoilt: they name nobody, and nothing is granted from them. */
+/**
+ * Corrupt rows in the gateways' own tables: they name no owner or gateway, no tokens are granted from them, and a
+ * corrupt configuration does not come into force.
+ */
 import { afterEach, describe, it } from "node:test";
 import { encode } from "cbor-x";
 import { expect } from "earl";
@@ -29,24 +32,24 @@
 const ACCOUNT = { settled: 40, ahead: 20, open: [["turn", 10]] } as const;
 const TURN = "turn" as RequestId;
 const CONTENT = { previousTurn: undefined, input: Buffer.from("in"), output: Buffer.from("out"), tokens: 3 };
-/** How long keys are trusted after a proof that the configuration is the newest, in ms. */
+/** How long API keys are trusted after the configuration was confirmed as the newest, in ms. */
 const TRUST_MS = 1_500;
-const [CORRUPT, VALID] = ["spoilt", "whole"] as [ProgramId, ProgramId];
+const [CORRUPT, VALID] = ["corrupt", "valid"] as [ProgramId, ProgramId];
 
-/** The row of the turn with this value. */
+/** Decodes a turn whose only row has this value. */
 const decodeTurnRow = (value: Uint8Array) =>
   decodeTurn(TURN, [{ table: "turns", part: "t0", key: TURN, value: Buffer.from(value), version: 1 }]);
 
-/** Each kind of row: a whole value, how it is read, and what says that it can't be. */
+/** For each kind of row: a valid value, its decoder, and the decoder's result for a corrupt row. */
 const ROWS: [what: string, whole: object, read: (value: Buffer) => unknown, unreadable: unknown][] = [
   ["owner", OWNER, decodeOwner, undefined],
   ["account", ACCOUNT, decodeAccount, undefined],
   ["turn", CONTENT, decodeTurnRow, "unreadable"],
 ];
 
-describe("rows of gateways that somebody has spoilt", () => {
+describe("corrupt rows of gateways", () => {
   for (const [what, whole, read, unreadable] of ROWS) {
-    it(`are no ${what}, whatever their bytes, and a whole one is`, () => {
+    it(`are rejected as ${what} rows whatever their bytes, and a valid one is accepted`, () => {
       const bytes = encode(whole);
       expect(read(bytes) as object).toLooseEqual(whole);
       const cut = fc.nat(bytes.length - 1).map((length) => bytes.subarray(0, length));
@@ -55,7 +58,7 @@
       fc.assert(fc.property(fc.oneof(cut, other, value), (some) => expect(read(some)).toEqual(unreadable)));
     });
 
-    it(`are no ${what} with a field of another type`, () => {
+    it(`are rejected as ${what} rows if a field has the wrong type`, () => {
       const field = fc.constantFrom(...Object.keys(whole));
       const wrong = fc.constantFrom<unknown>(null, true, {}, [[1]], [["name"]], [["name", "1"]], Number.NaN);
       fc.assert(
@@ -83,7 +86,7 @@
     tick: () => undefined,
   };
 
-  it("are taken over like those of an owner that may live on, and nothing is granted from an account", async () => {
+  it("count as rows of an owner that may be alive, and grant nothing from an account", async () => {
     const { context, put } = await start();
     const partition = 0;
     await put(ownerKey(partition), Buffer.from([0xff]));
@@ -110,7 +113,7 @@
     await host.release();
   });
 
-  it("neither hide other gateways nor end the search for them", async () => {
+  it("neither hide other gateways nor stop discovery", async () => {
     const { context, put } = await start();
     const key = (name: string) => ({ table: "gateways", part: "", key: name });
     const writtenWallMs = context.clock.wallMs();
@@ -131,7 +134,7 @@
     registry.stop();
   });
 
-  it("leave the configuration before in force, and keys untrusted", async () => {
+  it("leave the previous configuration in force and keys untrusted", async () => {
     const { context, put } = await start();
     const settings = { ...context.settings, keys: { revokeMs: TRUST_MS + 1_000 } };
     const watch = new RoutingWatch({ ...context, settings }, new StoreHealth(context));
--- a/test/contract/owned-partition.test.ts
+++ b/test/contract/owned-partition.test.ts
@@ -1,4 +1,6 @@
-/** Grants of a partition's owner when it is asked for one turn twice, as after a connection between gateways broke. */
+/**
+ * Grants of a partition's owner when the same turn is requested twice, as after a broken connection between gateways.
+ */
 
 import { beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
@@ -13,17 +15,17 @@
 import type { RequestId } from "../../src/scheduling/ids/request-id.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
 
-/** The owner says that a grant is late 100 ms earlier, after 200 ms. */
+/** The owner reports a late grant 100 ms before this, so after 200 ms. */
 const OWNER_WAIT_MS = 300;
 const BETWEEN_REQUESTS_MS = 80;
-/** After the first ask was told that its grant is late, before the second one is. */
+/** After the first request is told that its grant is late, and before the second one would be. */
 const WRITE_DELAY_MS = 240;
-/** How long the gateways' memory, and the store's answer to the second ask, take. */
+/** Duration of a lookup in the gateways' memory, and of the store read for the second request. */
 const LOOKUP_DELAY_MS = 150;
-/** Longer than what is still under way to the store takes. */
+/** Longer than any write that is still in flight takes. */
 const SETTLED_MS = 500;
 const [PREVIOUS_TURN, TURN, OTHER_TURN] = ["before", "turn", "other"] as RequestId[];
-/** Holds one turn. */
+/** Large enough for one turn. */
 const BUDGET = { tokens: 100, most: 100 };
 
 let context: GatewayContext;
@@ -51,7 +53,10 @@
   return { type: "committed", version: 2 };
 }
 
-/** Grants of a budget that holds one turn: `first` and `second` ask for the same turn, then another turn is asked for. */
+/**
+ * Counts the turns granted from a budget for one turn. Two overlapping requests ask for the same turn, then a third
+ * request asks for another turn.
+ */
 async function countGrants(partition: OwnedPartition, previousTurn?: RequestId): Promise<number> {
   const first = partition.admit(admitRequest(TURN, previousTurn));
   await delay(context.clock, BETWEEN_REQUESTS_MS);
@@ -81,12 +86,12 @@
     read = async () => ({ type: "unknown", detail: "none" });
   });
 
-  it("counts a turn whose grant was late for the first ask and in time for the second", async () => {
+  it("charges a turn whose grant was late for the first request and in time for the second", async () => {
     transact = () => delay(context.clock, WRITE_DELAY_MS).then(commit);
     expect(await countGrants(createPartition())).toEqual(1);
   });
 
-  it("counts a turn whose history was out of reach for the first ask and found for the second", async () => {
+  it("charges a turn whose history was unavailable for the first request and found for the second", async () => {
     const content = { previousTurn: undefined, input: Buffer.from("in"), output: Buffer.from("out") };
     const rows = turnRows(PREVIOUS_TURN as RequestId, content, "").map((row) => ({ ...row, version: 1 }));
     const startedMs = context.clock.monotonicMs();
--- a/test/contract/partition-host.test.ts
+++ b/test/contract/partition-host.test.ts
@@ -1,4 +1,4 @@
-/** Which partitions a gateway takes over that hears of others only while it waits. */
+/** Takeover of partitions: handed-over limits, lost responses, and gateways that become known only during the wait. */
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import { type OwnerCandidate, preferredOwner } from "../../src/coordination/partition-ownership/index.ts";
@@ -20,15 +20,15 @@
 
 const SELF = "first";
 const PARTITION = 1;
-/** Within the time for which a gateway that hears few watches an owner's writes. */
+/** Within the time for which a gateway that hears few others watches the owner row. */
 const HEARD_AFTER_MS = 800;
-/** Longer than it waits for others and watches, together. */
+/** Longer than the wait for other gateways and the watch of the owner row together. */
 const CLAIM_WAIT_MS = 2_000;
 
 const OWNERSHIP_TIMEOUT_MS = 3_000;
 const RATES = { tokens: [["tenant", 3] as const], filledForMs: undefined };
 
-/** What the other gateways are to one that hears of nobody. */
+/** Member directory of a gateway that knows no other gateways. */
 const NO_OTHER_GATEWAYS = {
   hasSettled: true,
   hearsMost: true,
@@ -38,14 +38,14 @@
 };
 const NO_RPC = { handle: () => undefined } as unknown as RpcEndpoint<GatewayRpcSchema>;
 
-describe("a gateway that takes over what an owner has let go of", () => {
+describe("takeover of a released partition", () => {
   let store: RowStoreStandin;
   beforeEach(() => {
     store = new RowStoreStandin();
   });
   afterEach(() => store.close());
 
-  /** Has a gateway take partition 1 over, while one thing goes wrong for a moment; returns what it was left. */
+  /** Lets a gateway take over partition 1 during a short fault; returns its ownership. */
   async function takeOver(injectFault: () => Promise<void>): Promise<PartitionOwnership | undefined> {
     const context = await gatewayContext(SELF, await store.listen());
     const members = {
@@ -64,7 +64,7 @@
     return ownership;
   }
 
-  /** Resolves once the owner's row names the gateway. */
+  /** Resolves once the owner row names the gateway. */
   async function waitUntilClaimed(): Promise<void> {
     const { table, part } = ownerKey(PARTITION);
     for (;;) {
@@ -75,13 +75,13 @@
     }
   }
 
-  it("goes on with the limits that were handed over", async () => {
+  it("continues with the rate limits that were handed over", async () => {
     const ownership = await takeOver(async () => undefined);
     expect(ownership?.rates).toEqual(RATES);
   });
 
-  // Guards against tenants below their limits that are turned away after a planned stop.
-  it("goes on with them although the store's answer to its claim was lost", async () => {
+  // Guards against refusing tenants that are below their limits after a planned stop.
+  it("continues with them if the store's response to its claim was lost", async () => {
     const ownership = await takeOver(async () => {
       store.partFaults.set(storePartOf(PARTITION), "lostAnswer");
       await waitUntilClaimed();
@@ -90,7 +90,7 @@
     expect([ownership?.rates, ownership?.unreleasedOwner]).toEqual([RATES, undefined]);
   });
 
-  it("goes on with them although it could not read the accounts at first", async () => {
+  it("continues with them if it could not read the accounts at first", async () => {
     const ownership = await takeOver(async () => {
       await waitUntilClaimed();
       store.partFaults.set(storePartOf(PARTITION), "busy");
@@ -101,11 +101,11 @@
   });
 });
 
-describe("a gateway that starts before all others", () => {
+describe("takeover by a gateway that starts before all others", () => {
   const store = new RowStoreStandin();
   afterEach(() => store.close());
 
-  it("takes over only what falls to it among those that it has heard when it has waited", async () => {
+  it("claims only its share among the gateways that it knows after the wait", async () => {
     const context = await gatewayContext(SELF, await store.listen());
     const candidate = (name: string): OwnerCandidate => ({ name, hash: context.hash.hash32(name) });
     const all = [SELF, "second", "third"].map(candidate);
--- a/test/contract/partition-writer.test.ts
+++ b/test/contract/partition-writer.test.ts
@@ -1,4 +1,4 @@
-/** Writes of a partition's owner, through each fault of the store and against another owner. */
+/** Writes of a partition's owner under each store fault, and in competition with another owner. */
 
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
@@ -18,7 +18,7 @@
 
 const PARTITION = 1;
 const PROGRAM = "program" as ProgramId;
-/** How long calls of the store wait where nothing else is said, in ms. */
+/** Timeout of store calls, in ms. */
 const STORE_TIMEOUT_MS = 1_000;
 
 let standin: RowStoreStandin;
@@ -71,7 +71,7 @@
 
   const FAULTS: StoreFault[] = ["busy", "throttled", "silent", "reset", "lostAnswer", "lateWrite"];
   for (const fault of FAULTS) {
-    it(`has everything stored in the end, once, after ${fault}`, async () => {
+    it(`stores each change exactly once after ${fault}`, async () => {
       const writer = await takeOver(context, 0);
       const account = spend(new TokenAccount(), "turn-1");
       standin.fault = fault;
@@ -83,14 +83,14 @@
       expect(await storedTokens()).toEqual(100);
       expect(await writer.writeAccount(PROGRAM, spend(account, "turn-2"))).toEqual("recorded");
       expect(await storedTokens()).toEqual(200);
-      // A write that was done late must not put an older count in place of a newer one.
+      // A write that arrives late must not replace a newer count by an older one.
       await new Promise((resolve) => setTimeout(resolve, 400));
       expect(await storedTokens()).toEqual(200);
       expect(lostCount).toEqual(0);
     });
   }
 
-  it("is held up by a lost answer for little longer than answers take", async () => {
+  it("does not wait for the store timeout after a lost response", async () => {
     const writer = await takeOver(context, 0);
     const account = new TokenAccount();
     for (let turn = 0; turn < 5; turn += 1)
@@ -106,7 +106,7 @@
     expect(await storedTokens()).toEqual(600);
   });
 
-  it("takes an answer that comes later than answers used to", async () => {
+  it("accepts a response that is later than usual", async () => {
     const writer = await takeOver(context, 0);
     standin.delayMs = 400;
     const startedMs = performance.now();
@@ -115,7 +115,7 @@
     expect(await storedTokens()).toEqual(100);
   });
 
-  it("writes what comes at the same time in one transaction", async () => {
+  it("batches simultaneous writes in one transaction", async () => {
     const writer = await takeOver(context, 0);
     const before = standin.counts.writes;
     const writes = Array.from({ length: 20 }, (_, index) =>
@@ -125,7 +125,7 @@
     expect(standin.counts.writes - before).toEqual(1);
   });
 
-  it("splits what is more than a transaction takes", async () => {
+  it("splits writes that exceed the size of a transaction", async () => {
     const writer = await takeOver(context, 0);
     const writes = Array.from({ length: 250 }, (_, index) =>
       writer.writeAccount(`program-${index}` as ProgramId, spend(new TokenAccount(), "turn")),
@@ -133,7 +133,7 @@
     expect(await Promise.all(writes)).toEqual(writes.map(() => "recorded" as const));
   });
 
-  it("loses to a new owner, and writes nothing more", async () => {
+  it("stops writing when a new owner has taken over", async () => {
     const first = await takeOver(context, 0);
     const second = { ...context, instance: "second#1" };
     const writer = await takeOver(second, standin.model.version);
@@ -143,7 +143,7 @@
     expect(await writer.writeAccount(PROGRAM, spend(new TokenAccount(), "turn"))).toEqual("recorded");
   });
 
-  it("loses a write whose answer was lost when the new owner came first", async () => {
+  it("reports a delayed write as lost if the new owner takes over first", async () => {
     const first = await takeOver(context, 0);
     standin.fault = "lateWrite";
     standin.lateWriteMs = 500;
@@ -156,7 +156,7 @@
     expect(await storedTokens()).toEqual(undefined);
   });
 
-  it("sets nothing aside any more when it lets go", async () => {
+  it("releases reserved tokens when it releases the partition", async () => {
     const writer = await takeOver(context, 0);
     const account = new TokenAccount();
     account.admit("turn", 100, 10_000, 3);
--- a/test/contract/turn-writer.test.ts
+++ b/test/contract/turn-writer.test.ts
@@ -1,4 +1,4 @@
-/** Retained turns in the store: written once and whole through each fault, found by their identifiers alone. */
+/** Retained turns in the store: written completely under each store fault, and found by their identifiers alone. */
 
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { createClock } from "@sinonjs/fake-timers";
@@ -19,13 +19,16 @@
 import { gatewayContext } from "./support/gateway-parts.ts";
 
 const STORE_TIMEOUT_MS = 1_000;
-/** Longer than it takes to notice that parts of a turn are silent, one after the other, in ms; less than a call waits. */
+/**
+ * Longer than it takes to detect one after the other that a turn's parts are unresponsive, and shorter than the timeout
+ * of a call, in ms.
+ */
 const DETECTION_LIMIT_MS = 900;
-/** How long turns are tried where nothing else is said, in ms. */
+/** Timeout of turn writes, in ms. */
 const WRITE_TIMEOUT_MS = 30_000;
 const [TURN_0, TURN_1, TURN_2, TURN_3] = ["turn-0", "turn-1", "turn-2", "turn-3"] as RequestId[];
 const [LARGE, AFTER_LARGE] = ["large", "after-large"] as RequestId[];
-/** The second begins with the first. */
+/** The first is a prefix of the second. */
 const [NAMED_A, NAMED_A_B] = ["a", "a.b"] as RequestId[];
 
 let standin: RowStoreStandin;
@@ -40,7 +43,7 @@
   return { type: "noSuchTurn" };
 }
 
-/** What another gateway, which has nothing in memory, finds of a turn and those before it. */
+/** Returns the history up to a turn as read by another gateway with nothing in memory. */
 async function readHistory(turn: RequestId): Promise<string> {
   const outcome = await new RetainedTurns(context, () => 0, findInNoGateway).history(turn);
   return outcome.type === "history" ? Buffer.concat(outcome.parts).toString() : outcome.type;
@@ -54,14 +57,14 @@
   return partsOf(turn)[0] ?? "";
 }
 
-/** Turns that lie in the same part of the store as each other. */
+/** Returns turns with the same first store part. */
 function turnsOfSamePart(count: number): RequestId[] {
   const names = Array.from({ length: 10_000 }, (_, index) => `turn-${index}` as RequestId);
   const first = firstPart(TURN_0);
   return names.filter((name) => firstPart(name) === first).slice(0, count);
 }
 
-/** A turn that lies in another part than `turn`. */
+/** Returns a turn whose first store part differs from that of `turn`. */
 function turnOfOtherPart(turn: RequestId): RequestId {
   const part = firstPart(turn);
   for (let index = 0; ; index += 1) {
@@ -74,7 +77,7 @@
   return new TurnWriter(ofContext, new TransactionSender(ofContext, new StoreHealth(ofContext)));
 }
 
-/** A context whose calls of the store are counted by kind and part. */
+/** Returns a context whose store calls are counted by kind and part. */
 function withCallCounts(counts: Map<string, number>): GatewayContext {
   const { store } = context.platform;
   const count = (call: string) => counts.set(call, (counts.get(call) ?? 0) + 1);
@@ -97,7 +100,7 @@
   };
 }
 
-/** Which of a turn's parts hold it: numbers, the first is 0. */
+/** Returns the indexes of the turn's parts that hold it; the first part has index 0. */
 function partsHolding(turn: RequestId): number[] {
   return partsOf(turn).flatMap((part, index) => {
     const rows = standin.model.read("turns", part, turn, `${turn}0`);
@@ -105,7 +108,7 @@
   });
 }
 
-/** Has the first parts of a turn go wrong. */
+/** Injects a fault into the first `count` parts of a turn. */
 function setPartFaults(turn: RequestId, count: number, fault: StoreFault): void {
   for (const part of partsOf(turn).slice(0, count)) standin.partFaults.set(part, fault);
 }
@@ -124,7 +127,7 @@
 
   const FAULTS: StoreFault[] = ["busy", "throttled", "silent", "reset", "lostAnswer", "lateWrite"];
   for (const fault of FAULTS) {
-    it(`are there once they are said to be written, after ${fault}`, async () => {
+    it(`can be read once their write is confirmed, after ${fault}`, async () => {
       standin.fault = fault;
       const written = writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
       setTimeout(() => {
@@ -135,14 +138,14 @@
     });
   }
 
-  it("are found with all before them, whichever program they are of", async () => {
+  it("are found with all their predecessors, whichever program they belong to", async () => {
     await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     await writer.write(TURN_2, content("2", TURN_1), WRITE_TIMEOUT_MS);
     expect(await readHistory(TURN_2)).toEqual("in 1out 1in 2out 2");
     expect(await readHistory(TURN_3)).toEqual("noSuchTurn");
   });
 
-  it("may be larger than a row of the store", async () => {
+  it("may be larger than one row of the store", async () => {
     const large = {
       previousTurn: undefined,
       input: Buffer.alloc(150_000, "i"),
@@ -154,7 +157,7 @@
     expect([text.length, text.endsWith("oin nextout next")]).toEqual([200_015, true]);
   });
 
-  it("are put together from the turn's own rows alone, in their order", () => {
+  it("are assembled from their own rows only, in order", () => {
     const large = { previousTurn: undefined, input: Buffer.alloc(600_000, "x"), output: Buffer.from("end") };
     const rows = turnRows(NAMED_A, large, "t0").map((row) => ({ ...row, version: 1 }));
     const otherRows = turnRows(NAMED_A_B, content("stranger"), "t0").map((row) => ({ ...row, version: 1 }));
@@ -165,7 +168,7 @@
     expect(decodeTurn(NAMED_A, otherRows)).toEqual("absent");
   });
 
-  it("go into one transaction when they end at the same time in one part", async () => {
+  it("are written in one transaction if they end at the same time and share a part", async () => {
     const turns = turnsOfSamePart(20);
     const before = standin.counts.writes;
     const written = await Promise.all(
@@ -175,7 +178,7 @@
     expect(standin.counts.writes - before).toEqual(1);
   });
 
-  it("do not wait for a transaction of another part that is not answered", async () => {
+  it("do not wait for an unanswered transaction of another part", async () => {
     standin.fault = "silent";
     const first = writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     await new Promise((resolve) => setTimeout(resolve, 50));
@@ -204,7 +207,7 @@
     [5, 4],
     [64, 4],
   ] as const) {
-    it(`are ${expected} different ones of ${partCount}, the same each time`, () => {
+    it(`are ${expected} distinct parts of ${partCount}, chosen deterministically`, () => {
       for (const turn of turnsOfSamePart(50)) {
         const parts = turnParts(turn, partCount, context.hash);
         expect(new Set(parts).size).toEqual(expected);
@@ -219,7 +222,7 @@
   const FAULTS: StoreFault[] = ["silent", "busy", "throttled", "reset"];
   for (const fault of FAULTS) {
     for (const faultyParts of [1, 2, 3]) {
-      it(`are passed over while they do not answer: ${faultyParts} with ${fault}`, async () => {
+      it(`are skipped while they do not respond: ${faultyParts} with ${fault}`, async () => {
         setPartFaults(TURN_1, faultyParts, fault);
         const startedMs = performance.now();
         expect(await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS)).toEqual(true);
@@ -229,7 +232,7 @@
       });
     }
 
-    it(`all take the turn when they answer again, after ${fault}`, async () => {
+    it(`accept the turn when they respond again after ${fault}`, async () => {
       setPartFaults(TURN_1, 4, fault);
       let isWritten = false;
       const written = writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS).finally(() => {
@@ -243,7 +246,7 @@
     });
   }
 
-  it("are left when they fall silent, also by turns that wait behind others, and used again later", async () => {
+  it("are abandoned by in-flight and queued turns when they become unresponsive, and are used again later", async () => {
     const [first, ...behind] = turnsOfSamePart(5);
     if (!first) throw new Error("no turns");
     expect(await writer.write(first, content("first"), WRITE_TIMEOUT_MS)).toEqual(true);
@@ -254,15 +257,15 @@
     expect(await Promise.all([underWay, ...waiting])).toEqual([true, true, true]);
     expect(behind.slice(0, 3).map(partsHolding)).toEqual([[1], [1], [1]]);
     standin.partFaults.clear();
-    // Until the call under way has waited for its answer, and the next has one.
+    // Wait until the call in flight has timed out and the next one has been answered.
     await sleep(3 * STORE_TIMEOUT_MS);
     expect(await writer.write(behind[3] as RequestId, content("last"), WRITE_TIMEOUT_MS)).toEqual(true);
     expect(partsHolding(behind[3] as RequestId)).toEqual([0]);
-    // What was not sent before it was written elsewhere has left the queue.
+    // Turns that were written to another part before they were sent to this one have left its queue.
     expect(behind.slice(1, 3).map(partsHolding)).toEqual([[1], [1]]);
   });
 
-  it("are not tried by the turns that follow while they are silent", async () => {
+  it("are not tried by later turns while they are unresponsive", async () => {
     const [first, second] = turnsOfSamePart(2) as [RequestId, RequestId];
     setPartFaults(first, 1, "silent");
     await writer.write(first, content("1"), WRITE_TIMEOUT_MS);
@@ -272,7 +275,7 @@
     expect(partsHolding(second)).toEqual([1]);
   });
 
-  it("may two hold the turn", async () => {
+  it("may hold duplicate copies of the turn", async () => {
     setPartFaults(TURN_1, 1, "lostAnswer");
     expect(await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS)).toEqual(true);
     expect(partsHolding(TURN_1)).toEqual([0, 1]);
@@ -284,7 +287,7 @@
     [2, 1],
     [2, 2],
   ] as const) {
-    it(`may be fewer: ${faultyParts} of ${partCount} silent`, async () => {
+    it(`may be fewer than usual: ${faultyParts} of ${partCount} unresponsive`, async () => {
       context = { ...context, settings: { ...context.settings, turnParts: partCount } };
       setPartFaults(TURN_1, faultyParts, "silent");
       const written = createWriter(context).write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
@@ -310,7 +313,7 @@
     ],
   ];
   for (const [name, callMs, transact] of UNANSWERED) {
-    it(`are given up together after half a minute when all ${name}, with pauses between the calls`, async () => {
+    it(`are given up together after half a minute if all ${name}, with delays between the calls`, async () => {
       const fake = createClock();
       const clock: Clock = {
         monotonicMs: () => fake.now,
@@ -334,7 +337,7 @@
       expect(outcomes).toEqual([]);
       await fake.tickAsync(10_000);
       expect(outcomes).toEqual([false]);
-      // Four parts, four tries at once of each transaction at most, and the pause after it.
+      // Four parts, at most four concurrent attempts of each transaction, and the delay after it.
       const rounds = WRITE_TIMEOUT_MS / (callMs + 40) + 1;
       expect(calls <= 4 * rounds * (callMs > 0 ? 4 : 1)).toEqual(true);
       const after = calls;
@@ -343,7 +346,7 @@
     });
   }
 
-  it("are named in few lines of the log when they fall silent and answer again", async () => {
+  it("are logged in few lines when they become unresponsive and respond again", async () => {
     const lines: Record<string, unknown>[] = [];
     const log = pino({ base: null }, { write: (line: string) => void lines.push(JSON.parse(line)) });
     const logging = createWriter({ ...context, log });
@@ -371,7 +374,7 @@
   });
 });
 
-describe("looking for a retained turn", () => {
+describe("lookup of a retained turn", () => {
   const counts = new Map<string, number>();
   let gatewayLookup: TurnLookup;
   let gatewayLookups: number;
@@ -403,14 +406,14 @@
     return partsOf(turn).map((part) => counts.get(`read ${part}`) ?? 0);
   }
 
-  it("reads the first part alone when it has the turn", async () => {
+  it("reads only the first part if that has the turn", async () => {
     await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     expect(await lookUp(TURN_1)).toEqual("in 1out 1");
     expect([readCounts(TURN_1), gatewayLookups]).toEqual([[1, 0, 0, 0], 0]);
   });
 
   for (const holder of [1, 2, 3]) {
-    it(`reads the others once when part ${holder} has the turn`, async () => {
+    it(`reads each other part once if part ${holder} has the turn`, async () => {
       const puts = turnRows(TURN_1, content("1"), partsOf(TURN_1)[holder] as string);
       await context.platform.store.transact({ conditions: [], puts, removes: [] });
       expect(partsHolding(TURN_1)).toEqual([holder]);
@@ -419,7 +422,7 @@
     });
   }
 
-  it("asks the gateways' memory when no part has the turn, and denies it when they do, too", async () => {
+  it("asks the gateways if no part has the turn, and reports it missing only if they do not have it either", async () => {
     expect(await lookUp(TURN_1)).toEqual("noSuchTurn");
     expect([readCounts(TURN_1), gatewayLookups]).toEqual([[1, 1, 1, 1], 1]);
     gatewayLookup = { type: "found", content: content("1") };
@@ -431,7 +434,7 @@
   const FAULTS: StoreFault[] = ["silent", "busy", "throttled", "reset"];
   for (const fault of FAULTS) {
     for (const index of [0, 1, 2, 3]) {
-      it(`does not deny a turn while part ${index} gives no answer: ${fault}`, async () => {
+      it(`does not report a turn as missing while part ${index} does not respond: ${fault}`, async () => {
         standin.partFaults.set(partsOf(TURN_1)[index] as string, fault);
         expect(await lookUp(TURN_1)).toEqual("unavailable");
         standin.partFaults.clear();
@@ -439,7 +442,7 @@
       });
     }
 
-    it(`finds a turn in memory when no part answers: ${fault}`, async () => {
+    it(`finds a turn in the gateways' memory if no part responds: ${fault}`, async () => {
       setPartFaults(TURN_1, 4, fault);
       gatewayLookup = { type: "found", content: content("1") };
       const startedMs = performance.now();
@@ -448,11 +451,11 @@
     });
   }
 
-  it("does not deny a turn on an answer that is older than what was seen", async () => {
+  it("does not report a turn as missing after a stale read", async () => {
     expect(await lookUp(TURN_1, 1_000)).toEqual("unavailable");
   });
 
-  it("does not wait for a first part that is silent", async () => {
+  it("does not wait for an unresponsive first part", async () => {
     setPartFaults(TURN_1, 1, "silent");
     await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     const startedMs = performance.now();
@@ -460,7 +463,7 @@
     expect(performance.now() - startedMs < DETECTION_LIMIT_MS).toEqual(true);
   });
 
-  it("finds a turn in a part that answers late", async () => {
+  it("finds a turn in a part that responds late", async () => {
     await writer.write(TURN_1, content("1"), WRITE_TIMEOUT_MS);
     standin.delayMs = 600;
     expect(await lookUp(TURN_1)).toEqual("in 1out 1");
