--- a/bench/simulation/gateways/simulated-gateway.ts
+++ b/bench/simulation/gateways/simulated-gateway.ts
@@ -106,7 +106,7 @@
       runners: EMPTY_REPORT,
     });
     this.#relayed.relays = () => this.#members.storeRelays();
-    this.#relayed.patienceMs = () => health.writeTimeout.currentMs;
+    this.#relayed.answerTimeoutMs = () => health.writeTimeout.currentMs;
     this.#wire();
   }
 
@@ -139,11 +139,11 @@
   #wire(): void {
     this.#members.onHeard = (member) => {
       this.#host.learn(member);
-      this.#relayed.learnRelay(member.instance, member.status.storeDirect);
+      this.#relayed.updateRelay(member.instance, member.status.storeDirect);
     };
     this.#members.onLost = (member) => {
       this.#host.forget(member);
-      this.#relayed.forgetRelay(member.instance);
+      this.#relayed.removeRelay(member.instance);
       this.#rpc.abandon(member.address);
     };
     this.#transport.onDisconnected((address, reason) => {
--- a/src/gateway/configuration/routing-watch.ts
+++ b/src/gateway/configuration/routing-watch.ts
@@ -7,7 +7,7 @@
 import { RouteTable } from "../../scheduling/routing/route-table.ts";
 import type { RoutingConfiguration } from "../../scheduling/routing/routing-configuration.ts";
 import type { GatewayContext } from "../gateway-context.ts";
-import { UnreadableRows } from "../store/unreadable-rows.ts";
+import { UnreadableRowReporter } from "../store/unreadable-row-reporter.ts";
 import type { StoreHealth } from "../store-health.ts";
 import { TableFollower } from "./table-follower.ts";
 
@@ -29,7 +29,7 @@
   readonly #context: GatewayContext;
   readonly #follower: TableFollower;
   readonly #snapshot = new SnapshotRelay(NO_RELAY_MS);
-  readonly #unreadable: UnreadableRows;
+  readonly #unreadable: UnreadableRowReporter;
   #table: RouteTable | undefined;
   /** Whether the store has a configuration that can't be read: it may be newer than the one in force. */
   #isSpoilt = false;
@@ -42,7 +42,7 @@
     const { keys, timing } = context.settings;
     const { configurationMs } = timing;
     const keyedMs = Math.min(KEYED_MAX_STALENESS_MS, configurationMs);
-    this.#unreadable = new UnreadableRows(context, configurationTable);
+    this.#unreadable = new UnreadableRowReporter(context, configurationTable);
     const take = (rows: readonly { readonly key: string; readonly value: Buffer | undefined }[]) => {
       for (const { key, value } of rows) if (key === configurationKey && value) this.#take(value);
     };
@@ -115,7 +115,7 @@
     try {
       return records.parseConfiguration(value);
     } catch {
-      this.#unreadable.note(records.configurationKey);
+      this.#unreadable.report(records.configurationKey);
       return undefined;
     }
   }
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -210,10 +210,10 @@
 
   #wireMembers(): void {
     this.#store.relays = () => this.#members.storeRelays();
-    this.#store.patienceMs = () => this.#health.writeTimeout.currentMs;
+    this.#store.answerTimeoutMs = () => this.#health.writeTimeout.currentMs;
     this.#members.onHeard = (member) => {
       this.#partitions.learn(member);
-      this.#store.learnRelay(member.instance, member.status.storeDirect);
+      this.#store.updateRelay(member.instance, member.status.storeDirect);
     };
     this.#members.onLoads = (source, report) =>
       this.#board.report(source, report, this.#context.clock.monotonicMs());
@@ -223,7 +223,7 @@
       this.#board.dropReport(member.instance);
       this.#placeHost.forget(member.instance);
       this.#places.forget(member.instance);
-      this.#store.forgetRelay(member.instance);
+      this.#store.removeRelay(member.instance);
       this.#rpc.abandon(member.address);
     };
     this.#transport.onDisconnected((address, reason) => {
--- a/src/gateway/members/member-registry.ts
+++ b/src/gateway/members/member-registry.ts
@@ -7,7 +7,7 @@
 import { delay } from "../../runtime/clock.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { decodeRecord } from "../store/decode-record.ts";
-import { UnreadableRows } from "../store/unreadable-rows.ts";
+import { UnreadableRowReporter } from "../store/unreadable-row-reporter.ts";
 import type { MemberDirectory } from "./member-directory.ts";
 
 const TABLE = "gateways";
@@ -28,14 +28,14 @@
   readonly #context: GatewayContext;
   readonly #members: MemberDirectory;
   readonly #address: string;
-  readonly #unreadable: UnreadableRows;
+  readonly #unreadable: UnreadableRowReporter;
   #stopped = false;
 
   constructor(context: GatewayContext, members: MemberDirectory, address: string) {
     this.#context = context;
     this.#members = members;
     this.#address = address;
-    this.#unreadable = new UnreadableRows(context, TABLE);
+    this.#unreadable = new UnreadableRowReporter(context, TABLE);
   }
 
   start(): void {
@@ -83,7 +83,7 @@
   #decode(key: string, value: Buffer): GatewayRow | undefined {
     const { address, writtenWallMs } = decodeRecord(value) ?? {};
     if (isAddress(address) && typeof writtenWallMs === "number") return { address, writtenWallMs };
-    this.#unreadable.note(key);
+    this.#unreadable.report(key);
     return undefined;
   }
 }
--- a/src/gateway/partitions/partition-host.ts
+++ b/src/gateway/partitions/partition-host.ts
@@ -25,7 +25,7 @@
 } from "../gateway-messages.ts";
 import type { Member } from "../members/member.ts";
 import type { MemberDirectory } from "../members/member-directory.ts";
-import { UnreadableRows } from "../store/unreadable-rows.ts";
+import { UnreadableRowReporter } from "../store/unreadable-row-reporter.ts";
 import type { StoreHealth } from "../store-health.ts";
 import { MOVED, OwnedPartition, type StoredAccounts } from "./owned-partition.ts";
 import {
@@ -100,8 +100,8 @@
    * call.
    */
   handOverRates: (partition: number) => RateHandOver | undefined = () => undefined;
-  readonly #unreadableOwners: UnreadableRows;
-  readonly #unreadableAccounts: UnreadableRows;
+  readonly #unreadableOwners: UnreadableRowReporter;
+  readonly #unreadableAccounts: UnreadableRowReporter;
   #claimAfterMs = 0;
   #stopClaiming: () => void = () => undefined;
   #isStopping = false;
@@ -115,8 +115,8 @@
     this.#context = context;
     this.#members = members;
     this.#health = health;
-    this.#unreadableOwners = new UnreadableRows(context, TABLES.owners);
-    this.#unreadableAccounts = new UnreadableRows(context, TABLES.accounts);
+    this.#unreadableOwners = new UnreadableRowReporter(context, TABLES.owners);
+    this.#unreadableAccounts = new UnreadableRowReporter(context, TABLES.accounts);
     this.#turnWriter = new TurnWriter(context, new TransactionSender(context, health));
     this.#finder = new TurnFinder({
       context,
@@ -317,7 +317,7 @@
   /** Decodes an owner row. Reports it and returns undefined if it can't be decoded. */
   #decodeOwner(row: StoredRow): OwnerRow | undefined {
     const owner = decodeOwner(row.value);
-    if (!owner) this.#unreadableOwners.note(row.part);
+    if (!owner) this.#unreadableOwners.report(row.part);
     return owner;
   }
 
@@ -352,7 +352,7 @@
   }
 
   #reportUnreadable(stored: StoredAccounts): StoredAccounts {
-    for (const program of stored.unreadable) this.#unreadableAccounts.note(program);
+    for (const program of stored.unreadable) this.#unreadableAccounts.report(program);
     return stored;
   }
 
--- a/src/gateway/runners/runner-watch.ts
+++ b/src/gateway/runners/runner-watch.ts
@@ -10,7 +10,7 @@
 import { startOrder } from "../../scheduling/runner-board/start-order.ts";
 import { TableFollower, type TableListener } from "../configuration/table-follower.ts";
 import type { GatewayContext } from "../gateway-context.ts";
-import { UnreadableRows } from "../store/unreadable-rows.ts";
+import { UnreadableRowReporter } from "../store/unreadable-row-reporter.ts";
 import type { StoreHealth } from "../store-health.ts";
 
 /**
@@ -30,7 +30,7 @@
   readonly #health: StoreHealth;
   readonly #board: RunnerBoard;
   readonly #follower: TableFollower;
-  readonly #unreadable: UnreadableRows;
+  readonly #unreadable: UnreadableRowReporter;
   /** The start of each listed runner that the board has. */
   readonly #listed = new Map<RunnerName, RunnerEntry>();
   /** Runners whose entries went missing in an outage of the store, with the end of the time to return. */
@@ -63,7 +63,7 @@
       },
     };
     const { runnerTable } = context.platform.records;
-    this.#unreadable = new UnreadableRows(context, runnerTable);
+    this.#unreadable = new UnreadableRowReporter(context, runnerTable);
     const { runnerDrainMs } = context.settings.timing;
     const options = { maxStalenessMs: runnerDrainMs, pauseMs: runnerDrainMs * PAUSE_PART };
     this.#follower = new TableFollower(context, health, runnerTable, listener, options);
@@ -108,7 +108,7 @@
 
   /** Somebody else has written the row: until its runner writes it again, that takes nothing new. */
   #spoilt(name: RunnerName, known: RunnerEntry | undefined): void {
-    this.#unreadable.note(name);
+    this.#unreadable.report(name);
     if (known) this.#list({ ...known, state: "draining" });
   }
 
--- a/src/gateway/store/relayed-row-store.ts
+++ b/src/gateway/store/relayed-row-store.ts
@@ -30,9 +30,9 @@
 /** Most routes that one call tries when each refuses it. */
 const MAX_ROUTES = 3;
 /** How long an answer shows that this gateway's own connections work, in ms: longer than a wait for changes. */
-const DIRECT_PROOF_MS = 2_500;
+const DIRECT_ANSWER_VALIDITY_MS = 2_500;
 /** Until answers have shown how long they take, in ms. */
-const FIRST_PATIENCE_MS = 250;
+const INITIAL_ANSWER_TIMEOUT_MS = 250;
 
 /** A peer that may carry calls. */
 export interface StoreRelay {
@@ -41,7 +41,7 @@
 }
 
 /** What the store's routes are made of. */
-export interface RelayedRowStoreParts {
+export interface RelayedRowStoreOptions {
   /** The store over this gateway's own connections. */
   readonly direct: RowStore;
   readonly clock: Clock;
@@ -50,53 +50,53 @@
   readonly log: Logger;
 }
 
-type RouteAttempt = (call: StoreCall) => Promise<StoreCallOutcome>;
+type SendCall = (call: StoreCall) => Promise<StoreCallOutcome>;
 
-interface Way {
+interface RouteCandidate {
   readonly route: StoreRoute;
-  readonly attempt: RouteAttempt;
+  readonly send: SendCall;
   /** Longest wait for changes on this way, in ms. */
   readonly maxWaitMs: number;
 }
 
 /** See the module's comment. */
 export class RelayedRowStore implements RowStore {
-  readonly #parts: RelayedRowStoreParts;
+  readonly #options: RelayedRowStoreOptions;
   readonly #direct: StoreRoute;
   /** Routes through peers, by instance. */
   readonly #relayRoutes = new Map<string, StoreRoute>();
   /** Peers that say that their own connections to the store work. */
   readonly #directPeers = new Set<string>();
-  #directWasOpen = false;
+  #wasDirectOpen = false;
   /** Peers whose own connections to the store work, nearest first. */
   relays: () => readonly StoreRelay[] = () => [];
   /** How long answers of the store take at most, in ms. */
-  patienceMs: () => number = () => FIRST_PATIENCE_MS;
+  answerTimeoutMs: () => number = () => INITIAL_ANSWER_TIMEOUT_MS;
 
-  constructor(parts: RelayedRowStoreParts) {
-    this.#parts = parts;
-    this.#direct = this.#newRoute();
-    parts.rpc.handle("callStore", (call) => this.#serve(call));
+  constructor(options: RelayedRowStoreOptions) {
+    this.#options = options;
+    this.#direct = this.#createRoute();
+    options.rpc.handle("callStore", (call) => this.#serveCall(call));
   }
 
   /** Whether this gateway's own connections to the store work, so that it may carry calls of others. */
   get isDirect(): boolean {
-    const { clock } = this.#parts;
-    const isAnswered = clock.monotonicMs() - this.#direct.lastAnswerMs < DIRECT_PROOF_MS;
-    return isAnswered && this.#direct.state === "usable";
+    const { clock } = this.#options;
+    const hasRecentAnswer = clock.monotonicMs() - this.#direct.lastAnswerMs < DIRECT_ANSWER_VALIDITY_MS;
+    return hasRecentAnswer && this.#direct.state === "usable";
   }
 
   /** A peer says whether its own connections to the store work. Where they do again, those of this gateway may, too. */
-  learnRelay(instance: string, isDirect: boolean): void {
+  updateRelay(instance: string, isDirect: boolean): void {
     if (!isDirect) this.#directPeers.delete(instance);
     else if (!this.#directPeers.has(instance)) {
       this.#directPeers.add(instance);
-      this.#direct.retrySoon();
+      this.#direct.endBackoff();
     }
   }
 
   /** Forgets a peer that is gone. */
-  forgetRelay(instance: string): void {
+  removeRelay(instance: string): void {
     this.#directPeers.delete(instance);
     this.#relayRoutes.delete(instance);
   }
@@ -117,10 +117,10 @@
     let refusal: StoreRefusal = { type: "refused", detail: "no route to the store works" };
     const tried = new Set<StoreRoute>();
     while (tried.size < MAX_ROUTES) {
-      const way = this.#choose(tried);
-      if (!way) break;
-      tried.add(way.route);
-      const outcome = await this.#attempt(way, call);
+      const candidate = this.#chooseRoute(tried);
+      if (!candidate) break;
+      tried.add(candidate.route);
+      const outcome = await this.#sendOver(candidate, call);
       if (outcome.type !== "refused") return outcome;
       refusal = outcome;
     }
@@ -128,50 +128,50 @@
   }
 
   /** The best route that a call has not tried yet; undefined when none lets it through. */
-  #choose(tried: ReadonlySet<StoreRoute>): Way | undefined {
-    const ways = this.#ways(tried).filter(({ route }) => !tried.has(route));
-    const usable = ways.find(({ route }) => route.state === "usable");
-    return usable ?? ways.find(({ route }) => route.state === "stalled");
+  #chooseRoute(tried: ReadonlySet<StoreRoute>): RouteCandidate | undefined {
+    const candidates = this.#candidates(tried).filter(({ route }) => !tried.has(route));
+    const usable = candidates.find(({ route }) => route.state === "usable");
+    return usable ?? candidates.find(({ route }) => route.state === "stalled");
   }
 
   /** This gateway's own connections first, then, unless those seem to work, peers, nearest first. */
-  #ways(tried: ReadonlySet<StoreRoute>): Way[] {
-    const ways: Way[] = [this.#directWay];
-    if (this.#direct.state === "usable" && !tried.has(this.#direct)) return ways;
+  #candidates(tried: ReadonlySet<StoreRoute>): RouteCandidate[] {
+    const candidates: RouteCandidate[] = [this.#directCandidate];
+    if (this.#direct.state === "usable" && !tried.has(this.#direct)) return candidates;
     for (const relay of this.relays())
-      ways.push({
+      candidates.push({
         route: this.#relayRoute(relay.instance),
-        attempt: (call) => this.#callPeer(relay, call),
+        send: (call) => this.#callPeer(relay, call),
         maxWaitMs: MAX_RELAYED_WAIT_MS,
       });
-    return ways;
+    return candidates;
   }
 
-  get #directWay(): Way {
+  get #directCandidate(): RouteCandidate {
     return {
       route: this.#direct,
-      attempt: (call) => this.#callDirectly(call),
+      send: (call) => this.#callDirectly(call),
       maxWaitMs: Number.POSITIVE_INFINITY,
     };
   }
 
-  async #attempt(way: Way, asked: StoreCall): Promise<StoreCallOutcome> {
-    const { route, attempt } = way;
-    const call = withBoundedWait(asked, way);
-    const counted = route.begin(call.type === "watch" && call.waitMs > 0);
-    const outcome = await attempt(call);
-    if (outcome.type === "refused" || outcome.type === "unknown") route.failed(counted);
-    else route.answered(counted);
-    if (route === this.#direct) this.#noteDirect(outcome);
+  async #sendOver(candidate: RouteCandidate, requestedCall: StoreCall): Promise<StoreCallOutcome> {
+    const { route, send } = candidate;
+    const call = withBoundedWait(requestedCall, candidate);
+    const routeCall = route.startCall(call.type === "watch" && call.waitMs > 0);
+    const outcome = await send(call);
+    if (outcome.type === "refused" || outcome.type === "unknown") route.recordFailure(routeCall);
+    else route.recordAnswer(routeCall);
+    if (route === this.#direct) this.#logDirectChange(outcome);
     return outcome;
   }
 
   /** One line each time that this gateway's own connections to the store fail, or work again. */
-  #noteDirect(outcome: StoreCallOutcome): void {
+  #logDirectChange(outcome: StoreCallOutcome): void {
     const isOpen = this.#direct.state === "open";
-    if (isOpen === this.#directWasOpen) return;
-    this.#directWasOpen = isOpen;
-    const { clock, log } = this.#parts;
+    if (isOpen === this.#wasDirectOpen) return;
+    this.#wasDirectOpen = isOpen;
+    const { clock, log } = this.#options;
     if (!isOpen) return log.info("own connections to the store work again");
     const answerAgeMs = Math.round(clock.monotonicMs() - this.#direct.lastAnswerMs);
     const detail = "detail" in outcome ? outcome.detail : outcome.type;
@@ -180,7 +180,7 @@
   }
 
   #callDirectly(call: StoreCall): Promise<StoreCallOutcome> {
-    const { direct } = this.#parts;
+    const { direct } = this.#options;
     switch (call.type) {
       case "transact":
         return direct.transact(call.transaction);
@@ -193,35 +193,35 @@
 
   async #callPeer(relay: StoreRelay, call: StoreCall): Promise<StoreCallOutcome> {
     const timeoutMs = RELAY_TIMEOUT_MS + (call.type === "watch" ? call.waitMs : 0);
-    const reply = await this.#parts.rpc.ask(relay.address, "callStore", call, timeoutMs);
-    if (reply.type === "done") return withBuffers(reply.body);
+    const reply = await this.#options.rpc.ask(relay.address, "callStore", call, timeoutMs);
+    if (reply.type === "done") return outcomeWithBuffers(reply.body);
     return { type: "unknown", detail: `the peer ${relay.instance} gave ${reply.type}` };
   }
 
   /** Makes a call for a peer: over this gateway's own connections only, so that calls do not go round in circles. */
-  async #serve(call: StoreCall): Promise<StoreCallOutcome> {
+  async #serveCall(call: StoreCall): Promise<StoreCallOutcome> {
     if (this.#direct.state === "open") return { type: "refused", detail: "the store refuses this peer, too" };
-    return this.#attempt(this.#directWay, callWithBuffers(call));
+    return this.#sendOver(this.#directCandidate, callWithBuffers(call));
   }
 
   #relayRoute(instance: string): StoreRoute {
     const known = this.#relayRoutes.get(instance);
     if (known) return known;
-    const route = this.#newRoute();
+    const route = this.#createRoute();
     this.#relayRoutes.set(instance, route);
     return route;
   }
 
-  #newRoute(): StoreRoute {
-    const { clock, random } = this.#parts;
-    return new StoreRoute(clock, random, () => this.patienceMs());
+  #createRoute(): StoreRoute {
+    const { clock, random } = this.#options;
+    return new StoreRoute(clock, random, () => this.answerTimeoutMs());
   }
 }
 
 /** Where a call has failed, one that is answered at once comes first: a wait would keep all others from trying. */
-function withBoundedWait(call: StoreCall, { route, maxWaitMs }: Way): StoreCall {
+function withBoundedWait(call: StoreCall, { route, maxWaitMs }: RouteCandidate): StoreCall {
   if (call.type !== "watch") return call;
-  return { ...call, waitMs: route.isProven ? Math.min(call.waitMs, maxWaitMs) : 0 };
+  return { ...call, waitMs: route.isHealthy ? Math.min(call.waitMs, maxWaitMs) : 0 };
 }
 
 /** Bytes arrive from peers as plain arrays of bytes. */
@@ -235,7 +235,7 @@
   return { ...call, transaction: { ...call.transaction, puts } };
 }
 
-function withBuffers(outcome: StoreCallOutcome): StoreCallOutcome {
+function outcomeWithBuffers(outcome: StoreCallOutcome): StoreCallOutcome {
   switch (outcome.type) {
     case "rows":
     case "conflict":
--- a/src/gateway/store/unreadable-rows.ts
+++ b/src/gateway/store/unreadable-row-reporter.ts
@@ -2,15 +2,15 @@
 import type { GatewayContext } from "../gateway-context.ts";
 
 /** Least time between two lines, in ms. */
-const LINE_MS = 10_000;
+const LOG_INTERVAL_MS = 10_000;
 
 /** See the module's comment. */
-export class UnreadableRows {
+export class UnreadableRowReporter {
   readonly #context: GatewayContext;
   readonly #table: string;
   #loggedAtMs = Number.NEGATIVE_INFINITY;
   /** Since the last line. */
-  #met = 0;
+  #unloggedCount = 0;
 
   constructor(context: GatewayContext, table: string) {
     this.#context = context;
@@ -18,14 +18,14 @@
   }
 
   /** A row of this key could not be read. */
-  note(key: string): void {
+  report(key: string): void {
     const { clock, log, metrics } = this.#context;
     metrics.rowUnreadable(this.#table);
-    this.#met += 1;
+    this.#unloggedCount += 1;
     const nowMs = clock.monotonicMs();
-    if (nowMs - this.#loggedAtMs < LINE_MS) return;
-    log.warn({ table: this.#table, key, times: this.#met }, "row cannot be read");
+    if (nowMs - this.#loggedAtMs < LOG_INTERVAL_MS) return;
+    log.warn({ table: this.#table, key, times: this.#unloggedCount }, "row cannot be read");
     this.#loggedAtMs = nowMs;
-    this.#met = 0;
+    this.#unloggedCount = 0;
   }
 }
--- a/test/contract/relayed-row-store.test.ts
+++ b/test/contract/relayed-row-store.test.ts
@@ -12,7 +12,7 @@
 import { RowStoreStandin } from "../../standins/platform/row-store-standin.ts";
 import { storeClient } from "./support/gateway-parts.ts";
 
-const NOBODY = "127.0.0.1:1";
+const UNREACHABLE_ADDRESS = "127.0.0.1:1";
 const VALUE = Buffer.from("value");
 const KEY = { table: "t", part: "p", key: "k" };
 const PUT: RowTransaction = { conditions: [], puts: [{ ...KEY, value: VALUE }], removes: [] };
@@ -46,15 +46,15 @@
 }
 
 describe("a store that a gateway reaches through peers", () => {
-  let near: Gateway;
-  let cut: Gateway;
+  let connected: Gateway;
+  let disconnected: Gateway;
 
   beforeEach(async () => {
     gateways = [];
     standin = new RowStoreStandin();
-    near = await startGateway("near#1", storeClient(await standin.listen()));
-    cut = await startGateway("cut#1", storeClient(NOBODY));
-    cut.store.relays = () => [relayOf(near)];
+    connected = await startGateway("near#1", storeClient(await standin.listen()));
+    disconnected = await startGateway("cut#1", storeClient(UNREACHABLE_ADDRESS));
+    disconnected.store.relays = () => [relayOf(connected)];
   });
   afterEach(async () => {
     standin.close();
@@ -62,25 +62,25 @@
   });
 
   it("writes, reads and watches through a peer, whose answers are those of the store", async () => {
-    const written = await cut.store.transact(PUT);
+    const written = await disconnected.store.transact(PUT);
     expect(written.type).toEqual("committed");
-    const read = await cut.store.read({ table: "t", part: "p" });
+    const read = await disconnected.store.read({ table: "t", part: "p" });
     expect(read.type === "rows" && read.rows.map(({ key, value }) => [key, value])).toEqual([["k", VALUE]]);
-    const watched = await cut.store.watch("t", 0, 100);
+    const watched = await disconnected.store.watch("t", 0, 100);
     expect(watched.type === "changes" && watched.changes.map(({ value }) => value)).toEqual([VALUE]);
   });
 
   it("gives a conflict with the rows that are there", async () => {
-    await cut.store.transact(PUT);
-    const outcome = await cut.store.transact({ ...PUT, conditions: [{ ...KEY, version: 0 }] });
+    await disconnected.store.transact(PUT);
+    const outcome = await disconnected.store.transact({ ...PUT, conditions: [{ ...KEY, version: 0 }] });
     expect(outcome.type === "conflict" && outcome.rows.map(({ value }) => value)).toEqual([VALUE]);
   });
 
   it("does not send a peer's calls on to a third", async () => {
-    near.store.relays = () => [relayOf(cut)];
+    connected.store.relays = () => [relayOf(disconnected)];
     standin.fault = "busy";
     for (let count = 0; count < 5; count += 1)
-      expect((await cut.store.transact(PUT)).type).toEqual("refused");
+      expect((await disconnected.store.transact(PUT)).type).toEqual("refused");
   });
 
   it("asks little of a store that refuses everybody", async () => {
@@ -89,7 +89,7 @@
     const untilMs = performance.now() + 1_000;
     const count = standin.counts;
     while (performance.now() < untilMs) {
-      await near.store.transact(PUT);
+      await connected.store.transact(PUT);
       calls += 1;
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
@@ -99,21 +99,21 @@
   });
 
   it("says that its own connections work once the store has answered", async () => {
-    expect(near.store.isDirect).toEqual(false);
-    await near.store.transact(PUT);
-    expect(near.store.isDirect).toEqual(true);
+    expect(connected.store.isDirect).toEqual(false);
+    await connected.store.transact(PUT);
+    expect(connected.store.isDirect).toEqual(true);
     standin.fault = "busy";
     // Refusals beside answers say nothing: they may concern some of the store's parts only.
-    await near.store.transact(PUT);
-    expect(near.store.isDirect).toEqual(true);
-    await delay(new SystemClock(), near.store.patienceMs());
-    for (let count = 0; count < 2; count += 1) await near.store.transact(PUT);
-    expect(near.store.isDirect).toEqual(false);
+    await connected.store.transact(PUT);
+    expect(connected.store.isDirect).toEqual(true);
+    await delay(new SystemClock(), connected.store.answerTimeoutMs());
+    for (let count = 0; count < 2; count += 1) await connected.store.transact(PUT);
+    expect(connected.store.isDirect).toEqual(false);
   });
 
   it("asks without a wait where a call has failed, and waits again once that is answered", async () => {
     const waits: number[] = [];
-    const direct: RowStore = storeClient(NOBODY);
+    const direct: RowStore = storeClient(UNREACHABLE_ADDRESS);
     direct.watch = async (_table, version, waitMs) => {
       waits.push(waitMs);
       return waits.length === 1 ? { type: "unknown", detail: "" } : { type: "changes", changes: [], version };
@@ -124,8 +124,8 @@
   });
 
   it("lets a peer wait for a short time only, so that its own connections are tried again soon", async () => {
-    const begunMs = performance.now();
-    expect((await cut.store.watch("t", 0, 5_000)).type).toEqual("changes");
-    expect(performance.now() - begunMs < 2_000).toEqual(true);
+    const startedMs = performance.now();
+    expect((await disconnected.store.watch("t", 0, 5_000)).type).toEqual("changes");
+    expect(performance.now() - startedMs < 2_000).toEqual(true);
   });
 });
