--- a/src/gateway/store/decode-record.ts
+++ b/src/gateway/store/decode-record.ts
@@ -1,9 +1,9 @@
 import { decode } from "cbor-x";
 
-/** The fields of a record as it was decoded, none of them checked. */
+/** The fields of a decoded record. Their types are not validated. */
 export type RecordFields = Readonly<Record<string, unknown>>;
 
-/** The record that bytes hold; undefined when they hold none. */
+/** Decodes a CBOR record. Returns undefined if the bytes are not valid CBOR or do not hold an object. */
 export function decodeRecord(value: Uint8Array): RecordFields | undefined {
   try {
     const decoded: unknown = decode(value);
--- a/src/gateway/store/relayed-row-store.ts
+++ b/src/gateway/store/relayed-row-store.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's store as this gateway reaches it: over its own connections or, where those fail, through a peer whose
- * connections work. A transaction is sent under the same conditions whoever sends it, so that fencing does not depend on
- * the route. When no route works, calls fail at once, and only some are let through to see whether the store is back.
+ * A client of the platform's store with failover. It uses this gateway's own connections or, if those fail, a peer
+ * whose connections work. A transaction has the same conditions on every route, so fencing does not depend on the
+ * route. When no route works, calls fail at once, and only a few are let through to probe whether the store is back.
  */
 import type { Logger } from "pino";
 import type {
@@ -20,27 +20,27 @@
 import type { StoreCall, StoreCallOutcome } from "./store-call.ts";
 import { StoreRoute } from "./store-route.ts";
 
-/** Longest wait for a call that a peer makes, in ms, beyond the time that the store itself waits for changes. */
+/** Timeout of a call through a peer, in ms. The time for which the store itself waits for changes is added to it. */
 const RELAY_TIMEOUT_MS = 1_000;
 /**
- * Longest wait for changes through a peer, in ms. That the peer has lost the store itself is noticed only when the wait is
- * given up, and this gateway's own connections are tried again only with the next call.
+ * Longest wait for changes through a peer, in ms. Only the end of the wait shows that the peer has lost the store
+ * itself, and only the next call tries this gateway's own connections again.
  */
 const MAX_RELAYED_WAIT_MS = 500;
-/** Most routes that one call tries when each refuses it. */
+/** Largest number of routes that one call tries if each of them refuses it. */
 const MAX_ROUTES = 3;
-/** How long an answer shows that this gateway's own connections work, in ms: longer than a wait for changes. */
+/** How long an answer proves that this gateway's own connections work, in ms. Longer than a wait for changes. */
 const DIRECT_ANSWER_VALIDITY_MS = 2_500;
-/** Until answers have shown how long they take, in ms. */
+/** Answer timeout until response times have been measured, in ms. */
 const INITIAL_ANSWER_TIMEOUT_MS = 250;
 
-/** A peer that may carry calls. */
+/** A peer that can make store calls for this gateway. */
 export interface StoreRelay {
   readonly instance: string;
   readonly address: string;
 }
 
-/** What the store's routes are made of. */
+/** Dependencies of a {@link RelayedRowStore}. */
 export interface RelayedRowStoreOptions {
   /** The store over this gateway's own connections. */
   readonly direct: RowStore;
@@ -55,22 +55,22 @@
 interface RouteCandidate {
   readonly route: StoreRoute;
   readonly send: SendCall;
-  /** Longest wait for changes on this way, in ms. */
+  /** Longest wait for changes on this route, in ms. */
   readonly maxWaitMs: number;
 }
 
-/** See the module's comment. */
+/** Chooses a route for each store call, and makes calls for peers. */
 export class RelayedRowStore implements RowStore {
   readonly #options: RelayedRowStoreOptions;
   readonly #direct: StoreRoute;
   /** Routes through peers, by instance. */
   readonly #relayRoutes = new Map<string, StoreRoute>();
-  /** Peers that say that their own connections to the store work. */
+  /** Peers that report that their own connections to the store work. */
   readonly #directPeers = new Set<string>();
   #wasDirectOpen = false;
-  /** Peers whose own connections to the store work, nearest first. */
+  /** Returns the peers whose own connections to the store work, nearest first. */
   relays: () => readonly StoreRelay[] = () => [];
-  /** How long answers of the store take at most, in ms. */
+  /** Returns how long answers of the store usually take at most, in ms. */
   answerTimeoutMs: () => number = () => INITIAL_ANSWER_TIMEOUT_MS;
 
   constructor(options: RelayedRowStoreOptions) {
@@ -79,14 +79,17 @@
     options.rpc.handle("callStore", (call) => this.#serveCall(call));
   }
 
-  /** Whether this gateway's own connections to the store work, so that it may carry calls of others. */
+  /** Whether this gateway's own connections to the store work, so that it can make calls for peers. */
   get isDirect(): boolean {
     const { clock } = this.#options;
     const hasRecentAnswer = clock.monotonicMs() - this.#direct.lastAnswerMs < DIRECT_ANSWER_VALIDITY_MS;
     return hasRecentAnswer && this.#direct.state === "usable";
   }
 
-  /** A peer says whether its own connections to the store work. Where they do again, those of this gateway may, too. */
+  /**
+   * Updates whether a peer's own connections to the store work. If they start to work, this gateway's own may work
+   * again too, so they are tried at once.
+   */
   updateRelay(instance: string, isDirect: boolean): void {
     if (!isDirect) this.#directPeers.delete(instance);
     else if (!this.#directPeers.has(instance)) {
@@ -95,7 +98,7 @@
     }
   }
 
-  /** Forgets a peer that is gone. */
+  /** Removes a peer that is gone. */
   removeRelay(instance: string): void {
     this.#directPeers.delete(instance);
     this.#relayRoutes.delete(instance);
@@ -127,14 +130,14 @@
     return refusal;
   }
 
-  /** The best route that a call has not tried yet; undefined when none lets it through. */
+  /** Returns the best route that a call has not tried yet; undefined if all of those are open. */
   #chooseRoute(tried: ReadonlySet<StoreRoute>): RouteCandidate | undefined {
     const candidates = this.#candidates(tried).filter(({ route }) => !tried.has(route));
     const usable = candidates.find(({ route }) => route.state === "usable");
     return usable ?? candidates.find(({ route }) => route.state === "stalled");
   }
 
-  /** This gateway's own connections first, then, unless those seem to work, peers, nearest first. */
+  /** Returns this gateway's own connections and, unless they are usable and untried, the peers, nearest first. */
   #candidates(tried: ReadonlySet<StoreRoute>): RouteCandidate[] {
     const candidates: RouteCandidate[] = [this.#directCandidate];
     if (this.#direct.state === "usable" && !tried.has(this.#direct)) return candidates;
@@ -166,7 +169,7 @@
     return outcome;
   }
 
-  /** One line each time that this gateway's own connections to the store fail, or work again. */
+  /** Logs when this gateway's own connections to the store start to fail and when they work again. */
   #logDirectChange(outcome: StoreCallOutcome): void {
     const isOpen = this.#direct.state === "open";
     if (isOpen === this.#wasDirectOpen) return;
@@ -198,7 +201,7 @@
     return { type: "unknown", detail: `the peer ${relay.instance} gave ${reply.type}` };
   }
 
-  /** Makes a call for a peer: over this gateway's own connections only, so that calls do not go round in circles. */
+  /** Makes a call for a peer. It uses only this gateway's own connections, so that calls can't loop between peers. */
   async #serveCall(call: StoreCall): Promise<StoreCallOutcome> {
     if (this.#direct.state === "open") return { type: "refused", detail: "the store refuses this peer, too" };
     return this.#sendOver(this.#directCandidate, callWithBuffers(call));
@@ -218,13 +221,16 @@
   }
 }
 
-/** Where a call has failed, one that is answered at once comes first: a wait would keep all others from trying. */
+/**
+ * Limits how long a watch waits for changes. After a failure on the route, it does not wait at all: an open breaker
+ * lets only one call through, and a long poll would block all others until it ends.
+ */
 function withBoundedWait(call: StoreCall, { route, maxWaitMs }: RouteCandidate): StoreCall {
   if (call.type !== "watch") return call;
   return { ...call, waitMs: route.isHealthy ? Math.min(call.waitMs, maxWaitMs) : 0 };
 }
 
-/** Bytes arrive from peers as plain arrays of bytes. */
+/** Wraps bytes received from a peer, which arrive as a plain `Uint8Array`. */
 function bufferOf(bytes: Uint8Array): Buffer {
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
--- a/src/gateway/store/store-call.ts
+++ b/src/gateway/store/store-call.ts
@@ -1,4 +1,4 @@
-/** A call to the platform's store, as one gateway asks another to make it. */
+/** Store calls that one gateway asks another to make for it. */
 import type {
   ReadOutcome,
   RowRange,
@@ -7,7 +7,7 @@
   WatchOutcome,
 } from "../../ports/store/row-store.ts";
 
-/** What is asked of the store. */
+/** A call to the platform's store. */
 export type StoreCall =
   | { readonly type: "transact"; readonly transaction: RowTransaction }
   | { readonly type: "read"; readonly range: RowRange }
@@ -19,12 +19,12 @@
       readonly waitMs: number;
     };
 
-/** How a call of each type ends. */
+/** Outcome of each type of call. */
 export interface StoreCallOutcomes {
   transact: TransactionOutcome;
   read: ReadOutcome;
   watch: WatchOutcome;
 }
 
-/** How a call ended. */
+/** Outcome of a call of any type. */
 export type StoreCallOutcome = StoreCallOutcomes[keyof StoreCallOutcomes];
--- a/src/gateway/store/store-route.ts
+++ b/src/gateway/store/store-route.ts
@@ -1,52 +1,54 @@
 /**
- * One way to the store, with a circuit breaker: this gateway's own connections, or a peer that carries calls. The
- * breaker opens after failures in a row, lets one call through after a backoff, and closes with the first answer.
+ * A route to the store with a circuit breaker. The route is either this gateway's own connections or a peer that relays
+ * calls. The breaker opens after consecutive failures, lets one probe through after a back-off and closes with the
+ * first answer.
  */
 import type { Clock } from "../../runtime/clock.ts";
 import type { RandomSource } from "../../runtime/random-source.ts";
 
-/** Failures in a row that open the breaker. One alone says little: the store also refuses single calls. */
+/** Consecutive failures that open the breaker. A single failure does not, since the store also refuses single calls. */
 const FAILURES_TO_OPEN = 2;
-/** First pause of an open breaker, in ms; doubles with each call that fails after a pause. */
+/** First back-off of an open breaker, in ms. It doubles with each call that fails after a back-off. */
 const FIRST_BACKOFF_MS = 150;
-/** Longest pause of an open breaker, in ms: what it takes at most to notice that the store is back. */
+/** Longest back-off of an open breaker, in ms. It bounds how long it takes to detect that the store is back. */
 const MAX_BACKOFF_MS = 1_000;
-/** Part of a pause that is drawn at random, so that gateways do not all ask at the same moment. */
+/** Largest random reduction of a back-off, as a fraction, so that gateways don't all retry at the same moment. */
 const MAX_JITTER_FRACTION = 0.5;
 
-/** Whether a call should take a route. */
+/** Whether a route should be used for a call. */
 export type StoreRouteState =
   | "usable"
-  /** Calls wait for longer than answers take, and nothing has been answered since they left. */
+  /** The oldest pending call has waited longer than the answer timeout, and no answer has arrived since it started. */
   | "stalled"
-  /** Calls have failed; the next one is let through after a pause. */
+  /** Calls have failed. The next one is let through after a back-off. */
   | "open";
 
-/** A call under way on a route. */
+/** A call in flight on a route. */
 export interface StoreRouteCall {
   readonly startedMs: number;
 }
 
-/** See the module's comment. */
+/** Tracks the calls on one route and derives its state from their results. */
 export class StoreRoute {
   readonly #clock: Clock;
   readonly #random: RandomSource;
   readonly #answerTimeoutMs: () => number;
-  /** Calls that wait for their answers, oldest first; long polls are not among them. */
+  /** Calls in flight, oldest first, without long polls. */
   readonly #pendingCalls = new Set<StoreRouteCall>();
   #consecutiveFailures = 0;
   #openUntilMs = Number.NEGATIVE_INFINITY;
+  /** The call that was let through to probe an open route, while it is in flight. */
   #probe: StoreRouteCall | undefined;
   #lastAnswerMs = Number.NEGATIVE_INFINITY;
 
-  /** @param answerTimeoutMs how long answers take at most, in ms, as observed lately */
+  /** @param answerTimeoutMs returns how long answers usually take at most, in ms, from recent response times */
   constructor(clock: Clock, random: RandomSource, answerTimeoutMs: () => number) {
     this.#clock = clock;
     this.#random = random;
     this.#answerTimeoutMs = answerTimeoutMs;
   }
 
-  /** When this route last gave an answer, in ms of the monotonic clock. */
+  /** Time of the last answer on this route on the monotonic clock, in ms. */
   get lastAnswerMs(): number {
     return this.#lastAnswerMs;
   }
@@ -56,12 +58,16 @@
     return this.#isStalled ? "stalled" : "usable";
   }
 
-  /** Whether nothing speaks against the route: no call has failed since its last answer. */
+  /** Whether no counted failure has happened since the last answer. */
   get isHealthy(): boolean {
     return this.#consecutiveFailures === 0;
   }
 
-  /** Counts a call that leaves on this route. @param isLongPoll whether the answer is meant to take long */
+  /**
+   * Records the start of a call on this route.
+   *
+   * @param isLongPoll whether the store may wait before it answers
+   */
   startCall(isLongPoll: boolean): StoreRouteCall {
     const call = { startedMs: this.#clock.monotonicMs() };
     if (!isLongPoll) this.#pendingCalls.add(call);
@@ -69,7 +75,7 @@
     return call;
   }
 
-  /** The store answered a call, whatever the answer. */
+  /** Records that the store answered a call, with whatever result. */
   recordAnswer(call: StoreRouteCall): void {
     this.#finish(call);
     this.#lastAnswerMs = this.#clock.monotonicMs();
@@ -77,12 +83,12 @@
     this.#openUntilMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** The store refused a call, or gave no answer. */
+  /** Records that the store refused a call or did not answer it. */
   recordFailure(call: StoreRouteCall): void {
     this.#finish(call);
-    // Calls that left before the last answer say nothing about the route as it is now.
+    // A call that started before the last answer does not show the current state of the route.
     if (call.startedMs < this.#lastAnswerMs) return;
-    // While others are answered, the route works: the store may refuse what concerns some of its parts.
+    // The route works while other calls are answered. The store may refuse calls for some of its parts only.
     if (this.#clock.monotonicMs() - this.#lastAnswerMs < this.#answerTimeoutMs()) return;
     this.#consecutiveFailures += 1;
     if (this.#consecutiveFailures < FAILURES_TO_OPEN) return;
@@ -92,7 +98,7 @@
     this.#openUntilMs = Math.max(this.#openUntilMs, this.#clock.monotonicMs() + jitteredMs);
   }
 
-  /** Lets the next call through at once: there is a sign that the route works again. */
+  /** Lets the next call through at once. Called when there is a sign that the route works again. */
   endBackoff(): void {
     this.#openUntilMs = Number.NEGATIVE_INFINITY;
   }
--- a/src/gateway/store/unreadable-row-reporter.ts
+++ b/src/gateway/store/unreadable-row-reporter.ts
@@ -1,15 +1,15 @@
-/** Notes rows of a table that can't be read: all count in the metrics, and one line of the log stands for many. */
+/** Reports rows of a table that can't be decoded. All are counted in the metrics; the log lines are rate-limited. */
 import type { GatewayContext } from "../gateway-context.ts";
 
-/** Least time between two lines, in ms. */
+/** Shortest time between two log lines, in ms. */
 const LOG_INTERVAL_MS = 10_000;
 
-/** See the module's comment. */
+/** Counts and logs the unreadable rows of one table. */
 export class UnreadableRowReporter {
   readonly #context: GatewayContext;
   readonly #table: string;
   #loggedAtMs = Number.NEGATIVE_INFINITY;
-  /** Since the last line. */
+  /** Unreadable rows since the last log line. */
   #unloggedCount = 0;
 
   constructor(context: GatewayContext, table: string) {
@@ -17,7 +17,7 @@
     this.#table = table;
   }
 
-  /** A row of this key could not be read. */
+  /** Reports that the row with this key can't be decoded. */
   report(key: string): void {
     const { clock, log, metrics } = this.#context;
     metrics.rowUnreadable(this.#table);
--- a/test/contract/relayed-row-store.test.ts
+++ b/test/contract/relayed-row-store.test.ts
@@ -1,4 +1,4 @@
-/** Calls to the store that a peer makes for a gateway that does not reach it, before the stand-in of the store. */
+/** Store calls that a peer makes for a gateway without working connections of its own, against the store's stand-in. */
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import { pino } from "pino";
@@ -25,7 +25,7 @@
 let standin: RowStoreStandin;
 let gateways: Gateway[];
 
-/** A gateway with its own connections to the store. */
+/** Starts a gateway with the given connections to the store. */
 async function startGateway(instance: string, direct: RowStore): Promise<Gateway> {
   const transport = await TcpTransport.listen<GatewayMessage>({ instance, address: "127.0.0.1:0" });
   const clock = new SystemClock();
@@ -45,15 +45,15 @@
   return { instance: self.instance, address: self.address };
 }
 
-describe("a store that a gateway reaches through peers", () => {
+describe("store reached through peers", () => {
   let connected: Gateway;
   let disconnected: Gateway;
 
   beforeEach(async () => {
     gateways = [];
     standin = new RowStoreStandin();
-    connected = await startGateway("near#1", storeClient(await standin.listen()));
-    disconnected = await startGateway("cut#1", storeClient(UNREACHABLE_ADDRESS));
+    connected = await startGateway("connected#1", storeClient(await standin.listen()));
+    disconnected = await startGateway("disconnected#1", storeClient(UNREACHABLE_ADDRESS));
     disconnected.store.relays = () => [relayOf(connected)];
   });
   afterEach(async () => {
@@ -61,7 +61,7 @@
     await Promise.all(gateways.map(({ transport }) => transport.close()));
   });
 
-  it("writes, reads and watches through a peer, whose answers are those of the store", async () => {
+  it("writes, reads and watches through a peer, with the store's own results", async () => {
     const written = await disconnected.store.transact(PUT);
     expect(written.type).toEqual("committed");
     const read = await disconnected.store.read({ table: "t", part: "p" });
@@ -70,20 +70,20 @@
     expect(watched.type === "changes" && watched.changes.map(({ value }) => value)).toEqual([VALUE]);
   });
 
-  it("gives a conflict with the rows that are there", async () => {
+  it("returns the existing rows with a conflict", async () => {
     await disconnected.store.transact(PUT);
     const outcome = await disconnected.store.transact({ ...PUT, conditions: [{ ...KEY, version: 0 }] });
     expect(outcome.type === "conflict" && outcome.rows.map(({ value }) => value)).toEqual([VALUE]);
   });
 
-  it("does not send a peer's calls on to a third", async () => {
+  it("does not relay a peer's calls to another peer", async () => {
     connected.store.relays = () => [relayOf(disconnected)];
     standin.fault = "busy";
     for (let count = 0; count < 5; count += 1)
       expect((await disconnected.store.transact(PUT)).type).toEqual("refused");
   });
 
-  it("asks little of a store that refuses everybody", async () => {
+  it("sends few calls to a store that refuses all of them", async () => {
     standin.fault = "busy";
     let calls = 0;
     const untilMs = performance.now() + 1_000;
@@ -98,12 +98,12 @@
     expect(standin.refused < 15).toEqual(true);
   });
 
-  it("says that its own connections work once the store has answered", async () => {
+  it("reports that its own connections work once the store has answered", async () => {
     expect(connected.store.isDirect).toEqual(false);
     await connected.store.transact(PUT);
     expect(connected.store.isDirect).toEqual(true);
     standin.fault = "busy";
-    // Refusals beside answers say nothing: they may concern some of the store's parts only.
+    // Refusals soon after an answer are ignored: they may concern only some of the store's parts.
     await connected.store.transact(PUT);
     expect(connected.store.isDirect).toEqual(true);
     await delay(new SystemClock(), connected.store.answerTimeoutMs());
@@ -111,7 +111,7 @@
     expect(connected.store.isDirect).toEqual(false);
   });
 
-  it("asks without a wait where a call has failed, and waits again once that is answered", async () => {
+  it("watches without a wait after a failed call, and waits again after the next answer", async () => {
     const waits: number[] = [];
     const direct: RowStore = storeClient(UNREACHABLE_ADDRESS);
     direct.watch = async (_table, version, waitMs) => {
@@ -123,7 +123,7 @@
     expect(waits).toEqual([1_000, 0, 1_000]);
   });
 
-  it("lets a peer wait for a short time only, so that its own connections are tried again soon", async () => {
+  it("limits the wait through a peer, so that its own connections are tried again soon", async () => {
     const startedMs = performance.now();
     expect((await disconnected.store.watch("t", 0, 5_000)).type).toEqual("changes");
     expect(performance.now() - startedMs < 2_000).toEqual(true);
--- a/test/contract/store-route.test.ts
+++ b/test/contract/store-route.test.ts
@@ -1,4 +1,4 @@
-/** The circuit breaker of one way to the store, on virtual time. */
+/** The circuit breaker of a route to the store, on virtual time. */
 import { beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import { SimulatedProcess, VirtualTime } from "../../bench/simulation/virtual-time.ts";
@@ -26,7 +26,7 @@
     expect(route.state).toEqual("usable");
   });
 
-  it("opens after two failures in a row, and lets one call through after a pause", async () => {
+  it("opens after two consecutive failures, and lets one call through after a back-off", async () => {
     failCalls(2);
     expect(route.state).toEqual("open");
     await time.runUntil(200);
@@ -37,7 +37,7 @@
     expect(route.state).toEqual("usable");
   });
 
-  it("pauses longer with each call that fails, and never longer than a second", async () => {
+  it("backs off longer with each failed call, and never longer than a second", async () => {
     failCalls(2);
     for (let count = 0; count < 10; count += 1) {
       await time.runUntil(time.nowMs + 1_000);
@@ -53,7 +53,7 @@
     expect(route.state).toEqual("usable");
   });
 
-  it("is stalled while a call waits for longer than answers take and nothing is answered", async () => {
+  it("is stalled while a call exceeds the answer timeout and nothing is answered", async () => {
     const call = route.startCall(false);
     await time.runUntil(ANSWER_TIMEOUT_MS + 1);
     expect(route.state).toEqual("stalled");
@@ -69,7 +69,7 @@
     expect(route.state).toEqual("usable");
   });
 
-  it("does not take a long poll for a stalled call", async () => {
+  it("does not count a long poll as a stalled call", async () => {
     route.startCall(true);
     await time.runUntil(2_000);
     expect(route.state).toEqual("usable");
@@ -87,7 +87,7 @@
     expect(route.state).toEqual("open");
   });
 
-  it("passes over failures of calls that left before the last answer", async () => {
+  it("ignores failures of calls that started before the last answer", async () => {
     const early = [route.startCall(false), route.startCall(false), route.startCall(false)];
     await time.runUntil(10);
     route.recordAnswer(route.startCall(false));
--- a/test/contract/turn-writer.test.ts
+++ b/test/contract/turn-writer.test.ts
@@ -246,7 +246,7 @@
     });
   }
 
-  it("are abandoned by in-flight and queued turns when they become unresponsive, and are used again later", async () => {
+  it("are abandoned when they become unresponsive, also by queued turns, and are used again later", async () => {
     const [first, ...behind] = turnsOfSamePart(5);
     if (!first) throw new Error("no turns");
     expect(await writer.write(first, content("first"), WRITE_TIMEOUT_MS)).toEqual(true);
@@ -422,7 +422,7 @@
     });
   }
 
-  it("asks the gateways if no part has the turn, and reports it missing only if they do not have it either", async () => {
+  it("asks the gateways if no part has the turn, and reports it as missing if they lack it too", async () => {
     expect(await lookUp(TURN_1)).toEqual("noSuchTurn");
     expect([readCounts(TURN_1), gatewayLookups]).toEqual([[1, 1, 1, 1], 1]);
     gatewayLookup = { type: "found", content: content("1") };
