--- a/src/gateway/partitions/owned-partition.ts
+++ b/src/gateway/partitions/owned-partition.ts
@@ -1,4 +1,4 @@
-/** One partition that this gateway owns: the accounts of its programs, and their retained turns. */
+/** A partition owned by this gateway: its programs' token accounts and their retained turns. */
 
 import type { RateHandOver } from "../../coordination/request-rate/index.ts";
 import { type StoredAccount, TokenAccount } from "../../coordination/token-account/index.ts";
@@ -19,85 +19,86 @@
 import { type HistoryOutcome, RetainedTurns } from "./retained-turns.ts";
 import type { TurnLookup } from "./turn-lookup.ts";
 
-/** What this gateway remembers of a program, beside its account. */
+/** In-memory state of a program. */
 interface ProgramState {
   readonly account: TokenAccount;
-  /** The runner of the last turn, by session; the empty text stands for the whole program. */
+  /** Runner of the last turn by session. The key {@link WHOLE_PROGRAM} holds the last turn of any session. */
   readonly runners: Map<string, RunnerId>;
-  /** Turns that an earlier owner left under way, and that may have ended without this one being told. */
+  /** Turns that a previous owner left in progress. They may have ended without this owner being notified. */
   readonly inherited: Set<RequestId>;
 }
 
-/** What the store has of the accounts of a partition's programs. */
+/** The accounts of a partition's programs as read from the store. */
 export interface StoredAccounts {
   readonly accounts: ReadonlyMap<ProgramId, StoredAccount>;
-  /** Programs whose rows can't be read. */
+  /** Programs whose account rows can't be decoded. */
   readonly unreadable: ReadonlySet<ProgramId>;
 }
 
 const WHOLE_PROGRAM = "";
 
-/** How much earlier than its asker gives up the owner says that a grant is not recorded yet, in ms. */
-const ANSWER_MS = 100;
+/** The owner reports an unrecorded grant this long before the requesting gateway times out, in ms. */
+const ANSWER_MARGIN_MS = 100;
 
-/** The partition has another owner now. */
+/** Result for a request to a partition that this gateway no longer owns. */
 export const MOVED = "moved";
 
-/** What an owned partition is made of. */
-export interface OwnedPartitionParts {
+/** Dependencies and identity of an {@link OwnedPartition}. */
+export interface OwnedPartitionOptions {
   readonly context: GatewayContext;
   readonly health: StoreHealth;
   readonly partition: number;
-  /** Version of the owner's row, as this owner wrote it. */
+  /** Version of the owner row that this owner wrote when it took over. */
   readonly epoch: number;
   readonly findTurn: (turn: RequestId) => Promise<TurnLookup>;
-  /** Called once when another owner has taken over. */
+  /** Called once when this gateway loses or releases the partition. */
   readonly onLost: () => void;
 }
 
-/** See the module's comment. */
+/** Admits turns, charges their tokens to the accounts and keeps recent retained turns in memory. */
 export class OwnedPartition {
   readonly partition: number;
   readonly epoch: number;
   readonly #context: GatewayContext;
   readonly #programs = new Map<ProgramId, ProgramState>();
-  /** Programs whose accounts can't be read: all of their budgets may be spent, and nothing is granted. */
+  /** Programs whose accounts can't be decoded. Their budgets may be used up, so no turn with a budget is granted. */
   readonly #unreadable: ReadonlySet<ProgramId>;
   readonly #turns: RetainedTurns;
   readonly #writer: PartitionWriter;
-  #releasing = false;
-
-  /** @param stored the accounts of the partition's programs, as the store has them */
-  constructor(parts: OwnedPartitionParts, stored: StoredAccounts) {
-    this.#context = parts.context;
-    this.partition = parts.partition;
-    this.epoch = parts.epoch;
-    this.#turns = new RetainedTurns(parts.context, () => parts.health.newestVersion, parts.findTurn);
-    this.#writer = new PartitionWriter(parts);
+  #isReleasing = false;
+
+  /** @param stored the accounts of the partition's programs as read from the store */
+  constructor(options: OwnedPartitionOptions, stored: StoredAccounts) {
+    this.#context = options.context;
+    this.partition = options.partition;
+    this.epoch = options.epoch;
+    this.#turns = new RetainedTurns(options.context, () => options.health.newestVersion, options.findTurn);
+    this.#writer = new PartitionWriter(options);
     this.#unreadable = stored.unreadable;
     for (const [program, account] of stored.accounts)
-      this.#remember(
+      this.#addProgram(
         program,
         new TokenAccount(account),
         account.open.map(([turn]) => turn as RequestId),
       );
   }
 
-  /** Answers whether a turn may run; see {@link AdmitTurnRequest}. */
+  /** Decides whether a turn may run; see {@link AdmitTurnRequest}. */
   async admit(request: AdmitTurnRequest): Promise<AdmitTurnResponse | typeof MOVED> {
-    if (this.#releasing) return MOVED;
+    if (this.#isReleasing) return MOVED;
     if (request.budget && this.#unreadable.has(request.program))
       return { type: "unavailable", detail: "the program's account cannot be read" };
-    const program = this.#program(request.program);
+    const program = this.#getOrAddProgram(request.program);
     let reserved = this.#reserve(program, request);
     if (reserved === "exhausted" && (await this.#settleInherited(program))) {
-      if (this.#releasing) return MOVED;
+      if (this.#isReleasing) return MOVED;
       reserved = this.#reserve(program, request);
     }
     if (reserved === "exhausted") return { type: "exhausted", spent: program.account.committed };
     const [recorded, history] = await Promise.all([reserved, this.#history(request)]);
     if (recorded === "lost") return MOVED;
-    // The turn stays under way until its asker tells its end: another ask for it may wait still, or have been granted.
+    // Keep the reservation until the turn is reported as ended: another request for the same turn may still be waiting
+    // or may have been granted.
     if (history.type !== "history") return history;
     if (recorded === "late")
       return { type: "unavailable", detail: "the store has not recorded the grant in time" };
@@ -106,33 +107,34 @@
     return { type: "granted", history: history.parts, runner };
   }
 
-  /** Records how a turn ended; see {@link EndTurnRequest}. */
+  /** Records the end of a turn; see {@link EndTurnRequest}. */
   end(request: EndTurnRequest): EndTurnResponse | typeof MOVED {
     const { turn, tokens, budget, retained, runner } = request;
-    if (this.#releasing) return MOVED;
-    const program = this.#program(request.program);
+    if (this.#isReleasing) return MOVED;
+    const program = this.#getOrAddProgram(request.program);
     const settled = budget !== undefined && program.account.settle(turn, tokens);
     if (runner !== undefined) {
       program.runners.set(request.session ?? WHOLE_PROGRAM, runner);
       program.runners.set(WHOLE_PROGRAM, runner);
     }
     if (settled) this.#replenish(program.account, request.program, budget);
-    if (retained) this.#turns.keep(turn, retained);
+    if (retained) this.#turns.cache(turn, retained);
     return { type: "ended" };
   }
 
-  /** A turn that is in memory here. */
-  turnInMemory(turn: RequestId): RetainedTurnContent | undefined {
-    return this.#turns.inMemory(turn);
+  /** Returns a retained turn from this partition's in-memory cache. */
+  cachedTurn(turn: RequestId): RetainedTurnContent | undefined {
+    return this.#turns.cached(turn);
   }
 
   /**
-   * Writes everything and releases the partition.
+   * Writes all changed accounts and releases the partition.
    *
-   * @param handOverRates gives what is left of tenants' limits; nothing is admitted here after it
+   * @param handOverRates returns the remaining rate limits of tenants; this gateway admits none of their requests after
+   *   the call
    */
   async release(handOverRates: () => RateHandOver | undefined): Promise<void> {
-    this.#releasing = true;
+    this.#isReleasing = true;
     const accounts = new Map<ProgramId, WritableAccount>();
     for (const [program, { account }] of this.#programs) {
       if (account.hasTokensAhead) accounts.set(program, releasedAccount(account));
@@ -140,22 +142,25 @@
     await this.#writer.release(accounts, handOverRates);
   }
 
-  /** Another owner has taken over. */
+  /** Stops writing, because another owner has taken over. */
   stop(): void {
     this.#writer.stop();
   }
 
-  #program(name: ProgramId): ProgramState {
-    return this.#programs.get(name) ?? this.#remember(name, new TokenAccount());
+  #getOrAddProgram(name: ProgramId): ProgramState {
+    return this.#programs.get(name) ?? this.#addProgram(name, new TokenAccount());
   }
 
-  #remember(name: ProgramId, account: TokenAccount, inherited: readonly RequestId[] = []): ProgramState {
+  #addProgram(name: ProgramId, account: TokenAccount, inherited: readonly RequestId[] = []): ProgramState {
     const program: ProgramState = { account, runners: new Map(), inherited: new Set(inherited) };
     this.#programs.set(name, program);
     return program;
   }
 
-  /** Reserves tokens for a turn. */
+  /**
+   * Reserves tokens for a turn. Resolves once the store has the reservation, or with `late` shortly before the
+   * requesting gateway times out.
+   */
   #reserve(program: ProgramState, request: AdmitTurnRequest): Promise<WriteOutcome | "late"> | "exhausted" {
     const { turn, budget } = request;
     if (!budget) return Promise.resolve("recorded");
@@ -164,20 +169,20 @@
     const grant = account.admit(turn, budget.most, budget.tokens, aheadTurns);
     if (grant.type === "exhausted") return "exhausted";
     if (account.isRevisionStored(grant.revision)) return Promise.resolve("recorded");
-    const waitMs = this.#context.settings.timing.ownerWaitMs - ANSWER_MS;
+    const waitMs = this.#context.settings.timing.ownerWaitMs - ANSWER_MARGIN_MS;
     const late = delay(this.#context.clock, waitMs).then(() => "late" as const);
     return Promise.race([this.#writer.writeAccount(request.program, account), late]);
   }
 
   /**
-   * Charges turns that an earlier owner left under way with what they used, where the store has kept their answers: nobody
-   * tells their end once the gateways that knew it are gone. Returns whether any was found.
+   * Charges turns left in progress by a previous owner with their actual usage, if they are retained. Their ends are
+   * never reported once the gateways that served them are gone. Returns whether any turn was charged.
    */
   async #settleInherited({ account, inherited }: ProgramState): Promise<boolean> {
     const turns = [...inherited];
     inherited.clear();
-    const kept = await Promise.all(turns.map((turn) => this.#turns.kept(turn)));
-    const settled = kept.map((content, index) => {
+    const contents = await Promise.all(turns.map((turn) => this.#turns.load(turn)));
+    const settled = contents.map((content, index) => {
       const turn = turns[index] as RequestId;
       return content?.tokens !== undefined && account.settle(turn, content.tokens);
     });
@@ -196,7 +201,7 @@
   }
 }
 
-/** An account as it is written at the end: with nothing reserved for turns to come. */
+/** Wraps an account so that its snapshots reserve nothing for future turns. Used when a partition is released. */
 function releasedAccount(account: TokenAccount): WritableAccount {
   return {
     revision: account.revision,
--- a/src/gateway/partitions/partition-writer.ts
+++ b/src/gateway/partitions/partition-writer.ts
@@ -1,7 +1,7 @@
 /**
- * Records a partition's accounts in the store, many at a time, one transaction after the other. Each transaction is fenced
- * by the one before: it changes the owner's row and demands the version that the last one left. A transaction without an
- * answer is sent again as it was; if it had been done, the owner's row says so.
+ * Writes a partition's accounts to the store in batches, one transaction at a time. Each transaction is fenced by the
+ * previous one: it changes the owner row, on condition that the row still has the version of the previous transaction.
+ * A transaction without a response is sent again unchanged. If it had been committed, the owner row shows it.
  */
 
 import type { RateHandOver } from "../../coordination/request-rate/index.ts";
@@ -16,80 +16,80 @@
   decodeOwner,
   encodeAccount,
   encodeOwner,
-  NOBODY,
+  NO_OWNER,
   type OwnerRow,
   ownerKey,
 } from "./partition-rows.ts";
 import { TransactionSender } from "./transaction-sender.ts";
 
-/** Rows in one transaction; the store takes 100 entries, the owner's row and its condition included. */
+/** Account rows in one transaction. The store accepts 100 entries, including the owner row and its condition. */
 const MAX_ROWS = 90;
-const RETRY_MS = 40;
-/** Pause between looks whether everything is written, before a partition is released, in ms. */
+const RETRY_DELAY_MS = 40;
+/** Interval at which a release checks whether all pending writes are done, in ms. */
 const RELEASE_POLL_MS = 5;
 
-/** What the writer needs of a program's account. */
+/** The operations of a program's account that the writer needs. */
 export interface WritableAccount {
   readonly revision: number;
   isRevisionStored(revision: number): boolean;
   snapshot(releaseAhead: boolean): AccountSnapshot;
-  /** The store has the snapshot. */
+  /** Records that the store has the snapshot. */
   markStored(snapshot: AccountSnapshot): void;
 }
 
-/** How a write ended. */
+/** Result of a write. */
 export type WriteOutcome =
-  /** A new owner of the partition finds it. */
+  /** The write is in the store, where a new owner of the partition finds it. */
   | "recorded"
-  /** Another owner has taken over. */
+  /** This gateway no longer owns the partition. */
   | "lost";
 
-/** Somebody waits until an account is recorded as it was at some revision. */
+/** A pending {@link PartitionWriter.writeAccount} call, waiting for a revision of an account to be stored. */
 interface Waiter {
   readonly account: WritableAccount;
   readonly revision: number;
   readonly settle: (outcome: WriteOutcome) => void;
 }
 
-/** A snapshot of an account, as it is on its way to the store. */
+/** An account snapshot that is part of the current transaction. */
 interface AccountWrite {
   readonly program: ProgramId;
   readonly account: WritableAccount;
   readonly snapshot: AccountSnapshot;
 }
 
-/** What a partition's writer is made of. */
-export interface PartitionWriterParts {
+/** Dependencies and identity of a {@link PartitionWriter}. */
+export interface PartitionWriterOptions {
   readonly context: GatewayContext;
   readonly health: StoreHealth;
   readonly partition: number;
-  /** Version of the owner's row, as this owner wrote it. */
+  /** Version of the owner row that this owner wrote when it took over. */
   readonly epoch: number;
-  /** Called once when another owner has taken over. */
+  /** Called once when this gateway loses or releases the partition. */
   readonly onLost: () => void;
 }
 
-/** See the module's comment. */
+/** Writes changed accounts until the partition is released or another owner takes over. */
 export class PartitionWriter {
-  readonly #parts: PartitionWriterParts;
+  readonly #options: PartitionWriterOptions;
   readonly #sender: TransactionSender;
-  /** Accounts that differ from what the store has. */
+  /** Accounts with changes that are not in the store. */
   readonly #dirty = new Map<ProgramId, WritableAccount>();
   readonly #waiters = new Set<Waiter>();
   #version: number;
   #commit = 0;
-  #running = false;
-  #lost = false;
+  #isWriting = false;
+  #isLost = false;
 
-  constructor(parts: PartitionWriterParts) {
-    this.#parts = parts;
-    this.#version = parts.epoch;
-    this.#sender = new TransactionSender(parts.context, parts.health);
+  constructor(options: PartitionWriterOptions) {
+    this.#options = options;
+    this.#version = options.epoch;
+    this.#sender = new TransactionSender(options.context, options.health);
   }
 
-  /** Resolves once the store has the account, as it is when the transaction leaves or later. */
+  /** Resolves once the store has the account's current revision or a later one. */
   writeAccount(program: ProgramId, account: WritableAccount): Promise<WriteOutcome> {
-    if (this.#lost) return Promise.resolve("lost");
+    if (this.#isLost) return Promise.resolve("lost");
     this.#dirty.set(program, account);
     const { revision } = account;
     return new Promise((settle) => {
@@ -99,9 +99,10 @@
   }
 
   /**
-   * Writes what is left, with nothing set aside any more, and releases the partition.
+   * Writes the remaining changes and the given accounts, and releases the partition.
    *
-   * @param handOverRates gives what is left of tenants' limits, once nothing else is to be written
+   * @param accounts accounts to be written with nothing reserved for future turns
+   * @param handOverRates returns the remaining rate limits of tenants; called after all other writes
    */
   async release(
     accounts: ReadonlyMap<ProgramId, WritableAccount>,
@@ -109,33 +110,33 @@
   ): Promise<void> {
     for (const [program, account] of accounts) this.#dirty.set(program, account);
     this.#startWriting();
-    while (this.#running) await delay(this.#parts.context.clock, RELEASE_POLL_MS);
-    if (this.#lost) return;
+    while (this.#isWriting) await delay(this.#options.context.clock, RELEASE_POLL_MS);
+    if (this.#isLost) return;
     const rates = handOverRates();
-    await this.#transact([], { instance: NOBODY, ...(rates ? { rates } : {}) });
-    this.#lose();
+    await this.#transact([], { instance: NO_OWNER, ...(rates ? { rates } : {}) });
+    this.#markLost();
   }
 
-  /** Another owner has taken over: nothing more is written. */
+  /** Stops all writes, because another owner has taken over. */
   stop(): void {
-    this.#lose();
+    this.#markLost();
   }
 
   #startWriting(): void {
-    if (!this.#running && !this.#lost) void this.#write();
+    if (!this.#isWriting && !this.#isLost) void this.#writeDirty();
   }
 
-  async #write(): Promise<void> {
-    this.#running = true;
-    // What the same turn of the event loop still brings goes along.
+  async #writeDirty(): Promise<void> {
+    this.#isWriting = true;
+    // Include accounts that are added in the same event loop turn.
     await Promise.resolve();
-    while (this.#dirty.size > 0 && !this.#lost) {
+    while (this.#dirty.size > 0 && !this.#isLost) {
       const writes = this.#takeDirty();
-      if (!(await this.#transact(writes, { instance: this.#parts.context.instance }))) break;
+      if (!(await this.#transact(writes, { instance: this.#options.context.instance }))) break;
       for (const { account, snapshot } of writes) account.markStored(snapshot);
       this.#settleRecorded();
     }
-    this.#running = false;
+    this.#isWriting = false;
   }
 
   #takeDirty(): AccountWrite[] {
@@ -148,21 +149,21 @@
     return writes;
   }
 
-  /** Answers those whose accounts are recorded as they were when they asked. */
+  /** Resolves the waiters whose awaited revisions are in the store. */
   #settleRecorded(): void {
     this.#settle(({ account, revision }) => account.isRevisionStored(revision), "recorded");
   }
 
-  #settle(isMeant: (waiter: Waiter) => boolean, outcome: WriteOutcome): void {
+  #settle(matches: (waiter: Waiter) => boolean, outcome: WriteOutcome): void {
     for (const waiter of this.#waiters) {
-      if (!isMeant(waiter)) continue;
+      if (!matches(waiter)) continue;
       this.#waiters.delete(waiter);
       waiter.settle(outcome);
     }
   }
 
   async #transact(writes: readonly AccountWrite[], row: Omit<OwnerRow, "commit">): Promise<boolean> {
-    const { context, partition } = this.#parts;
+    const { context, partition } = this.#options;
     this.#commit += 1;
     const key = ownerKey(partition);
     const owner = { ...row, commit: this.#commit };
@@ -171,35 +172,38 @@
       value: encodeAccount(snapshot.account),
     }));
     const puts = [...accounts, { ...key, value: encodeOwner(owner) }];
-    while (!this.#lost) {
+    while (!this.#isLost) {
       const conditions = [{ ...key, version: this.#version }];
       const outcome = await this.#sender.transact({ conditions, puts, removes: [] });
       if (outcome.type === "committed") {
         this.#version = outcome.version;
-        return !this.#lost;
+        return !this.#isLost;
       }
-      if (outcome.type === "conflict") return this.#afterConflict(outcome.rows, row.instance);
-      await delay(context.clock, RETRY_MS);
+      if (outcome.type === "conflict") return this.#resolveConflict(outcome.rows, row.instance);
+      await delay(context.clock, RETRY_DELAY_MS);
     }
     return false;
   }
 
-  /** The owner's row has changed: by an unanswered try of the same transaction, or by another owner. */
-  #afterConflict(rows: readonly StoredRow[], instance: string): boolean {
-    const row = rows.find((candidate) => candidate.table === ownerKey(this.#parts.partition).table);
+  /**
+   * Handles a changed owner row. Either an earlier attempt of the same transaction was committed without a response, or
+   * another owner has taken over.
+   */
+  #resolveConflict(rows: readonly StoredRow[], instance: string): boolean {
+    const row = rows.find((candidate) => candidate.table === ownerKey(this.#options.partition).table);
     const owner = row && decodeOwner(row.value);
     if (row && owner?.instance === instance && owner.commit === this.#commit) {
       this.#version = row.version;
-      return !this.#lost;
+      return !this.#isLost;
     }
-    this.#lose();
+    this.#markLost();
     return false;
   }
 
-  #lose(): void {
-    if (this.#lost) return;
-    this.#lost = true;
+  #markLost(): void {
+    if (this.#isLost) return;
+    this.#isLost = true;
     this.#settle(() => true, "lost");
-    this.#parts.onLost();
+    this.#options.onLost();
   }
 }
--- a/src/gateway/partitions/turn-writer.ts
+++ b/src/gateway/partitions/turn-writer.ts
@@ -1,85 +1,88 @@
 /**
- * Writes retained turns, those of one part of the store together, one transaction of a part after the other. A turn goes
- * to the first of its parts that is not known to be silent; when that falls silent, to the next as well, and counts as
- * written with the first that commits. A turn's rows never change once they are there, so that they need no fence:
- * whoever writes them, however late, and in however many parts, writes the same.
+ * Writes retained turns to the store. Turns for the same part of the store are batched, with one transaction per part
+ * at a time. A turn is queued for the first of its parts that is not unresponsive. If that part becomes unresponsive,
+ * the turn is also queued for the next one, and it is written as soon as one part commits it. A turn's rows never
+ * change, so their writes need no fencing: late or repeated writes, to any number of parts, all write the same content.
  */
 import type { RequestId } from "../../scheduling/ids/request-id.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RetainedTurnContent } from "../gateway-messages.ts";
-import { PartBeliefLog } from "./part-belief-log.ts";
-import { type PartBelief, PartQueue } from "./part-queue.ts";
 import { PendingTurn } from "./pending-turn.ts";
+import { SlowCallThreshold } from "./slow-call-threshold.ts";
+import { StorePartLog } from "./store-part-log.ts";
+import { StorePartQueue, type StorePartState } from "./store-part-queue.ts";
 import type { TransactionSender } from "./transaction-sender.ts";
 import { turnParts, turnRows } from "./turn-rows.ts";
-import { UsualTime } from "./usual-time.ts";
 
-/** See the module's comment. */
+/** Distributes turns over the queues of the store's parts. */
 export class TurnWriter {
   readonly #context: GatewayContext;
   readonly #sender: TransactionSender;
-  readonly #beliefLog: PartBeliefLog;
-  /** How long transactions of turns take, in whichever part. */
-  readonly #usualTime = new UsualTime();
-  /** By part. A part for which nothing waits and nothing is under way has no entry. */
-  readonly #queues = new Map<string, PartQueue>();
+  readonly #partLog: StorePartLog;
+  /** Time after which a transaction of turns is unusually slow, over all parts. */
+  readonly #slowWriteThreshold = new SlowCallThreshold();
+  /** Queues by part. A part without queued or in-flight turns has no entry. */
+  readonly #queues = new Map<string, StorePartQueue>();
 
   constructor(context: GatewayContext, sender: TransactionSender) {
     this.#context = context;
     this.#sender = sender;
-    this.#beliefLog = new PartBeliefLog(context);
+    this.#partLog = new StorePartLog(context);
   }
 
-  /** Resolves with true once the turn is in the store; with false when that took longer than `patienceMs`. */
-  write(turn: RequestId, content: RetainedTurnContent, patienceMs: number): Promise<boolean> {
+  /** Resolves with true once the turn is in the store, or with false if that takes longer than `timeoutMs`. */
+  write(turn: RequestId, content: RetainedTurnContent, timeoutMs: number): Promise<boolean> {
     const { clock, hash, settings } = this.#context;
     const parts = turnParts(turn, settings.turnParts, hash);
     const rows = turnRows(turn, content, parts[0] ?? "");
-    const untilMs = clock.monotonicMs() + patienceMs;
-    return new Promise((settle) => this.#place(new PendingTurn(parts, rows, untilMs, settle)));
+    const deadlineMs = clock.monotonicMs() + timeoutMs;
+    return new Promise((settle) => this.#enqueue(new PendingTurn(parts, rows, deadlineMs, settle)));
   }
 
-  /** Has a turn wait at a part that is believed to answer; at all of its parts when there is none. */
-  #place(turn: PendingTurn): void {
-    if (Array.from(turn.waitsAt).some((part) => !this.#isSilent(part))) return;
-    const next = turn.parts.find((part) => !this.#isSilent(part));
+  /** Queues a turn for its first part that is not unresponsive, or for all of its parts if there is none. */
+  #enqueue(turn: PendingTurn): void {
+    if (Array.from(turn.queuedParts).some((part) => !this.#isUnresponsive(part))) return;
+    const next = turn.parts.find((part) => !this.#isUnresponsive(part));
     for (const part of next === undefined ? turn.parts : [next]) {
-      if (turn.waitsAt.has(part)) continue;
-      turn.waitAt(part);
+      if (turn.queuedParts.has(part)) continue;
+      turn.addQueuedPart(part);
       this.#queueOf(part).add(turn);
     }
   }
 
-  #isSilent(part: string): boolean {
-    return this.#queues.get(part)?.isSilent ?? false;
+  #isUnresponsive(part: string): boolean {
+    return this.#queues.get(part)?.isUnresponsive ?? false;
   }
 
-  #queueOf(part: string): PartQueue {
+  #queueOf(part: string): StorePartQueue {
     const known = this.#queues.get(part);
     if (known) return known;
-    const queue: PartQueue = new PartQueue({
+    const queue: StorePartQueue = new StorePartQueue({
       context: this.#context,
       sender: this.#sender,
-      usualTime: this.#usualTime,
+      slowCallThreshold: this.#slowWriteThreshold,
       part,
-      onBelief: (belief, silentMs) => this.#changed(queue, { part, belief, silentMs }),
-      onWritten: (turns) => this.#written(turns),
+      onStateChange: (state, silentMs) => this.#onStateChange(queue, { part, state, silentMs }),
+      onWritten: (turns) => this.#onWritten(turns),
       onIdle: () => this.#queues.delete(part),
     });
     this.#queues.set(part, queue);
     return queue;
   }
 
-  #changed(queue: PartQueue, change: { part: string; belief: PartBelief; silentMs: number }): void {
+  #onStateChange(
+    queue: StorePartQueue,
+    change: { part: string; state: StorePartState; silentMs: number },
+  ): void {
     const turns = queue.unwritten;
-    this.#beliefLog.note({ ...change, waiting: turns.length });
-    if (change.belief === "silent") for (const turn of turns) this.#place(turn);
+    this.#partLog.record({ ...change, waiting: turns.length });
+    if (change.state === "unresponsive") for (const turn of turns) this.#enqueue(turn);
   }
 
-  #written(turns: readonly PendingTurn[]): void {
+  #onWritten(turns: readonly PendingTurn[]): void {
     for (const turn of turns) {
-      turn.written();
-      for (const part of turn.waitsAt) this.#queues.get(part)?.remove(turn);
+      turn.markWritten();
+      for (const part of turn.queuedParts) this.#queues.get(part)?.remove(turn);
     }
   }
 }
--- a/src/gateway/rates/rate-host.ts
+++ b/src/gateway/rates/rate-host.ts
@@ -105,12 +105,12 @@
     const { grounds, start } = this.#startFor(ownership);
     const ledger = new RateLimiter(this.#tolerance, start);
     this.#logStart(partition, epoch, grounds);
-    const created = { epoch, ledger, previousOwner: ownership.rival, isClosed: false };
+    const created = { epoch, ledger, previousOwner: ownership.unreleasedOwner, isClosed: false };
     this.#ledgers.set(partition, created);
     return created;
   }
 
-  #startFor({ isReleased, rates, rival, takenOverAtMs }: PartitionOwnership): LedgerStart {
+  #startFor({ isReleased, rates, unreleasedOwner: rival, takenOverAtMs }: PartitionOwnership): LedgerStart {
     if (rates) return { grounds: "handed over", start: RateLimiter.stateFromHandOver(rates, takenOverAtMs) };
     if (isReleased) return { grounds: "released", start: RateLimiter.stateWithoutHandOver(takenOverAtMs) };
     if (rival === undefined) return { grounds: "first", start: RateLimiter.firstOwnerState() };
--- a/test/contract/spoilt-rows.test.ts
+++ b/test/contract/corrupt-rows.test.ts
@@ -1,4 +1,8 @@
-/** Rows of the gateways' own that somebody has spoilt: they name nobody, and nothing is granted from them. */
+/**
+ * Corrupt rows in the gateways' own tables: they name no owner or gateway, no tokens are granted from them, and a
+ * corrupt configuration does not come into force.
+ */
+
 import { afterEach, describe, it } from "node:test";
 import { encode } from "cbor-x";
 import { expect } from "earl";
@@ -15,7 +19,7 @@
   encodeAccount,
   ownerKey,
 } from "../../src/gateway/partitions/partition-rows.ts";
-import { turnOf } from "../../src/gateway/partitions/turn-rows.ts";
+import { decodeTurn } from "../../src/gateway/partitions/turn-rows.ts";
 import { StoreHealth } from "../../src/gateway/store-health.ts";
 import type { RowKey } from "../../src/ports/store/row-store.ts";
 import { delay } from "../../src/runtime/clock.ts";
@@ -29,38 +33,38 @@
 const ACCOUNT = { settled: 40, ahead: 20, open: [["turn", 10]] } as const;
 const TURN = "turn" as RequestId;
 const CONTENT = { previousTurn: undefined, input: Buffer.from("in"), output: Buffer.from("out"), tokens: 3 };
-/** How long keys are trusted after a proof that the configuration is the newest, in ms. */
+/** How long API keys are trusted after the configuration was confirmed as the newest, in ms. */
 const TRUST_MS = 1_500;
-const [SPOILT, WHOLE] = ["spoilt", "whole"] as [ProgramId, ProgramId];
+const [CORRUPT, VALID] = ["corrupt", "valid"] as [ProgramId, ProgramId];
 
-/** The row of the turn with this value. */
-const turnIn = (value: Uint8Array) =>
-  turnOf(TURN, [{ table: "turns", part: "t0", key: TURN, value: Buffer.from(value), version: 1 }]);
+/** Decodes a turn whose only row has this value. */
+const decodeTurnRow = (value: Uint8Array) =>
+  decodeTurn(TURN, [{ table: "turns", part: "t0", key: TURN, value: Buffer.from(value), version: 1 }]);
 
-/** Each kind of row: a whole value, how it is read, and what says that it can't be. */
-const ROWS: [what: string, whole: object, read: (value: Buffer) => unknown, none: unknown][] = [
+/** For each kind of row: a valid value, its decoder, and the decoder's result for a corrupt row. */
+const ROWS: [what: string, whole: object, read: (value: Buffer) => unknown, unreadable: unknown][] = [
   ["owner", OWNER, decodeOwner, undefined],
   ["account", ACCOUNT, decodeAccount, undefined],
-  ["turn", CONTENT, turnIn, "unreadable"],
+  ["turn", CONTENT, decodeTurnRow, "unreadable"],
 ];
 
-describe("rows of gateways that somebody has spoilt", () => {
-  for (const [what, whole, read, none] of ROWS) {
-    it(`are no ${what}, whatever their bytes, and a whole one is`, () => {
+describe("corrupt rows of gateways", () => {
+  for (const [what, whole, read, unreadable] of ROWS) {
+    it(`are rejected as ${what} rows whatever their bytes, and a valid one is accepted`, () => {
       const bytes = encode(whole);
       expect(read(bytes) as object).toLooseEqual(whole);
       const cut = fc.nat(bytes.length - 1).map((length) => bytes.subarray(0, length));
       const other = fc.uint8Array().map((some) => Buffer.from(some));
       const value = fc.jsonValue().map((json) => encode(json));
-      fc.assert(fc.property(fc.oneof(cut, other, value), (some) => expect(read(some)).toEqual(none)));
+      fc.assert(fc.property(fc.oneof(cut, other, value), (some) => expect(read(some)).toEqual(unreadable)));
     });
 
-    it(`are no ${what} with a field of another type`, () => {
+    it(`are rejected as ${what} rows if a field has the wrong type`, () => {
       const field = fc.constantFrom(...Object.keys(whole));
       const wrong = fc.constantFrom<unknown>(null, true, {}, [[1]], [["name"]], [["name", "1"]], Number.NaN);
       fc.assert(
         fc.property(field, wrong, (name, value) => {
-          expect(read(encode({ ...whole, [name]: value }))).toEqual(none);
+          expect(read(encode({ ...whole, [name]: value }))).toEqual(unreadable);
         }),
       );
     });
@@ -83,12 +87,12 @@
     tick: () => undefined,
   };
 
-  it("are taken over like those of an owner that may live on, and nothing is granted from an account", async () => {
+  it("count as rows of an owner that may be alive, and grant nothing from an account", async () => {
     const { context, put } = await start();
     const partition = 0;
     await put(ownerKey(partition), Buffer.from([0xff]));
-    await put(accountKey(partition, SPOILT), Buffer.from([0x01]));
-    await put(accountKey(partition, WHOLE), encodeAccount(ACCOUNT));
+    await put(accountKey(partition, CORRUPT), Buffer.from([0x01]));
+    await put(accountKey(partition, VALID), encodeAccount(ACCOUNT));
     type Admit = (request: object) => Promise<GatewayRpcSchema["admitTurn"]["response"]>;
     const handlers = new Map<string, Admit>();
     const rpc = { handle: (name: string, handler: Admit) => handlers.set(name, handler) };
@@ -101,16 +105,16 @@
     host.start();
     while (host.owned.length < context.settings.partitions) await delay(context.clock, 20);
     expect(host.ownership(partition)?.isReleased).toEqual(false);
-    expect(host.ownership(partition)?.rival !== undefined).toEqual(true);
+    expect(host.ownership(partition)?.unreleasedOwner !== undefined).toEqual(true);
     const admit = (program: ProgramId, tokens: number) =>
       handlers.get("admitTurn")?.({ partition, program, turn: `of-${program}`, budget: { tokens, most: 5 } });
-    expect((await admit(SPOILT, 1_000_000))?.type).toEqual("unavailable");
-    expect((await admit(WHOLE, 74))?.type).toEqual("exhausted");
-    expect((await admit(WHOLE, 1_000))?.type).toEqual("granted");
+    expect((await admit(CORRUPT, 1_000_000))?.type).toEqual("unavailable");
+    expect((await admit(VALID, 74))?.type).toEqual("exhausted");
+    expect((await admit(VALID, 1_000))?.type).toEqual("granted");
     await host.release();
   });
 
-  it("neither hide other gateways nor end the search for them", async () => {
+  it("neither hide other gateways nor stop discovery", async () => {
     const { context, put } = await start();
     const key = (name: string) => ({ table: "gateways", part: "", key: name });
     const writtenWallMs = context.clock.wallMs();
@@ -131,7 +135,7 @@
     registry.stop();
   });
 
-  it("leave the configuration before in force, and keys untrusted", async () => {
+  it("leave the previous configuration in force and keys untrusted", async () => {
     const { context, put } = await start();
     const settings = { ...context.settings, keys: { revokeMs: TRUST_MS + 1_000 } };
     const watch = new RoutingWatch({ ...context, settings }, new StoreHealth(context));
