--- a/bench/mutations/place-mutations.ts
+++ b/bench/mutations/place-mutations.ts
@@ -11,9 +11,9 @@
     name: "places: a lease takes up no place",
     edits: [
       {
-        file: "src/scheduling/place-queue/lease-book.ts",
-        from: "use.leases += sign;",
-        to: "use.leases += 0 * sign;",
+        file: "src/scheduling/place-queue/lease-table.ts",
+        from: "usage.leases += sign;",
+        to: "usage.leases += 0 * sign;",
       },
     ],
     script: FLEET,
@@ -25,8 +25,8 @@
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
-        from: "if (nowMs >= lease.endsAtMs) this.#end",
-        to: "if (nowMs >= lease.endsAtMs * 1e6) this.#end",
+        from: "if (nowMs >= lease.endsAtMs) this.#endLease",
+        to: "if (nowMs >= lease.endsAtMs * 1e6) this.#endLease",
       },
     ],
     script: DISPATCHER,
@@ -51,8 +51,8 @@
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
-        from: "> this.#learningMs) this.#room.inherit(nowMs);",
-        to: "> 1e9) this.#room.inherit(nowMs);",
+        from: "> this.#maxReportAgeMs) this.#capacityTracker.recordInitialLoads(nowMs);",
+        to: "> 1e9) this.#capacityTracker.recordInitialLoads(nowMs);",
       },
     ],
     script: DISPATCHER,
@@ -64,8 +64,8 @@
     edits: [
       {
         file: "src/scheduling/place-queue/tenant-shares.ts",
-        from: "const share = this.#shares.get(tenant) ?? this.#add(tenant);",
-        to: "const share = this.#shares.get(undefined) ?? this.#add(undefined && tenant);",
+        from: "const share = this.#shares.get(tenant) ?? this.#addTenant(tenant);",
+        to: "const share = this.#shares.get(undefined) ?? this.#addTenant(undefined && tenant);",
       },
     ],
     script: LOAD,
@@ -77,8 +77,8 @@
     edits: [
       {
         file: "src/scheduling/place-queue/aged-rank.ts",
-        from: "const AGING_MS = 50;",
-        to: "const AGING_MS = 50_000;",
+        from: "const AGING_STEP_MS = 50;",
+        to: "const AGING_STEP_MS = 50_000;",
       },
     ],
     script: DISPATCHER,
@@ -90,8 +90,8 @@
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
-        from: "return timeForMs(Math.max(0, ahead + 1 - room.free), room);",
-        to: "return 0 * ahead + timeForMs(0, room);",
+        from: "return timeToFreeMs(Math.max(0, ahead + 1 - capacity.free), capacity);",
+        to: "return 0 * ahead + timeToFreeMs(0, capacity);",
       },
     ],
     script: LOAD,
--- a/src/gateway/places/board-group.ts
+++ b/src/gateway/places/board-group.ts
@@ -23,7 +23,7 @@
     return this.#parts.groups.of(this.#pool)[this.#index]?.runners ?? [];
   }
 
-  override unplaced(runner: RunnerId): number {
+  override undispatched(runner: RunnerId): number {
     return this.#parts.board.unplaced(runner);
   }
 
@@ -31,8 +31,8 @@
     return this.#parts.board.load(runner);
   }
 
-  override usualMs(leastCalls: number): number | undefined {
-    return this.#parts.board.usualMs(this.#pool, leastCalls);
+  override averageCallMs(minCalls: number): number | undefined {
+    return this.#parts.board.usualMs(this.#pool, minCalls);
   }
 
   override get memoryTokens(): number | undefined {
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -7,9 +7,9 @@
 import type { RpcReply } from "../../runtime/rpc.ts";
 import type { Sender } from "../../runtime/transport.ts";
 import {
-  forecastAlone,
-  LEAST_CALLS,
+  forecastFromLocalLoad,
   longestWaitMs,
+  MIN_CALLS_FOR_AVERAGE,
   type PlaceCall,
   type PlaceDecision,
   type PlaceForecast,
@@ -287,7 +287,7 @@
   #refusalAlone(asker: PlaceAsker): PlaceRefused | undefined {
     const { board, context } = this.#parts;
     const pool = asker.pool.name;
-    const forecast = forecastAlone(board.poolLoad(pool), board.usualMs(pool, LEAST_CALLS));
+    const forecast = forecastFromLocalLoad(board.poolLoad(pool), board.usualMs(pool, MIN_CALLS_FOR_AVERAGE));
     const tooLongMs = forecast.expectedMs - longestWaitMs(asker.describe(), forecast.holdingMs);
     if (forecast.expectedMs === 0 || tooLongMs <= 0) return undefined;
     const soonestMs = Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, tooLongMs));
--- a/src/gateway/places/place-host.ts
+++ b/src/gateway/places/place-host.ts
@@ -55,7 +55,7 @@
   onReturned({ returned, withdrawn = [] }: ReturnPlaces): void {
     const nowMs = this.#nowMs;
     for (const group of this.#groups.values()) {
-      for (const place of returned) group.dispatcher.giveBack(place, nowMs);
+      for (const place of returned) group.dispatcher.release(place, nowMs);
       for (const request of withdrawn) group.dispatcher.withdraw(request, nowMs);
       this.#settle(group);
     }
@@ -75,7 +75,7 @@
     const hosted = this.#hosted(pool, group);
     hosted.askedAtMs = this.#nowMs;
     this.#addresses.set(instance, address);
-    const decision = hosted.dispatcher.ask(call, instance, this.#nowMs);
+    const decision = hosted.dispatcher.requestPlace(call, instance, this.#nowMs);
     if (decision.type === "queued") this.#tickSoon();
     return decision;
   }
@@ -90,7 +90,7 @@
       group: new BoardGroup(this.#parts, pool, index),
       weightOf: (tenant) => this.#parts.weights.of(tenant),
       firstLease: LEASE_BLOCK * random.below(LEASE_BLOCKS),
-      learningMs: LEARNED_HEARTBEATS * settings.timing.heartbeatMs,
+      maxReportAgeMs: LEARNED_HEARTBEATS * settings.timing.heartbeatMs,
     });
     const begun = { pool, index, dispatcher, askedAtMs: nowMs, loggedAtMs: nowMs };
     this.#groups.set(key, begun);
@@ -128,7 +128,7 @@
     this.#parts.board.dropStale(nowMs);
     for (const [key, group] of this.#groups) {
       const { pool, index, dispatcher, askedAtMs } = group;
-      dispatcher.endLeases(nowMs);
+      dispatcher.expireLeases(nowMs);
       const isIdle = dispatcher.waiting === 0 && nowMs - askedAtMs > IDLE_MS;
       if (isIdle || !this.#parts.dispatchers.isSelf(pool, index)) {
         this.#letGo(key, group);
@@ -138,7 +138,7 @@
       const { leased, waiting } = dispatcher;
       if (waiting > 0) this.#logQueue(group);
       this.#context.metrics.dispatched(pool, index, {
-        places: dispatcher.room(nowMs).places,
+        places: dispatcher.capacity(nowMs).places,
         leased,
         waiting,
       });
@@ -151,7 +151,7 @@
     if (nowMs - group.loggedAtMs < LOG_EVERY_MS) return;
     group.loggedAtMs = nowMs;
     const { pool, index, dispatcher } = group;
-    const { places, free, placedByOthers, paused } = dispatcher.room(nowMs);
+    const { places, free, placedByOthers, paused } = dispatcher.capacity(nowMs);
     const { leased, waiting } = dispatcher;
     const state = { pool, group: index, places, free, leased, placedByOthers, paused, waiting };
     this.#context.log.info(state, "calls wait for places");
--- a/src/gateway/places/place-verdict.ts
+++ b/src/gateway/places/place-verdict.ts
@@ -1,10 +1,10 @@
-import type { PlaceRefusal } from "../../scheduling/place-queue/index.ts";
+import type { PlaceRefusalReason } from "../../scheduling/place-queue/index.ts";
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
 import type { HeldPlace } from "./held-place.ts";
 
 /** What has become of a call's question for a place. */
 export type PlaceVerdict =
   | { readonly type: "granted"; readonly runner: RunnerEntry; readonly place: HeldPlace }
-  | { readonly type: "refused"; readonly retryAfterMs: number; readonly reason: PlaceRefusal }
+  | { readonly type: "refused"; readonly retryAfterMs: number; readonly reason: PlaceRefusalReason }
   /** No dispatcher can be asked: this gateway chooses the runner by its own board. */
   | { readonly type: "alone" };
--- a/src/scheduling/place-queue/goes-before.ts
+++ b/src/scheduling/place-queue/goes-before.ts
@@ -1,5 +1,5 @@
 import { agedRank } from "./aged-rank.ts";
-import { goesBeforeAmongOwn } from "./goes-before-among-own.ts";
+import { goesBeforeWithinTenant } from "./goes-before-within-tenant.ts";
 import type { WaitingCall } from "./waiting-call.ts";
 
 /** Whether a call goes before another one, of any tenant. */
@@ -9,5 +9,5 @@
   if (leftRank !== rightRank) return leftRank < rightRank;
   if (left.share !== right.share && left.share.usedMs !== right.share.usedMs)
     return left.share.usedMs < right.share.usedMs;
-  return goesBeforeAmongOwn(left, right, nowMs);
+  return goesBeforeWithinTenant(left, right, nowMs);
 }
--- a/src/scheduling/place-queue/lease-book.ts
+++ b/src/scheduling/place-queue/lease-table.ts
@@ -2,18 +2,18 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { Lease } from "./lease.ts";
 
-interface RunnerUse {
+interface RunnerUsage {
   leases: number;
   tokens: number;
   grantedAtSumMs: number;
 }
 
-const UNUSED: Readonly<RunnerUse> = { leases: 0, tokens: 0, grantedAtSumMs: 0 };
+const NO_USAGE: Readonly<RunnerUsage> = { leases: 0, tokens: 0, grantedAtSumMs: 0 };
 
 /** See the module's comment. */
-export class LeaseBook {
+export class LeaseTable {
   readonly #leases = new Map<number, Lease>();
-  readonly #byRunner = new Map<RunnerId, RunnerUse>();
+  readonly #byRunner = new Map<RunnerId, RunnerUsage>();
 
   /** Leases out. */
   get size(): number {
@@ -30,34 +30,34 @@
   }
 
   /** What leases take up of a runner. */
-  use(runner: RunnerId): Readonly<RunnerUse> {
-    return this.#byRunner.get(runner) ?? UNUSED;
+  usage(runner: RunnerId): Readonly<RunnerUsage> {
+    return this.#byRunner.get(runner) ?? NO_USAGE;
   }
 
   /** How long ago the leases of a runner were granted, on average, in ms. */
   meanAgeMs(runner: RunnerId, nowMs: number): number {
-    const { leases, grantedAtSumMs } = this.use(runner);
+    const { leases, grantedAtSumMs } = this.usage(runner);
     return leases === 0 ? 0 : nowMs - grantedAtSumMs / leases;
   }
 
   add(lease: Lease): void {
     this.#leases.set(lease.lease, lease);
-    const use = this.#byRunner.get(lease.runner) ?? { ...UNUSED };
-    this.#byRunner.set(lease.runner, use);
-    count(use, lease, 1);
+    const usage = this.#byRunner.get(lease.runner) ?? { ...NO_USAGE };
+    this.#byRunner.set(lease.runner, usage);
+    adjustUsage(usage, lease, 1);
   }
 
   remove(lease: Lease): void {
     if (!this.#leases.delete(lease.lease)) return;
-    const use = this.#byRunner.get(lease.runner);
-    if (!use) return;
-    count(use, lease, -1);
-    if (use.leases === 0) this.#byRunner.delete(lease.runner);
+    const usage = this.#byRunner.get(lease.runner);
+    if (!usage) return;
+    adjustUsage(usage, lease, -1);
+    if (usage.leases === 0) this.#byRunner.delete(lease.runner);
   }
 }
 
-function count(use: RunnerUse, { call, grantedAtMs }: Lease, sign: 1 | -1): void {
-  use.leases += sign;
-  use.tokens += sign * call.tokens;
-  use.grantedAtSumMs += sign * grantedAtMs;
+function adjustUsage(usage: RunnerUsage, { call, grantedAtMs }: Lease, sign: 1 | -1): void {
+  usage.leases += sign;
+  usage.tokens += sign * call.tokens;
+  usage.grantedAtSumMs += sign * grantedAtMs;
 }
--- a/src/scheduling/place-queue/place-queue.ts
+++ b/src/scheduling/place-queue/place-queue.ts
@@ -4,7 +4,7 @@
  */
 import { agedRank } from "./aged-rank.ts";
 import { goesBefore } from "./goes-before.ts";
-import { goesBeforeAmongOwn } from "./goes-before-among-own.ts";
+import { goesBeforeWithinTenant } from "./goes-before-within-tenant.ts";
 import type { TenantShare } from "./tenant-share.ts";
 import type { WaitingCall } from "./waiting-call.ts";
 
@@ -38,12 +38,12 @@
   /**
    * The call that gets the next place.
    *
-   * @param passed calls that are passed over
+   * @param skipped calls that are passed over
    */
-  first(nowMs: number, passed: ReadonlySet<WaitingCall>): WaitingCall | undefined {
+  first(nowMs: number, skipped: ReadonlySet<WaitingCall>): WaitingCall | undefined {
     let first: WaitingCall | undefined;
     for (const waiting of this.#waiting.values()) {
-      if (passed.has(waiting)) continue;
+      if (skipped.has(waiting)) continue;
       if (!first || goesBefore(waiting, first, nowMs)) first = waiting;
     }
     return first;
@@ -54,29 +54,30 @@
    *
    * @param holdingMs how long calls hold their places
    */
-  aheadOf(comer: WaitingCall, holdingMs: number, nowMs: number): number {
-    const rank = agedRank(comer, nowMs);
-    const others: TenantShare[] = [];
+  countAhead(candidate: WaitingCall, holdingMs: number, nowMs: number): number {
+    const rank = agedRank(candidate, nowMs);
+    const otherShares: TenantShare[] = [];
     let ahead = 0;
-    let ownAhead = 0;
+    let sameTenantAhead = 0;
     for (const waiting of this.#waiting.values()) {
-      if (waiting === comer) continue;
+      if (waiting === candidate) continue;
       const otherRank = agedRank(waiting, nowMs);
       if (otherRank > rank) continue;
       if (otherRank < rank) ahead += 1;
-      else if (waiting.share === comer.share) ownAhead += goesBeforeAmongOwn(waiting, comer, nowMs) ? 1 : 0;
+      else if (waiting.share === candidate.share)
+        sameTenantAhead += goesBeforeWithinTenant(waiting, candidate, nowMs) ? 1 : 0;
       else {
-        if (waiting.share.counted === 0) others.push(waiting.share);
-        waiting.share.counted += 1;
+        if (waiting.share.countedCalls === 0) otherShares.push(waiting.share);
+        waiting.share.countedCalls += 1;
       }
     }
     // Where the comer's tenant will be by the time that the comer is its next call.
-    const turnAtMs = comer.share.usedMs + (ownAhead * holdingMs) / comer.share.weight;
-    for (const share of others) {
-      const served = Math.ceil(((turnAtMs - share.usedMs) * share.weight) / holdingMs);
-      ahead += Math.max(0, Math.min(share.counted, served));
-      share.counted = 0;
+    const candidateUsedMs = candidate.share.usedMs + (sameTenantAhead * holdingMs) / candidate.share.weight;
+    for (const share of otherShares) {
+      const placesBefore = Math.ceil(((candidateUsedMs - share.usedMs) * share.weight) / holdingMs);
+      ahead += Math.max(0, Math.min(share.countedCalls, placesBefore));
+      share.countedCalls = 0;
     }
-    return ahead + ownAhead;
+    return ahead + sameTenantAhead;
   }
 }
--- a/src/scheduling/place-queue/place-refusal.ts
+++ b/src/scheduling/place-queue/place-refusal-reason.ts
@@ -1,5 +1,5 @@
 /** Why there is no place for a call. */
-export type PlaceRefusal =
+export type PlaceRefusalReason =
   /** It would wait longer than it can. */
   | "wait-too-long"
   /** No dispatcher decides on it, and by what its own gateway knows it would wait longer than it can. */
--- a/src/scheduling/place-queue/retry-times.ts
+++ b/src/scheduling/place-queue/retry-times.ts
@@ -3,7 +3,7 @@
  */
 
 /** Times further than this beyond the first are given out anew from it on, in ms: callers do not wait for longer. */
-const WINDOW_MS = 1_000;
+const RETRY_WINDOW_MS = 1_000;
 
 /** See the module's comment. */
 export class RetryTimes {
@@ -13,13 +13,13 @@
    * How long the next caller should stay away, in ms.
    *
    * @param earliestMs when there may be a place at the earliest, from now
-   * @param stepMs how often a place comes free
+   * @param intervalMs how often a place comes free
    */
-  next(nowMs: number, earliestMs: number, stepMs: number): number {
+  next(nowMs: number, earliestMs: number, intervalMs: number): number {
     const earliestAtMs = nowMs + earliestMs;
-    const followingMs = this.#lastAtMs + stepMs;
-    const isWithin = followingMs >= earliestAtMs && followingMs <= earliestAtMs + WINDOW_MS;
-    this.#lastAtMs = isWithin ? followingMs : earliestAtMs;
+    const nextAtMs = this.#lastAtMs + intervalMs;
+    const isInWindow = nextAtMs >= earliestAtMs && nextAtMs <= earliestAtMs + RETRY_WINDOW_MS;
+    this.#lastAtMs = isInWindow ? nextAtMs : earliestAtMs;
     return this.#lastAtMs - nowMs;
   }
 }
--- a/src/scheduling/place-queue/turned-away.ts
+++ b/src/scheduling/place-queue/runner-backoff.ts
@@ -5,34 +5,34 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 
 /** For how long the first time, in ms: about the time of a short call, after which a place may be free. */
-const FIRST_MS = 50;
-const MOST_MS = 1_000;
+const MIN_PAUSE_MS = 50;
+const MAX_PAUSE_MS = 1_000;
 
 interface Pause {
-  readonly lengthMs: number;
+  readonly durationMs: number;
   readonly untilMs: number;
 }
 
 /** See the module's comment. */
-export class TurnedAway {
+export class RunnerBackoff {
   readonly #pauses = new Map<RunnerId, Pause>();
 
   /** Whether the runner gets nothing now. */
-  has(runner: RunnerId, nowMs: number): boolean {
+  isPaused(runner: RunnerId, nowMs: number): boolean {
     const pause = this.#pauses.get(runner);
     return pause !== undefined && nowMs < pause.untilMs;
   }
 
   /** The runner turned a call away. Several at once are one sign. */
-  note(runner: RunnerId, nowMs: number): void {
+  recordRejection(runner: RunnerId, nowMs: number): void {
     const pause = this.#pauses.get(runner);
     if (pause && nowMs < pause.untilMs) return;
-    const lengthMs = pause ? Math.min(MOST_MS, 2 * pause.lengthMs) : FIRST_MS;
-    this.#pauses.set(runner, { lengthMs, untilMs: nowMs + lengthMs });
+    const durationMs = pause ? Math.min(MAX_PAUSE_MS, 2 * pause.durationMs) : MIN_PAUSE_MS;
+    this.#pauses.set(runner, { durationMs, untilMs: nowMs + durationMs });
   }
 
   /** A call was over at the runner. */
-  clear(runner: RunnerId): void {
+  reset(runner: RunnerId): void {
     this.#pauses.delete(runner);
   }
 }
--- a/src/scheduling/place-queue/runner-group.ts
+++ b/src/scheduling/place-queue/runner-group.ts
@@ -7,11 +7,11 @@
   /** Those that may take new work. */
   abstract runners(): readonly RunnerEntry[];
   /** Requests at a runner that no dispatcher placed, as far as is known. */
-  abstract unplaced(runner: RunnerId): number;
+  abstract undispatched(runner: RunnerId): number;
   /** All requests at a runner, as far as is known. */
   abstract load(runner: RunnerId): number;
   /** How long a call usually takes at a runner, in ms; undefined while fewer than `leastCalls` were seen. */
-  abstract usualMs(leastCalls: number): number | undefined;
+  abstract averageCallMs(minCalls: number): number | undefined;
   /** Tokens that fit into a runner's memory; undefined where the runners are no model engines. */
   abstract readonly memoryTokens: number | undefined;
   /** The best runner for a call among those that may take it. */
--- a/src/scheduling/place-queue/tenant-share.ts
+++ b/src/scheduling/place-queue/tenant-share.ts
@@ -11,5 +11,5 @@
   /** Calls that wait, and places that are held. */
   active: number;
   /** Calls that were counted while a forecast is made. */
-  counted: number;
+  countedCalls: number;
 }
--- a/src/scheduling/place-queue/tenant-shares.ts
+++ b/src/scheduling/place-queue/tenant-shares.ts
@@ -10,7 +10,7 @@
   readonly #weightOf: (tenant: TenantName | undefined) => number;
   readonly #shares = new Map<TenantName | undefined, TenantShare>();
   /** Virtual time: where the tenant was that got the last place. */
-  #servedMs = 0;
+  #virtualTimeMs = 0;
 
   /** @param weightOf a positive number for each tenant; undefined stands for all calls without one */
   constructor(weightOf: (tenant: TenantName | undefined) => number) {
@@ -18,33 +18,33 @@
   }
 
   /** A tenant's share, as one more of its calls begins to wait or to hold a place. */
-  join(tenant: TenantName | undefined): TenantShare {
-    const share = this.#shares.get(tenant) ?? this.#add(tenant);
+  addCall(tenant: TenantName | undefined): TenantShare {
+    const share = this.#shares.get(tenant) ?? this.#addTenant(tenant);
     share.active += 1;
     return share;
   }
 
   /** A call of the tenant is over, or no longer waits. */
-  leave(share: TenantShare): void {
+  removeCall(share: TenantShare): void {
     share.active -= 1;
     // What an idle tenant has used more than others still counts until they have caught up.
-    if (share.active === 0 && share.usedMs <= this.#servedMs) this.#shares.delete(share.tenant);
+    if (share.active === 0 && share.usedMs <= this.#virtualTimeMs) this.#shares.delete(share.tenant);
   }
 
   /** A call of the tenant gets a place, and will probably hold it for so long. */
-  serve(share: TenantShare, expectedMs: number): void {
-    this.#servedMs = Math.max(this.#servedMs, share.usedMs);
-    this.correct(share, expectedMs);
+  charge(share: TenantShare, expectedMs: number): void {
+    this.#virtualTimeMs = Math.max(this.#virtualTimeMs, share.usedMs);
+    this.adjust(share, expectedMs);
   }
 
   /** A place was held for longer than expected, or, if negative, for less. */
-  correct(share: TenantShare, byMs: number): void {
+  adjust(share: TenantShare, byMs: number): void {
     share.usedMs += byMs / share.weight;
   }
 
-  #add(tenant: TenantName | undefined): TenantShare {
+  #addTenant(tenant: TenantName | undefined): TenantShare {
     const weight = this.#weightOf(tenant);
-    const share = { tenant, weight, usedMs: this.#servedMs, active: 0, counted: 0 };
+    const share = { tenant, weight, usedMs: this.#virtualTimeMs, active: 0, countedCalls: 0 };
     this.#shares.set(tenant, share);
     return share;
   }
--- a/src/scheduling/place-queue/waiting-call.ts
+++ b/src/scheduling/place-queue/waiting-call.ts
@@ -11,7 +11,7 @@
   readonly share: TenantShare;
   readonly arrivedAtMs: number;
   /** Until when it can begin and still be over in time. */
-  readonly latestStartMs: number;
+  readonly latestStartAtMs: number;
   /** When it stops waiting. */
   readonly giveUpAtMs: number;
 }
--- a/test/contract/support/place-load.ts
+++ b/test/contract/support/place-load.ts
@@ -15,17 +15,17 @@
 export const RUNNERS = 8;
 export const SLOTS = 6;
 export const TURN_MS = 250;
-const PAUSE_MS = 50;
+const TURN_GAP_MS = 50;
 const TURN_DEADLINE_MS = 3_000;
-const TRIES = 3;
+const MAX_TRIES = 3;
 
 /** Runners that are alike, without calls of others. */
-export class FakeGroup extends RunnerGroup {
+export class FakeRunnerGroup extends RunnerGroup {
   readonly entries: RunnerEntry[] = [];
-  readonly unplacedAt = new Map<RunnerId, number>();
-  readonly loadAt = new Map<RunnerId, number>();
+  readonly undispatchedByRunner = new Map<RunnerId, number>();
+  readonly loadByRunner = new Map<RunnerId, number>();
   override memoryTokens: number | undefined;
-  usual: number | undefined;
+  averageMs: number | undefined;
 
   constructor(runners = RUNNERS, slots = SLOTS) {
     super();
@@ -36,16 +36,16 @@
     return this.entries;
   }
 
-  override unplaced(runner: RunnerId): number {
-    return this.unplacedAt.get(runner) ?? 0;
+  override undispatched(runner: RunnerId): number {
+    return this.undispatchedByRunner.get(runner) ?? 0;
   }
 
   override load(runner: RunnerId): number {
-    return this.loadAt.get(runner) ?? 0;
+    return this.loadByRunner.get(runner) ?? 0;
   }
 
-  override usualMs(): number | undefined {
-    return this.usual;
+  override averageCallMs(): number | undefined {
+    return this.averageMs;
   }
 
   override choose(
@@ -53,8 +53,8 @@
     _: number,
     mayTake: (runner: RunnerEntry) => boolean,
   ): RunnerEntry | undefined {
-    const able = this.entries.filter(mayTake);
-    return able.find(({ id }) => id === call.preferred) ?? able[0];
+    const eligible = this.entries.filter(mayTake);
+    return eligible.find(({ id }) => id === call.preferred) ?? eligible[0];
   }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /** What became of programs. */
-export interface Fates {
+export interface OutcomeCounts {
   inTime: number;
   late: number;
   refused: number;
@@ -84,12 +84,12 @@
   readonly dueAtMs: number;
   hasBegun: boolean;
   isOver: boolean;
-  openLines: number;
+  runningSubAgents: number;
 }
 
 interface Turn {
   readonly program: Program;
-  readonly left: number;
+  readonly turnsLeft: number;
   readonly triesLeft: number;
   readonly deadlineAtMs: number;
   isOver: boolean;
@@ -97,179 +97,188 @@
 
 /** Decides who gets a place; answers at once or later. */
 interface Policy {
-  ask(turn: Turn, nowMs: number): void;
-  giveBack(turn: Turn, heldMs: number, nowMs: number): void;
+  requestPlace(turn: Turn, nowMs: number): void;
+  release(turn: Turn, heldMs: number, nowMs: number): void;
   tick(nowMs: number): void;
 }
 
 /** See the module's comment. */
-export class PlaceLoad {
-  readonly fates = new Map<string, Fates>();
+export class PlaceLoadSimulation {
+  readonly outcomes = new Map<string, OutcomeCounts>();
   readonly waitsMs: number[] = [];
   /** Longest number of calls that waited at once. */
-  mostWaiting = 0;
-  readonly #agenda = new Map<number, (() => void)[]>();
-  readonly #holdMs: (nowMs: number) => number;
+  maxWaiting = 0;
+  readonly #actionsByTime = new Map<number, (() => void)[]>();
+  readonly #holdingMsAt: (nowMs: number) => number;
   readonly #policy: Policy;
   #nowMs = 0;
-  #count = 0;
+  #sequence = 0;
 
-  constructor(dispatched: boolean, holdMs: (nowMs: number) => number = () => TURN_MS) {
-    this.#holdMs = holdMs;
-    this.#policy = dispatched ? new Dispatched(this) : new FirstCome(this);
+  constructor(isDispatched: boolean, holdingMsAt: (nowMs: number) => number = () => TURN_MS) {
+    this.#holdingMsAt = holdingMsAt;
+    this.#policy = isDispatched ? new DispatchedPlaces(this) : new FirstComeFirstServed(this);
   }
 
-  run(demands: readonly Demand[], lengthMs: number): void {
-    for (const demand of demands) this.#spread(demand, lengthMs);
-    for (this.#nowMs = 0; this.#nowMs < lengthMs + 10_000; this.#nowMs += 1) {
-      for (const action of this.#agenda.get(this.#nowMs) ?? []) action();
-      this.#agenda.delete(this.#nowMs);
+  run(demands: readonly Demand[], durationMs: number): void {
+    for (const demand of demands) this.#scheduleArrivals(demand, durationMs);
+    for (this.#nowMs = 0; this.#nowMs < durationMs + 10_000; this.#nowMs += 1) {
+      for (const action of this.#actionsByTime.get(this.#nowMs) ?? []) action();
+      this.#actionsByTime.delete(this.#nowMs);
       this.#policy.tick(this.#nowMs);
     }
   }
 
   /** Share of the tenants' programs with such a fate. */
-  share(fate: keyof Fates, isMeant: (tenant: string) => boolean = () => true): number {
-    let meant = 0;
+  share(outcome: keyof OutcomeCounts, matches: (tenant: string) => boolean = () => true): number {
+    let matching = 0;
     let all = 0;
-    for (const [tenant, fates] of this.fates) {
-      if (!isMeant(tenant)) continue;
-      meant += fates[fate];
-      all += fates.inTime + fates.late + fates.refused + fates.failed;
+    for (const [tenant, counts] of this.outcomes) {
+      if (!matches(tenant)) continue;
+      matching += counts[outcome];
+      all += counts.inTime + counts.late + counts.refused + counts.failed;
     }
-    return meant / Math.max(1, all);
+    return matching / Math.max(1, all);
   }
 
   granted(turn: Turn, waitedMs: number): void {
     this.waitsMs.push(waitedMs);
     turn.program.hasBegun = true;
-    const holdMs = this.#holdMs(this.#nowMs);
-    this.#in(holdMs, () => {
-      this.#policy.giveBack(turn, holdMs, this.#nowMs);
+    const holdingMs = this.#holdingMsAt(this.#nowMs);
+    this.#schedule(holdingMs, () => {
+      this.#policy.release(turn, holdingMs, this.#nowMs);
       if (turn.isOver) return;
       turn.isOver = true;
       this.#onTurnOver(turn);
     });
-    this.#in(turn.deadlineAtMs - this.#nowMs, () => this.#again(turn, 100));
+    this.#schedule(turn.deadlineAtMs - this.#nowMs, () => this.#retry(turn, 100));
   }
 
   refused(turn: Turn, retryAfterMs: number): void {
-    this.#again(turn, retryAfterMs);
+    this.#retry(turn, retryAfterMs);
   }
 
-  #again(turn: Turn, afterMs: number): void {
+  #retry(turn: Turn, delayMs: number): void {
     if (turn.isOver) return;
     turn.isOver = true;
-    const { program, left, triesLeft } = turn;
-    if (triesLeft <= 1) return this.#end(program, program.hasBegun ? "failed" : "refused");
-    this.#in(Math.max(1, afterMs), () => this.#ask(program, left, triesLeft - 1));
+    const { program, turnsLeft, triesLeft } = turn;
+    if (triesLeft <= 1) return this.#endProgram(program, program.hasBegun ? "failed" : "refused");
+    this.#schedule(Math.max(1, delayMs), () => this.#requestPlace(program, turnsLeft, triesLeft - 1));
   }
 
-  #onTurnOver({ program, left }: Turn): void {
+  #onTurnOver({ program, turnsLeft }: Turn): void {
     if (program.isOver) return;
     const { turns, subAgents = 0 } = program.demand;
-    if (left === turns && subAgents > 0) {
-      program.openLines = subAgents;
+    if (turnsLeft === turns && subAgents > 0) {
+      program.runningSubAgents = subAgents;
       for (let index = 0; index < subAgents; index += 1)
-        this.#in(PAUSE_MS, () => this.#ask(program, -2, TRIES));
-    } else if (left < -1) this.#in(PAUSE_MS, () => this.#ask(program, left + 1, TRIES));
-    else if (left === -1) {
-      program.openLines -= 1;
-      if (program.openLines === 0) this.#in(PAUSE_MS, () => this.#ask(program, turns - 1, TRIES));
-    } else if (left > 1) this.#in(PAUSE_MS, () => this.#ask(program, left - 1, TRIES));
-    else this.#end(program, this.#nowMs <= program.dueAtMs ? "inTime" : "late");
+        this.#schedule(TURN_GAP_MS, () => this.#requestPlace(program, -2, MAX_TRIES));
+    } else if (turnsLeft < -1)
+      this.#schedule(TURN_GAP_MS, () => this.#requestPlace(program, turnsLeft + 1, MAX_TRIES));
+    else if (turnsLeft === -1) {
+      program.runningSubAgents -= 1;
+      if (program.runningSubAgents === 0)
+        this.#schedule(TURN_GAP_MS, () => this.#requestPlace(program, turns - 1, MAX_TRIES));
+    } else if (turnsLeft > 1)
+      this.#schedule(TURN_GAP_MS, () => this.#requestPlace(program, turnsLeft - 1, MAX_TRIES));
+    else this.#endProgram(program, this.#nowMs <= program.dueAtMs ? "inTime" : "late");
   }
 
-  #end(program: Program, fate: keyof Fates): void {
+  #endProgram(program: Program, outcome: keyof OutcomeCounts): void {
     if (program.isOver) return;
     program.isOver = true;
     const { tenant } = program.demand;
-    const fates = this.fates.get(tenant) ?? { inTime: 0, late: 0, refused: 0, failed: 0 };
-    this.fates.set(tenant, fates);
-    fates[fate] += 1;
+    const counts = this.outcomes.get(tenant) ?? { inTime: 0, late: 0, refused: 0, failed: 0 };
+    this.outcomes.set(tenant, counts);
+    counts[outcome] += 1;
   }
 
-  #ask(program: Program, left: number, triesLeft: number): void {
+  #requestPlace(program: Program, turnsLeft: number, triesLeft: number): void {
     if (program.isOver) return;
-    const turn = { program, left, triesLeft, deadlineAtMs: this.#nowMs + TURN_DEADLINE_MS, isOver: false };
-    this.#policy.ask(turn, this.#nowMs);
+    const turn = {
+      program,
+      turnsLeft,
+      triesLeft,
+      deadlineAtMs: this.#nowMs + TURN_DEADLINE_MS,
+      isOver: false,
+    };
+    this.#policy.requestPlace(turn, this.#nowMs);
   }
 
-  #spread(demand: Demand, lengthMs: number): void {
-    const { perSecond, fromMs = 0, untilMs = lengthMs, turns, subAgents = 0 } = demand;
-    const stepMs = 1_000 / perSecond;
-    const idleMs = (turns + (subAgents > 0 ? 2 : 0)) * (TURN_MS + PAUSE_MS);
+  #scheduleArrivals(demand: Demand, durationMs: number): void {
+    const { perSecond, fromMs = 0, untilMs = durationMs, turns, subAgents = 0 } = demand;
+    const intervalMs = 1_000 / perSecond;
+    const unloadedMs = (turns + (subAgents > 0 ? 2 : 0)) * (TURN_MS + TURN_GAP_MS);
     // Tenants do not begin together: each has its place within a step.
-    for (let atMs = fromMs + (stepMs * (this.#count % 17)) / 17; atMs < untilMs; atMs += stepMs)
-      this.#in(Math.floor(atMs), () => {
-        this.#count += 1;
-        const dueAtMs = this.#nowMs + 1.4 * idleMs + 250;
-        const id = `p${this.#count}`;
-        const program = { demand, id, dueAtMs, hasBegun: false, isOver: false, openLines: 0 };
-        this.#ask(program, turns, TRIES);
+    for (let atMs = fromMs + (intervalMs * (this.#sequence % 17)) / 17; atMs < untilMs; atMs += intervalMs)
+      this.#schedule(Math.floor(atMs), () => {
+        this.#sequence += 1;
+        const dueAtMs = this.#nowMs + 1.4 * unloadedMs + 250;
+        const id = `p${this.#sequence}`;
+        const program = { demand, id, dueAtMs, hasBegun: false, isOver: false, runningSubAgents: 0 };
+        this.#requestPlace(program, turns, MAX_TRIES);
       });
-    this.#count += 1;
+    this.#sequence += 1;
   }
 
-  #in(delayMs: number, action: () => void): void {
+  #schedule(delayMs: number, action: () => void): void {
     const atMs = Math.ceil(this.#nowMs + delayMs);
-    const actions = this.#agenda.get(atMs);
+    const actions = this.#actionsByTime.get(atMs);
     if (actions) actions.push(action);
-    else this.#agenda.set(atMs, [action]);
+    else this.#actionsByTime.set(atMs, [action]);
   }
 }
 
 /** Runners take calls in the order of their arrival, and turn away what is beyond as many again as they work on. */
-class FirstCome implements Policy {
-  readonly #load: PlaceLoad;
-  readonly #queue: { turn: Turn; arrivedMs: number }[] = [];
-  #taken = 0;
+class FirstComeFirstServed implements Policy {
+  readonly #simulation: PlaceLoadSimulation;
+  readonly #queue: { turn: Turn; arrivedAtMs: number }[] = [];
+  #takenPlaces = 0;
 
-  constructor(load: PlaceLoad) {
-    this.#load = load;
+  constructor(simulation: PlaceLoadSimulation) {
+    this.#simulation = simulation;
   }
 
-  ask(turn: Turn, nowMs: number): void {
-    if (this.#queue.length >= RUNNERS * SLOTS) this.#load.refused(turn, 150);
-    else this.#queue.push({ turn, arrivedMs: nowMs });
+  requestPlace(turn: Turn, nowMs: number): void {
+    if (this.#queue.length >= RUNNERS * SLOTS) this.#simulation.refused(turn, 150);
+    else this.#queue.push({ turn, arrivedAtMs: nowMs });
   }
 
-  giveBack(): void {
-    this.#taken -= 1;
+  release(): void {
+    this.#takenPlaces -= 1;
   }
 
   tick(nowMs: number): void {
-    while (this.#taken < RUNNERS * SLOTS) {
+    while (this.#takenPlaces < RUNNERS * SLOTS) {
       const next = this.#queue.shift();
       if (!next) return;
       if (next.turn.isOver) continue;
-      this.#taken += 1;
-      this.#load.granted(next.turn, nowMs - next.arrivedMs);
+      this.#takenPlaces += 1;
+      this.#simulation.granted(next.turn, nowMs - next.arrivedAtMs);
     }
   }
 }
 
-class Dispatched implements Policy {
-  readonly #load: PlaceLoad;
-  readonly #turns = new Map<number, Turn>();
-  readonly #leases = new Map<Turn, number>();
+class DispatchedPlaces implements Policy {
+  readonly #simulation: PlaceLoadSimulation;
+  readonly #waitingTurns = new Map<number, Turn>();
+  readonly #leaseByTurn = new Map<Turn, number>();
   readonly #dispatcher = new PlaceDispatcher({
-    group: new FakeGroup(),
+    group: new FakeRunnerGroup(),
     weightOf: () => 1,
     firstLease: 1,
-    learningMs: 1_000,
+    maxReportAgeMs: 1_000,
   });
-  #asked = 0;
+  #requestCount = 0;
 
-  constructor(load: PlaceLoad) {
-    this.#load = load;
+  constructor(simulation: PlaceLoadSimulation) {
+    this.#simulation = simulation;
   }
 
-  ask(turn: Turn, nowMs: number): void {
+  requestPlace(turn: Turn, nowMs: number): void {
     const { program, deadlineAtMs } = turn;
-    this.#asked += 1;
+    this.#requestCount += 1;
     const call: PlaceCall = {
-      request: `q${this.#asked}` as RequestId,
+      request: `q${this.#requestCount}` as RequestId,
       route: "turn",
       tenant: program.demand.tenant as TenantName,
       program: program.id as ProgramId,
@@ -281,32 +290,32 @@
       preferred: undefined,
       excluded: [],
     };
-    this.#take(turn, this.#dispatcher.ask(call, "gateway", nowMs));
+    this.#onDecision(turn, this.#dispatcher.requestPlace(call, "gateway", nowMs));
   }
 
-  giveBack(turn: Turn, heldMs: number, nowMs: number): void {
-    const lease = this.#leases.get(turn);
-    this.#leases.delete(turn);
-    if (lease !== undefined) this.#dispatcher.giveBack({ lease, heldMs, turnedAway: false }, nowMs);
+  release(turn: Turn, heldMs: number, nowMs: number): void {
+    const lease = this.#leaseByTurn.get(turn);
+    this.#leaseByTurn.delete(turn);
+    if (lease !== undefined) this.#dispatcher.release({ lease, heldMs, turnedAway: false }, nowMs);
   }
 
   tick(nowMs: number): void {
-    this.#load.mostWaiting = Math.max(this.#load.mostWaiting, this.#dispatcher.waiting);
-    this.#dispatcher.endLeases(nowMs);
+    this.#simulation.maxWaiting = Math.max(this.#simulation.maxWaiting, this.#dispatcher.waiting);
+    this.#dispatcher.expireLeases(nowMs);
     for (const { lease, decision } of this.#dispatcher.settle(nowMs)) {
-      const turn = this.#turns.get(lease);
-      this.#turns.delete(lease);
-      if (turn) this.#take(turn, decision);
+      const turn = this.#waitingTurns.get(lease);
+      this.#waitingTurns.delete(lease);
+      if (turn) this.#onDecision(turn, decision);
     }
   }
 
-  #take(turn: Turn, decision: PlaceDecision): void {
-    if (decision.type === "refused") return this.#load.refused(turn, decision.retryAfterMs);
+  #onDecision(turn: Turn, decision: PlaceDecision): void {
+    if (decision.type === "refused") return this.#simulation.refused(turn, decision.retryAfterMs);
     if (decision.type === "queued") {
-      this.#turns.set(decision.lease, turn);
+      this.#waitingTurns.set(decision.lease, turn);
       return;
     }
-    this.#leases.set(turn, decision.lease);
-    this.#load.granted(turn, decision.waitedMs);
+    this.#leaseByTurn.set(turn, decision.lease);
+    this.#simulation.granted(turn, decision.waitedMs);
   }
 }
