--- a/src/scheduling/place-queue/aged-rank.ts
+++ b/src/scheduling/place-queue/aged-rank.ts
@@ -1,14 +1,14 @@
 import type { WaitingCall } from "./waiting-call.ts";
 
 /**
- * A call that has waited for so long counts as one rank more important, in ms: little beside what a program can spare at
- * each of its turns. Ranks decide who begins; whoever has begun must not be late for them.
+ * Waiting time after which a call counts as one rank more important, in ms. It is short compared with the delay that a
+ * program can afford at each turn: ranks decide which programs start, but must not make a started program late.
  */
 const AGING_STEP_MS = 50;
-/** Ranks beyond this are treated alike, so that aging makes up for them before callers give up. */
+/** Greater ranks count as this one, so that aging makes up for them before the callers give up. */
 const MAX_RANK = 8;
 
-/** A call's rank, less what it has gained by waiting. */
+/** The rank of a call, improved by the time that it has waited; 0 is the most important. */
 export function agedRank({ call, arrivedAtMs }: WaitingCall, nowMs: number): number {
   const ranksGained = Math.floor((nowMs - arrivedAtMs) / AGING_STEP_MS);
   return Math.max(0, Math.min(call.rank, MAX_RANK) - ranksGained);
--- a/src/scheduling/place-queue/capacity-tracker.ts
+++ b/src/scheduling/place-queue/capacity-tracker.ts
@@ -1,4 +1,4 @@
-/** Which runners of a group have room for a call: places, and memory for its tokens. Pure. */
+/** Tracks which runners of a group have capacity for a call: free places, and memory for its tokens. No I/O. */
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { RunnerEntry } from "../runner-board/runner-entry.ts";
 import type { GroupCapacity } from "./group-capacity.ts";
@@ -9,24 +9,24 @@
 import type { RunnerGroup } from "./runner-group.ts";
 
 /**
- * How long a place lies idle from the end of a call until the next one arrives, in ms: three messages between machines that
- * are busy. Runners get so much more work that they do not wait meanwhile.
+ * How long a place is idle from the end of a call until the next one arrives, in ms: three messages between busy
+ * machines. Runners get enough extra calls to stay busy meanwhile.
  */
 const HANDOVER_MS = 6;
-/** Part of a runner's slots that may be handed out on top for it: more would wait there, ahead of what is more urgent. */
+/** Limit of these extra calls, as a part of a runner's slots: more would wait there, ahead of more urgent calls. */
 const MAX_EXTRA_RATIO = 0.25;
 
-/** Requests at a runner when places began to be handed out. */
+/** Requests that were at a runner when this dispatcher began to hand out places. */
 interface InitialLoad {
-  /** Those that no dispatcher had placed: reports tell of their ends. */
+  /** Requests that no dispatcher had placed: reports show when they end. */
   readonly undispatched: number;
-  /** Those that a dispatcher before had placed. */
+  /** Requests that an earlier dispatcher had placed. */
   readonly leased: number;
 }
 
 const NO_INITIAL_LOAD: InitialLoad = { undispatched: 0, leased: 0 };
 
-/** See the module's comment. */
+/** Free and taken places of the runners of one group. */
 export class CapacityTracker {
   readonly #group: RunnerGroup;
   readonly #leases: LeaseTable;
@@ -35,7 +35,7 @@
   #initialLoads: ReadonlyMap<RunnerId, InitialLoad> = new Map();
   #startedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** @param maxReportAgeMs how old what is told of requests that no dispatcher has placed may be */
+  /** @param maxReportAgeMs greatest age of the reports about requests that no dispatcher placed */
   constructor(group: RunnerGroup, leases: LeaseTable, backoff: RunnerBackoff, maxReportAgeMs: number) {
     this.#group = group;
     this.#leases = leases;
@@ -44,15 +44,16 @@
   }
 
   /**
-   * Places begin to be handed out here: what is at the runners now was placed by others, and ends as calls do, where it is
-   * known how long they take. Reports that are no newer say nothing of what is still there.
+   * Records the requests at the runners when this dispatcher begins to hand out places; others placed them. If the
+   * average call time is known, they are assumed to end accordingly: reports from before this time do not show which of
+   * them are still there.
    */
   recordInitialLoads(nowMs: number): void {
     this.#initialLoads = new Map(this.#group.runners().map(({ id }) => [id, this.#currentLoad(id)]));
     this.#startedAtMs = nowMs;
   }
 
-  /** Room of the whole group. */
+  /** Capacity of the whole group. */
   groupCapacity(holdingMs: number, nowMs: number): GroupCapacity {
     let places = 0;
     let free = 0;
@@ -65,13 +66,13 @@
       free += this.#freePlaces(runner, holdingMs, nowMs);
       placedByOthers += this.#placedByOthers(runner.id, nowMs);
       if (this.#backoff.isPaused(runner.id, nowMs)) paused += 1;
-      // A runner that is slow, or hangs, shows by calls that are held for long before any of them is over.
+      // The age of the leases reveals a runner that is slow or hangs before any of its calls ends.
       placesFreedPerMs += runnerPlaces / Math.max(1, holdingMs, this.#leases.meanAgeMs(runner.id, nowMs));
     }
     return { places, free, placedByOthers, paused, placesFreedPerMs: placesFreedPerMs };
   }
 
-  /** The runner that a call gets now; undefined when none has room for it. */
+  /** The runner that takes a call now; undefined if none has capacity for it. */
   runnerFor(call: PlaceCall, holdingMs: number, nowMs: number): RunnerEntry | undefined {
     const eligible = new Set<RunnerId>();
     let fewestTaken = Number.POSITIVE_INFINITY;
@@ -82,7 +83,7 @@
       fewestTaken = Math.min(fewestTaken, this.#takenPlaces(runner.id, nowMs));
     }
     if (eligible.size === 0) return undefined;
-    // What the board knows of loads is older than the leases: among free runners those are filled evenly.
+    // The leases are newer than the loads that the board knows: use them to fill the free runners evenly.
     const isAmongLeastUsed = (id: RunnerId) => this.#takenPlaces(id, nowMs) <= fewestTaken + 1;
     return this.#group.choose(call, nowMs, ({ id }) => {
       return eligible.has(id) && (id === call.preferred || isAmongLeastUsed(id));
@@ -112,7 +113,7 @@
     return Math.ceil((undispatched + leased) * Math.max(0, 1 - sinceMs / averageCallMs));
   }
 
-  /** More at once than fits into a runner's memory makes it drop what it has read. */
+  /** Whether a call fits into a runner's memory. With too many tokens, a runner drops prompts that it has processed. */
   #fitsInMemory(runner: RunnerId, tokens: number): boolean {
     const { memoryTokens } = this.#group;
     if (memoryTokens === undefined) return true;
--- a/src/scheduling/place-queue/default-holding-ms.ts
+++ b/src/scheduling/place-queue/default-holding-ms.ts
@@ -1,2 +1,2 @@
-/** How long a call is assumed to hold a place while nothing is known, in ms: about a turn of a few events. */
+/** Assumed holding time of a place while no call has been measured, in ms: about a turn of a few events. */
 export const DEFAULT_HOLDING_MS = 200;
--- a/src/scheduling/place-queue/forecast-from-local-load.ts
+++ b/src/scheduling/place-queue/forecast-from-local-load.ts
@@ -3,10 +3,10 @@
 import type { PlaceForecast } from "./place-forecast.ts";
 
 /**
- * What a gateway expects of a call that no dispatcher decides on, by the load that it knows itself: those that are at the
- * runners go first. Pure.
+ * Forecasts the wait of a call on which no dispatcher decides, from the load that this gateway knows. Requests that are
+ * already at the runners go first. Pure.
  *
- * @param averageCallMs how long calls usually take there, in ms; undefined while that is not known
+ * @param averageCallMs how long calls take there on average, in ms; undefined while unknown
  */
 export function forecastFromLocalLoad(
   { slots, load }: PoolLoad,
--- a/src/scheduling/place-queue/goes-before-within-tenant.ts
+++ b/src/scheduling/place-queue/goes-before-within-tenant.ts
@@ -1,6 +1,9 @@
 import type { WaitingCall } from "./waiting-call.ts";
 
-/** Whether a call goes before another one of the same tenant and rank. */
+/**
+ * Whether a call goes before another one of the same tenant and rank: calls of programs that have begun go first, then
+ * calls that can still finish in time, then the earliest latest start, then the oldest request.
+ */
 export function goesBeforeWithinTenant(left: WaitingCall, right: WaitingCall, nowMs: number): boolean {
   if (left.call.hasBegun !== right.call.hasBegun) return left.call.hasBegun;
   const isLeftInTime = left.latestStartAtMs >= nowMs;
--- a/src/scheduling/place-queue/goes-before.ts
+++ b/src/scheduling/place-queue/goes-before.ts
@@ -2,7 +2,7 @@
 import { goesBeforeWithinTenant } from "./goes-before-within-tenant.ts";
 import type { WaitingCall } from "./waiting-call.ts";
 
-/** Whether a call goes before another one, of any tenant. */
+/** Whether a call goes before another one of any tenant: by aged rank, then by the tenants' shares of the places. */
 export function goesBefore(left: WaitingCall, right: WaitingCall, nowMs: number): boolean {
   const leftRank = agedRank(left, nowMs);
   const rightRank = agedRank(right, nowMs);
--- a/src/scheduling/place-queue/group-capacity.ts
+++ b/src/scheduling/place-queue/group-capacity.ts
@@ -1,11 +1,11 @@
-/** Places of a group, and those of them that are free. */
+/** Places of a group of runners, and how many of them are free. */
 export interface GroupCapacity {
   readonly places: number;
   readonly free: number;
-  /** Taken by calls that this dispatcher has not placed. */
+  /** Taken by calls that this dispatcher did not place. */
   readonly placedByOthers: number;
-  /** Runners that get nothing now, since they turned calls away. */
+  /** Runners that get no calls for now, since they rejected some. */
   readonly paused: number;
-  /** How many places come free in a ms while all are taken. */
+  /** How many places become free per ms while all are taken. */
   readonly placesFreedPerMs: number;
 }
--- a/src/scheduling/place-queue/lease-table.ts
+++ b/src/scheduling/place-queue/lease-table.ts
@@ -1,4 +1,4 @@
-/** Leases out, and what they take up of each runner. Pure. */
+/** The leases in force, and how much of each runner they use. No I/O. */
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { Lease } from "./lease.ts";
 
@@ -10,12 +10,12 @@
 
 const NO_USAGE: Readonly<RunnerUsage> = { leases: 0, tokens: 0, grantedAtSumMs: 0 };
 
-/** See the module's comment. */
+/** The leases of one dispatcher. */
 export class LeaseTable {
   readonly #leases = new Map<number, Lease>();
   readonly #byRunner = new Map<RunnerId, RunnerUsage>();
 
-  /** Leases out. */
+  /** Number of leases in force. */
   get size(): number {
     return this.#leases.size;
   }
@@ -29,12 +29,12 @@
     return this.#leases.get(lease);
   }
 
-  /** What leases take up of a runner. */
+  /** How much of a runner the leases use. */
   usage(runner: RunnerId): Readonly<RunnerUsage> {
     return this.#byRunner.get(runner) ?? NO_USAGE;
   }
 
-  /** How long ago the leases of a runner were granted, on average, in ms. */
+  /** Average time since the leases of a runner were granted, in ms. */
   meanAgeMs(runner: RunnerId, nowMs: number): number {
     const { leases, grantedAtSumMs } = this.usage(runner);
     return leases === 0 ? 0 : nowMs - grantedAtSumMs / leases;
--- a/src/scheduling/place-queue/longest-wait.ts
+++ b/src/scheduling/place-queue/longest-wait.ts
@@ -1,7 +1,7 @@
 import type { PlaceCall } from "./place-call.ts";
 
 /**
- * How long a call may wait for a place and still be over in time, in ms; negative where it can't be. Pure.
+ * How long a call may wait for a place and still finish in time, in ms; negative if it cannot. Pure.
  *
  * @param holdingMs how long calls of its route hold their places
  */
--- a/src/scheduling/place-queue/min-calls-for-average.ts
+++ b/src/scheduling/place-queue/min-calls-for-average.ts
@@ -1,5 +1,5 @@
 /**
- * Calls that have to be over until they tell how long others will take: a few may all have been long ones, for which nobody
- * should be refused, or short ones, which say nothing of those that are still under way.
+ * Completed calls that are needed before their average time predicts that of others. A few may all have been long ones,
+ * which must not cause refusals, or short ones, which say nothing about the calls that are still running.
  */
 export const MIN_CALLS_FOR_AVERAGE = 10;
--- a/src/scheduling/place-queue/place-decision.ts
+++ b/src/scheduling/place-queue/place-decision.ts
@@ -2,5 +2,5 @@
 import type { PlaceQueued } from "./place-queued.ts";
 import type { PlaceRefused } from "./place-refused.ts";
 
-/** What a dispatcher says at once. */
+/** The immediate answer of a dispatcher to a request for a place. */
 export type PlaceDecision = PlaceGrant | PlaceRefused | PlaceQueued;
--- a/src/scheduling/place-queue/place-dispatcher-options.ts
+++ b/src/scheduling/place-queue/place-dispatcher-options.ts
@@ -1,13 +1,13 @@
 import type { TenantName } from "../ids/tenant-name.ts";
 import type { RunnerGroup } from "./runner-group.ts";
 
-/** What a dispatcher is made of. */
+/** Options of a `PlaceDispatcher`. */
 export interface PlaceDispatcherOptions {
   readonly group: RunnerGroup;
-  /** How much of the places is a tenant's, relative to others. */
+  /** Share of the places that a tenant is entitled to, relative to other tenants. */
   readonly weightOf: (tenant: TenantName | undefined) => number;
-  /** Leases are counted from here on; far from those of other dispatchers, so that none takes another's for its own. */
+  /** Number of the first lease, far from those of other dispatchers: none must mistake another's lease for its own. */
   readonly firstLease: number;
-  /** How old what is told of requests that no dispatcher has placed may be, in ms. */
+  /** Greatest age of the reports about requests that no dispatcher placed, in ms. */
   readonly maxReportAgeMs: number;
 }
--- a/src/scheduling/place-queue/place-dispatcher.ts
+++ b/src/scheduling/place-queue/place-dispatcher.ts
@@ -1,6 +1,7 @@
 /**
- * Hands out the places of a group of runners: at once while there are some, in the queue's order when callers compete for
- * them. It refuses at once whoever can't get one in time by its forecast. Pure: time comes in as a value.
+ * Hands out the places of a group of runners; a place lets one call run there. Calls get a place at once while some are
+ * free, and wait in a queue otherwise. A call that cannot get a place in time, according to a forecast, is refused at
+ * once. No I/O: the time is passed in as a value.
  */
 import type { RequestId } from "../ids/request-id.ts";
 import type { TenantName } from "../ids/tenant-name.ts";
@@ -27,30 +28,33 @@
 import { TenantShares } from "./tenant-shares.ts";
 import type { WaitingCall } from "./waiting-call.ts";
 
-/** Calls that wait at most: more are a flood that no forecast holds back, since each says that it waits for very long. */
+/** Calls that may wait at a time. The forecast does not hold back a flood of calls that all accept a very long wait. */
 const MAX_WAITING_CALLS = 2_000;
 /**
- * Part of a program's time that it may wait for its first place. Those that have begun go first and ask for many places
- * more: when the first turns of programs wait for much longer than this, the later ones of all of them come too late.
+ * Longest wait for a program's first place, as a part of the program's time. Programs that have begun go first and need
+ * many more places: if first turns waited for much longer than this, the later turns of all programs would be too late.
  */
 const MAX_START_WAIT_RATIO = 0.025;
-/** A lease ends by itself after so many times what calls of its route take. */
+/** A lease expires after this many times the usual holding time of its route. */
 const LEASE_HOLDING_FACTOR = 10;
-/** Longer than most callers wait, so that a runner that hangs gets no more calls while it holds some. */
+/** Longer than most callers wait, so that a runner that hangs gets no new calls while it still has some. */
 const MIN_LEASE_MS = 4_000;
 const MAX_LEASE_MS = 10_000;
-/** A call that no free runner has the memory for is passed over for so long, in ms; then others wait for it. */
+/**
+ * How long a waiting call is skipped if no free runner has enough memory for it, in ms. After that, the calls behind it
+ * wait until it has its place.
+ */
 const MAX_SKIP_MS = 100;
-/** Calls that are passed over at a time. */
+/** Calls that are skipped at a time. */
 const MAX_SKIPPED_CALLS = 4;
-/** Callers should come back after so long at the latest, in ms: until then, much may have changed. */
+/** Longest delay after which a refused caller should retry, in ms: the load may change a lot in this time. */
 const MAX_RETRY_DELAY_MS = 2_000;
-/** Stands for a wait whose end is not known, in ms: longer than any caller waits. */
+/** Stands for a wait of unknown length, in ms: longer than any caller waits. */
 const UNKNOWN_WAIT_MS = 60_000;
-/** When a caller should come back that no runner can take, in ms. */
+/** Retry delay of a call that no runner can take, in ms. */
 const NO_RUNNER_RETRY_DELAY_MS = 250;
 
-/** See the module's comment. */
+/** Grants, queues and refuses requests for the places of one group of runners. */
 export class PlaceDispatcher {
   readonly #group: RunnerGroup;
   readonly #queue = new PlaceQueue();
@@ -60,7 +64,7 @@
   readonly #backoff = new RunnerBackoff();
   readonly #retryTimes = new RetryTimes();
   readonly #capacityTracker: CapacityTracker;
-  /** Leases of requests, also of those that wait. */
+  /** Leases by request, including those of calls that still wait. */
   readonly #leaseByRequest = new Map<RequestId, number>();
   readonly #maxReportAgeMs: number;
   #lastRequestAtMs = Number.NEGATIVE_INFINITY;
@@ -76,24 +80,24 @@
     this.#maxReportAgeMs = maxReportAgeMs;
   }
 
-  /** Calls that wait. */
+  /** Number of calls that wait. */
   get waiting(): number {
     return this.#queue.size;
   }
 
-  /** Leases out. */
+  /** Number of leases in force. */
   get leased(): number {
     return this.#leases.size;
   }
 
-  /** Places of the group, and those of them that are free. */
+  /** Places of the group, and how many of them are free. */
   capacity(nowMs: number): GroupCapacity {
     return this.#capacityTracker.groupCapacity(this.#holdingTimes.averageMs, nowMs);
   }
 
-  /** Whether a call gets a place. A question that is repeated gets the answer as it stands. */
+  /** Grants a place to a call, queues it or refuses it. A repeated request gets the answer that is valid now. */
   requestPlace(call: PlaceCall, holder: string, nowMs: number): PlaceDecision {
-    // While nobody asks, gateways place their calls alone.
+    // While no requests arrive, gateways place their calls without this dispatcher.
     if (nowMs - this.#lastRequestAtMs > this.#maxReportAgeMs) this.#capacityTracker.recordInitialLoads(nowMs);
     this.#lastRequestAtMs = nowMs;
     const existing = this.#existingDecision(call, holder, nowMs);
@@ -105,7 +109,7 @@
     return decision;
   }
 
-  /** Takes a place back, or a call out of the queue. */
+  /** Frees a place, or removes a call from the queue. */
   release({ lease, heldMs, turnedAway }: ReturnedPlace, nowMs: number): void {
     const waiting = this.#queue.get(lease);
     if (waiting) return this.#removeWaiting(waiting);
@@ -119,13 +123,13 @@
     }
   }
 
-  /** Forgets a request whose asker did not get the answer. */
+  /** Removes a request whose gateway did not receive the answer. */
   withdraw(request: RequestId, nowMs: number): void {
     const lease = this.#leaseByRequest.get(request);
     if (lease !== undefined) this.release({ lease, heldMs: 0, turnedAway: false }, nowMs);
   }
 
-  /** Forgets what a gateway that is gone holds and waits for. */
+  /** Ends the leases and removes the waiting calls of a gateway that is gone. */
   dropHolder(holder: string): void {
     for (const waiting of this.#queue.calls()) if (waiting.holder === holder) this.#removeWaiting(waiting);
     for (const lease of this.#leases.leases()) if (lease.holder === holder) this.#endLease(lease, 0);
@@ -137,7 +141,7 @@
       if (nowMs >= lease.endsAtMs) this.#endLease(lease, nowMs - lease.grantedAtMs);
   }
 
-  /** Hands out what is free to those that wait, and refuses those that have waited too long. */
+  /** Grants free places to waiting calls, and refuses calls that have waited too long. */
   settle(nowMs: number): PlaceSettlement[] {
     const settled: PlaceSettlement[] = [];
     if (this.#queue.size === 0) return settled;
@@ -160,7 +164,7 @@
     return settled;
   }
 
-  /** Empties the queue; returns who waited. */
+  /** Empties the queue and returns the calls that waited. */
   drain(): WaitingCall[] {
     const waiting = [...this.#queue.calls()];
     for (const call of waiting) this.#removeWaiting(call);
@@ -208,7 +212,10 @@
     };
   }
 
-  /** The answer to a question that came before; a call that asks again because of its runner gets a new one. */
+  /**
+   * The answer to a request that was answered before. Undefined if there was none, or if the call now excludes the runner
+   * that it was granted: its lease ends, and the request is decided anew.
+   */
   #existingDecision(call: PlaceCall, holder: string, nowMs: number): PlaceGrant | PlaceQueued | undefined {
     const leaseId = this.#leaseByRequest.get(call.request);
     if (leaseId === undefined) return undefined;
@@ -216,7 +223,7 @@
     if (waiting?.holder === holder)
       return { type: "queued", lease: leaseId, expectedMs: this.#expectedWaitMs(waiting, nowMs) };
     const lease = this.#leases.get(leaseId);
-    // Callers choose their identifiers: another gateway's call may have the same one.
+    // Callers choose the request identifiers: a call of another gateway may have the same one.
     if (lease?.holder !== holder) return undefined;
     if (!call.excluded.includes(lease.runner)) return grantOf(lease, nowMs);
     this.#endLease(lease, 0);
@@ -265,7 +272,7 @@
     return timeToFreeMs(Math.max(0, ahead + 1 - capacity.free), capacity);
   }
 
-  /** Whether others wait until there is memory for a call. */
+  /** Whether the calls behind a call wait until a runner has enough memory for it. */
   #blocksOthers({ call, arrivedAtMs }: WaitingCall, nowMs: number): boolean {
     return call.excluded.length === 0 && nowMs - arrivedAtMs > MAX_SKIP_MS;
   }
@@ -292,7 +299,7 @@
   return { type: "granted", runner, lease, leaseMs: endsAtMs - nowMs, waitedMs };
 }
 
-/** How long it takes until so many places come free. */
+/** How long it takes until this many places become free, in ms. */
 function timeToFreeMs(places: number, { placesFreedPerMs }: GroupCapacity): number {
   return places === 0 ? 0 : Math.min(UNKNOWN_WAIT_MS, places / placesFreedPerMs);
 }
--- a/src/scheduling/place-queue/place-forecast.ts
+++ b/src/scheduling/place-queue/place-forecast.ts
@@ -1,6 +1,6 @@
-/** What a refusal was decided by. */
+/** The forecast on which a refusal is based. */
 export interface PlaceForecast {
-  /** How long the call would have waited, in ms. */
+  /** Expected wait of the call, in ms. */
   readonly expectedMs: number;
   /** How long calls of its route hold their places, in ms. */
   readonly holdingMs: number;
--- a/src/scheduling/place-queue/place-grant.ts
+++ b/src/scheduling/place-queue/place-grant.ts
@@ -1,14 +1,14 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { TenantName } from "../ids/tenant-name.ts";
 
-/** A place that was handed out. */
+/** A place that was granted to a call. */
 export interface PlaceGrant {
   readonly type: "granted";
   readonly runner: RunnerId;
   readonly lease: number;
-  /** After this time the lease ends by itself, in ms. */
+  /** Time after which the lease expires, in ms. */
   readonly leaseMs: number;
   readonly waitedMs: number;
-  /** Whose call got a place last before this one, if this one waited. */
+  /** Tenant of the call that got a place right before this one, if this one waited. */
   readonly behind?: TenantName | undefined;
 }
--- a/src/scheduling/place-queue/place-queue.ts
+++ b/src/scheduling/place-queue/place-queue.ts
@@ -1,6 +1,7 @@
 /**
- * Calls that wait for a place of a group of runners, and their order: priority, then fairness between tenants, then what a
- * tenant's own programs need. It looks at every call each time; forecasts keep their number low. Pure.
+ * Calls that wait for a place of a group of runners. They are ordered by priority, then by fairness between tenants, then
+ * by the deadlines of a tenant's own programs. Lookups by order scan all calls; the dispatcher's forecasts keep their
+ * number low. No I/O.
  */
 import { agedRank } from "./aged-rank.ts";
 import { goesBefore } from "./goes-before.ts";
@@ -8,21 +9,21 @@
 import type { TenantShare } from "./tenant-share.ts";
 import type { WaitingCall } from "./waiting-call.ts";
 
-/** See the module's comment. */
+/** The queue of one group of runners. */
 export class PlaceQueue {
   readonly #waiting = new Map<number, WaitingCall>();
 
-  /** Calls that wait. */
+  /** Number of calls that wait. */
   get size(): number {
     return this.#waiting.size;
   }
 
-  /** Every call that waits. */
+  /** Every waiting call. */
   calls(): IterableIterator<WaitingCall> {
     return this.#waiting.values();
   }
 
-  /** The call that waits for a lease. */
+  /** The waiting call to which a lease will be granted. */
   get(lease: number): WaitingCall | undefined {
     return this.#waiting.get(lease);
   }
@@ -38,7 +39,7 @@
   /**
    * The call that gets the next place.
    *
-   * @param skipped calls that are passed over
+   * @param skipped calls that are not considered
    */
   first(nowMs: number, skipped: ReadonlySet<WaitingCall>): WaitingCall | undefined {
     let first: WaitingCall | undefined;
@@ -50,7 +51,7 @@
   }
 
   /**
-   * How many of the calls that wait get a place before one that comes now, if nobody else comes.
+   * How many waiting calls get a place before a given one, if no more calls arrive.
    *
    * @param holdingMs how long calls hold their places
    */
@@ -71,7 +72,7 @@
         waiting.share.countedCalls += 1;
       }
     }
-    // Where the comer's tenant will be by the time that the comer is its next call.
+    // What the candidate's tenant will have used by the time that the candidate is its next call.
     const candidateUsedMs = candidate.share.usedMs + (sameTenantAhead * holdingMs) / candidate.share.weight;
     for (const share of otherShares) {
       const placesBefore = Math.ceil(((candidateUsedMs - share.usedMs) * share.weight) / holdingMs);
--- a/src/scheduling/place-queue/place-queued.ts
+++ b/src/scheduling/place-queue/place-queued.ts
@@ -1,4 +1,4 @@
-/** A call that waits; the lease is the one that it will have. */
+/** A call that waits. The lease is the one that it will get. */
 export interface PlaceQueued {
   readonly type: "queued";
   readonly lease: number;
--- a/src/scheduling/place-queue/place-refused.ts
+++ b/src/scheduling/place-queue/place-refused.ts
@@ -4,9 +4,9 @@
 /** A call that gets no place. */
 export interface PlaceRefused {
   readonly type: "refused";
-  /** When there is likely to be one, in ms. */
+  /** Time after which a place is likely to be free, in ms. */
   readonly retryAfterMs: number;
   readonly reason: PlaceRefusalReason;
-  /** Left out where no forecast was made. */
+  /** Omitted if no forecast was made. */
   readonly forecast?: PlaceForecast;
 }
--- a/src/scheduling/place-queue/place-settlement.ts
+++ b/src/scheduling/place-queue/place-settlement.ts
@@ -1,9 +1,9 @@
 import type { PlaceGrant } from "./place-grant.ts";
 import type { PlaceRefused } from "./place-refused.ts";
 
-/** What has become of a call that waited. */
+/** The final decision on a call that waited. */
 export interface PlaceSettlement {
-  /** The gateway that asked. */
+  /** The gateway that requested the place. */
   readonly holder: string;
   readonly lease: number;
   readonly decision: PlaceGrant | PlaceRefused;
--- a/src/scheduling/place-queue/retry-times.ts
+++ b/src/scheduling/place-queue/retry-times.ts
@@ -1,19 +1,22 @@
 /**
- * When callers that are refused should come back: one after the other as places come free, not all at one moment. Pure.
+ * Spreads the retries of refused callers over time: one after another as places become free, not all at once. No I/O.
  */
 
-/** Times further than this beyond the first are given out anew from it on, in ms: callers do not wait for longer. */
+/**
+ * How far a retry may lie behind the earliest possible one, in ms. Beyond that, retries are assigned from the earliest
+ * time again: callers do not wait for longer.
+ */
 const RETRY_WINDOW_MS = 1_000;
 
-/** See the module's comment. */
+/** Assigns retry times to refused callers. */
 export class RetryTimes {
   #lastAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * How long the next caller should stay away, in ms.
+   * Delay after which the next refused caller should retry, in ms.
    *
-   * @param earliestMs when there may be a place at the earliest, from now
-   * @param intervalMs how often a place comes free
+   * @param earliestMs shortest time until a place may be free
+   * @param intervalMs time between two places that become free
    */
   next(nowMs: number, earliestMs: number, intervalMs: number): number {
     const earliestAtMs = nowMs + earliestMs;
--- a/src/scheduling/place-queue/runner-backoff.ts
+++ b/src/scheduling/place-queue/runner-backoff.ts
@@ -1,10 +1,10 @@
 /**
- * Runners that turned calls away, or could not be reached, although they had a place by what is known here. Each gets
- * nothing for a while, twice as long each time, until a call has ended well there. Pure.
+ * Backs off from runners that rejected a call or could not be reached, although they should have had a free place. Such a
+ * runner gets no calls for a while, twice as long each time, until a call completes there. No I/O.
  */
 import type { RunnerId } from "../ids/runner-id.ts";
 
-/** For how long the first time, in ms: about the time of a short call, after which a place may be free. */
+/** First pause, in ms: about the time of a short call, after which a place may be free. */
 const MIN_PAUSE_MS = 50;
 const MAX_PAUSE_MS = 1_000;
 
@@ -13,17 +13,17 @@
   readonly untilMs: number;
 }
 
-/** See the module's comment. */
+/** Exponential back-off per runner. */
 export class RunnerBackoff {
   readonly #pauses = new Map<RunnerId, Pause>();
 
-  /** Whether the runner gets nothing now. */
+  /** Whether the runner gets no calls now. */
   isPaused(runner: RunnerId, nowMs: number): boolean {
     const pause = this.#pauses.get(runner);
     return pause !== undefined && nowMs < pause.untilMs;
   }
 
-  /** The runner turned a call away. Several at once are one sign. */
+  /** Records that the runner rejected a call. Further rejections during a pause do not count. */
   recordRejection(runner: RunnerId, nowMs: number): void {
     const pause = this.#pauses.get(runner);
     if (pause && nowMs < pause.untilMs) return;
@@ -31,7 +31,7 @@
     this.#pauses.set(runner, { durationMs, untilMs: nowMs + durationMs });
   }
 
-  /** A call was over at the runner. */
+  /** Ends the back-off, since a call has completed at the runner. */
   reset(runner: RunnerId): void {
     this.#pauses.delete(runner);
   }
--- a/src/scheduling/place-queue/tenant-share.ts
+++ b/src/scheduling/place-queue/tenant-share.ts
@@ -1,15 +1,15 @@
 import type { TenantName } from "../ids/tenant-name.ts";
 
-/** What a tenant has had of the places. */
+/** A tenant's use of the places. */
 export interface TenantShare {
-  /** Undefined for all calls without a tenant together. */
+  /** Undefined for all calls without a tenant, which are counted together. */
   readonly tenant: TenantName | undefined;
-  /** Part of the places that is the tenant's, relative to those of others. */
+  /** Share of the places that the tenant is entitled to, relative to other tenants. */
   readonly weight: number;
-  /** Place-time used by weight, in ms: virtual time of fair queueing. */
+  /** Time that places were held, divided by the weight, in ms: the virtual time of fair queueing. */
   usedMs: number;
-  /** Calls that wait, and places that are held. */
+  /** Number of calls that wait or hold a place. */
   active: number;
-  /** Calls that were counted while a forecast is made. */
+  /** Calls counted so far by a forecast in progress; 0 otherwise. */
   countedCalls: number;
 }
--- a/test/contract/place-dispatcher.test.ts
+++ b/test/contract/place-dispatcher.test.ts
@@ -1,4 +1,4 @@
-/** Who gets the next place, who is refused, and what becomes of leases that are not given back. */
+/** Which call gets the next place, which calls are refused, and how leases end that are never released. */
 import { beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import type { ProgramId } from "../../src/scheduling/ids/program-id.ts";
@@ -51,7 +51,7 @@
   const fill = (count: number) => Array.from({ length: count }, () => leaseOf(requestPlace(0)));
   const settledLeases = (nowMs: number) => dispatcher.settle(nowMs).map(({ lease }) => lease);
 
-  /** The order in which calls that wait get a place, by the index of their question. */
+  /** The order in which waiting calls get a place, as indexes of `calls`. */
   function grantOrder(nowMs: number, calls: readonly Partial<PlaceCall>[]): number[] {
     const held = fill(2);
     const leases = calls.map((call) => leaseOf(requestPlace(1, call)));
@@ -66,7 +66,7 @@
     return order;
   }
 
-  it("hands out as many places as runners have, and then one for each that comes back", () => {
+  it("grants as many places as the runners have, and then one for each place that is released", () => {
     const [first] = fill(2);
     const queued = requestPlace(0);
     expect(queued).toLooseEqual({ type: "queued", lease: 3, expectedMs: 100 });
@@ -88,7 +88,7 @@
     ]);
   });
 
-  it("prefers what is important, and after a while what has waited", () => {
+  it("prefers important calls, and after a while calls that have waited", () => {
     expect(grantOrder(2, [{ rank: 2 }, { rank: 0 }, { rank: 1 }])).toEqual([1, 2, 0]);
     createDispatcher(1, 2);
     fill(2);
@@ -110,12 +110,12 @@
     expect(grantOrder(2, calls)).toEqual([3, 1, 2, 0]);
   });
 
-  it("gives tenants places in turn, by what they have used", () => {
+  it("alternates between tenants, by the time for which they have held places", () => {
     const tenant = "small" as TenantName;
     expect(grantOrder(2, [{}, {}, {}, { tenant }])[0]).toEqual(3);
   });
 
-  it("refuses at once what cannot have a place in its time, each with a later time to come back", () => {
+  it("refuses at once calls that cannot get a place in time, each with a longer retry delay", () => {
     fill(2);
     for (let count = 0; count < 10; count += 1) requestPlace(0);
     const refusals = [
@@ -127,8 +127,8 @@
     expect(retryDelaysMs).toEqual([800, 900, 1_000]);
   });
 
-  // Guards against 503 for calls that last longer than the longest wait, although they have the time for both.
-  it("lets calls wait that are held for long, as long as they can be over in time", () => {
+  // Guards against status 503 for calls that run for longer than they may wait, although they have time for both.
+  it("queues calls of a slow route as long as they can finish in time", () => {
     group.averageMs = 2_000;
     fill(2);
     const call = { program: undefined, patienceMs: 1_500 };
@@ -145,16 +145,16 @@
     });
   });
 
-  // Guards against waiting in vain until the caller's time is over.
-  it("refuses a call that waits as soon as it could not be over in time any more", () => {
+  // Guards against a useless wait until the caller times out.
+  it("refuses a waiting call as soon as it can no longer finish in time", () => {
     fill(2);
     requestPlace(0, { patienceMs: 900, leftMs: 900 });
     expect(dispatcher.settle(690)).toEqual([]);
     expect(dispatcher.settle(700)[0]?.decision.type).toEqual("refused");
   });
 
-  // Guards against runners that get twice what they work on, after one short call has ended among long ones.
-  it("takes no single call for a sign that those before it have ended", () => {
+  // Guards against giving runners twice as many calls as they have slots, after one short call has ended among long ones.
+  it("does not conclude from a single short call that earlier calls have ended", () => {
     const [runner] = group.entries.map(({ id }) => id) as [RunnerId];
     group.averageCallMs = (minCalls?: number) => ((minCalls ?? 1) > 1 ? undefined : 5);
     group.loadByRunner.set(runner, 2);
@@ -165,7 +165,7 @@
     expect(settledLeases(310)).toEqual([queuedLease]);
   });
 
-  it("lets programs begin only while others hardly wait", () => {
+  it("lets programs begin only while the expected wait is short", () => {
     fill(2);
     expect(requestPlace(0, { hasBegun: false, dueInMs: 6_000 }).type).toEqual("queued");
     expect(requestPlace(0, { hasBegun: false, dueInMs: 2_000 })).toLooseEqual({
@@ -177,13 +177,13 @@
     expect(requestPlace(0, { hasBegun: false, program: undefined, dueInMs: 2_000 }).type).toEqual("queued");
   });
 
-  it("expects longer waits when calls are held for longer, before any of them is over", () => {
+  it("expects longer waits once calls hold their places for longer, before any of them ends", () => {
     fill(2);
     expect(requestPlace(0)).toLooseEqual({ type: "queued", lease: 3, expectedMs: 100 });
     expect(requestPlace(1_000)).toLooseEqual({ type: "queued", lease: 4, expectedMs: 1_000 });
   });
 
-  it("refuses those that have waited as long as they can", () => {
+  it("refuses calls that have waited for as long as they may", () => {
     fill(2);
     requestPlace(0, { patienceMs: 400 });
     expect(dispatcher.settle(399)).toEqual([]);
@@ -191,7 +191,7 @@
     expect(dispatcher.waiting).toEqual(0);
   });
 
-  it("keeps within a runner's memory, and lets others pass a large call for a while only", () => {
+  it("keeps within a runner's memory, and skips a large call for a limited time only", () => {
     group.memoryTokens = 100;
     requestPlace(0, { tokens: 60 });
     const large = leaseOf(requestPlace(0, { tokens: 50 }));
@@ -204,7 +204,7 @@
     expect(settledLeases(201)).toEqual([large, 4]);
   });
 
-  it("fills runners evenly, and goes to the one that holds the prompt", () => {
+  it("fills runners evenly, and prefers the runner that has cached the prompt", () => {
     createDispatcher(3, 2);
     const runners = [
       requestPlace(0),
@@ -216,7 +216,7 @@
     expect(runners.slice(2)).toEqual(["r1" as RunnerId, "r2" as RunnerId]);
   });
 
-  it("gives nothing to a runner that turned a call away, for longer each time, and other runners to the call", () => {
+  it("backs off from a runner that rejected a call, for longer each time, and grants the call another runner", () => {
     createDispatcher(2, 1);
     const first = leaseOf(requestPlace(0));
     dispatcher.release({ lease: first, heldMs: 2, turnedAway: true }, 0);
@@ -237,7 +237,7 @@
     expect(settledLeases(160)).toEqual([4]);
   });
 
-  it("refuses a call that has met every runner", () => {
+  it("refuses a call that has tried every runner", () => {
     expect(requestPlace(0, { excluded: ["r0" as RunnerId] })).toLooseEqual({
       type: "refused",
       reason: "no-runner",
@@ -245,8 +245,8 @@
     });
   });
 
-  describe("when something is lost", () => {
-    it("repeats its answer to a question that comes again", () => {
+  describe("after lost messages, gateways or runners", () => {
+    it("repeats its answer to a repeated request", () => {
       const granted = requestPlace(0);
       requestPlace(0);
       const queued = requestPlace(0);
@@ -255,7 +255,7 @@
       expect([dispatcher.leased, dispatcher.waiting]).toEqual([2, 1]);
     });
 
-    it("takes the same identifier at another gateway for another call", () => {
+    it("treats the same identifier from another gateway as another call", () => {
       createDispatcher(1, 3);
       const first = leaseOf(requestPlace(0));
       const other = leaseOf(requestPlace(1, { request: "q1" as RequestId }, "other"));
@@ -264,7 +264,7 @@
       expect(dispatcher.leased).toEqual(1);
     });
 
-    it("ends leases that nobody gives back, and none of a number that it has not given out", () => {
+    it("ends leases that are never released, and ignores the release of an unknown lease", () => {
       fill(2);
       requestPlace(0, { patienceMs: 10_000 });
       dispatcher.release({ lease: 77, ...HELD_FOR_200_MS }, 1);
@@ -274,7 +274,7 @@
       expect(settledLeases(4_000)).toEqual([3]);
     });
 
-    it("takes back what a gateway that is gone held and waited for", () => {
+    it("frees the places of a gateway that is gone, and removes its waiting calls", () => {
       requestPlace(0, {}, "dead");
       requestPlace(0);
       requestPlace(0, {}, "dead");
@@ -284,7 +284,7 @@
       expect([dispatcher.leased, dispatcher.waiting]).toEqual([2, 0]);
     });
 
-    it("forgets a question whose answer came too late for its asker", () => {
+    it("removes a request that is withdrawn since its answer came too late", () => {
       fill(2);
       requestPlace(0);
       dispatcher.withdraw("q1" as RequestId, 1);
@@ -292,31 +292,31 @@
       expect([dispatcher.leased, dispatcher.waiting]).toEqual([1, 0]);
     });
 
-    it("counts all that heartbeats tell of when it begins, until newer ones come", () => {
+    it("counts all requests that heartbeats report when it starts, until newer heartbeats arrive", () => {
       group.loadByRunner.set("r0" as RunnerId, 2);
       expect(requestPlace(0).type).toEqual("queued");
       expect(settledLeases(999)).toEqual([]);
       expect(settledLeases(1_000)).toEqual([1]);
     });
 
-    it("expects what was there when it began to end as calls do", () => {
+    it("assumes that requests from before its start end after the average call time", () => {
       group.loadByRunner.set("r0" as RunnerId, 2);
       group.averageMs = 200;
       expect(requestPlace(0).type).toEqual("queued");
       expect(settledLeases(99)).toEqual([]);
       expect(settledLeases(100)).toEqual([1]);
-      // While nobody asked, others have placed calls again.
+      // While no requests arrived, others have placed calls again.
       dispatcher.release({ lease: 1, ...HELD_FOR_200_MS }, 200);
       expect(requestPlace(1_300).type).toEqual("queued");
     });
 
-    it("counts calls that no dispatcher placed", () => {
+    it("counts requests that no dispatcher placed", () => {
       requestPlace(0);
       group.undispatchedByRunner.set("r0" as RunnerId, 1);
       expect(requestPlace(1_000).type).toEqual("queued");
     });
 
-    it("hands out nothing of a runner that is gone", () => {
+    it("grants no places of a runner that is gone", () => {
       createDispatcher(2, 1);
       fill(2);
       const queuedLease = leaseOf(requestPlace(0));
--- a/test/contract/support/place-load.ts
+++ b/test/contract/support/place-load.ts
@@ -1,4 +1,4 @@
-/** Programs that compete for the places of a few runners, on time that passes in steps of a ms. */
+/** Simulates programs that compete for the places of a few runners, on virtual time in steps of one ms. */
 import type { ProgramId } from "../../../src/scheduling/ids/program-id.ts";
 import type { RequestId } from "../../../src/scheduling/ids/request-id.ts";
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
@@ -19,7 +19,7 @@
 const TURN_DEADLINE_MS = 3_000;
 const MAX_TRIES = 3;
 
-/** Runners that are alike, without calls of others. */
+/** Identical runners, by default without requests that others placed. */
 export class FakeRunnerGroup extends RunnerGroup {
   readonly entries: RunnerEntry[] = [];
   readonly undispatchedByRunner = new Map<RunnerId, number>();
@@ -58,7 +58,7 @@
   }
 }
 
-/** Programs of one kind that begin in a run. */
+/** Programs of one kind that start during a run. */
 export interface Demand {
   readonly tenant: string;
   readonly perSecond: number;
@@ -66,11 +66,11 @@
   readonly untilMs?: number;
   readonly rank?: number;
   readonly turns: number;
-  /** Lines of two turns that run side by side after the first turn. */
+  /** Sub-agents that start together after the first turn, with two turns each. */
   readonly subAgents?: number;
 }
 
-/** What became of programs. */
+/** Numbers of programs by their outcome. */
 export interface OutcomeCounts {
   inTime: number;
   late: number;
@@ -89,24 +89,25 @@
 
 interface Turn {
   readonly program: Program;
+  /** Of the program, including this turn; negative for the turns of a sub-agent. */
   readonly turnsLeft: number;
   readonly triesLeft: number;
   readonly deadlineAtMs: number;
   isOver: boolean;
 }
 
-/** Decides who gets a place; answers at once or later. */
+/** Decides which turn gets a place; answers at once or later. */
 interface Policy {
   requestPlace(turn: Turn, nowMs: number): void;
   release(turn: Turn, heldMs: number, nowMs: number): void;
   tick(nowMs: number): void;
 }
 
-/** See the module's comment. */
+/** Runs programs against one policy and counts their outcomes. */
 export class PlaceLoadSimulation {
   readonly outcomes = new Map<string, OutcomeCounts>();
   readonly waitsMs: number[] = [];
-  /** Longest number of calls that waited at once. */
+  /** Most calls that waited at the same time. */
   maxWaiting = 0;
   readonly #actionsByTime = new Map<number, (() => void)[]>();
   readonly #holdingMsAt: (nowMs: number) => number;
@@ -128,7 +129,7 @@
     }
   }
 
-  /** Share of the tenants' programs with such a fate. */
+  /** Share of the matching tenants' programs that had this outcome. */
   share(outcome: keyof OutcomeCounts, matches: (tenant: string) => boolean = () => true): number {
     let matching = 0;
     let all = 0;
@@ -208,7 +209,7 @@
     const { perSecond, fromMs = 0, untilMs = durationMs, turns, subAgents = 0 } = demand;
     const intervalMs = 1_000 / perSecond;
     const unloadedMs = (turns + (subAgents > 0 ? 2 : 0)) * (TURN_MS + TURN_GAP_MS);
-    // Tenants do not begin together: each has its place within a step.
+    // Tenants do not start together: each has its own offset within an interval.
     for (let atMs = fromMs + (intervalMs * (this.#sequence % 17)) / 17; atMs < untilMs; atMs += intervalMs)
       this.#schedule(Math.floor(atMs), () => {
         this.#sequence += 1;
@@ -228,7 +229,7 @@
   }
 }
 
-/** Runners take calls in the order of their arrival, and turn away what is beyond as many again as they work on. */
+/** Runners serve calls in order of arrival. They queue as many calls as they have slots, and reject the rest. */
 class FirstComeFirstServed implements Policy {
   readonly #simulation: PlaceLoadSimulation;
   readonly #queue: { turn: Turn; arrivedAtMs: number }[] = [];
@@ -258,6 +259,7 @@
   }
 }
 
+/** Places are granted by a dispatcher. */
 class DispatchedPlaces implements Policy {
   readonly #simulation: PlaceLoadSimulation;
   readonly #waitingTurns = new Map<number, Turn>();
