--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -2,7 +2,7 @@
 
 import type { CallContext } from "../../ports/call-protocol.ts";
 import type { TimerHandle } from "../../runtime/clock.ts";
-import { canStillEnd } from "../../scheduling/admission/can-still-end.ts";
+import { canFinishInTime } from "../../scheduling/admission/can-finish-in-time.ts";
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import type { PlaceCall } from "../../scheduling/place-queue/index.ts";
 import type { Route, RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
@@ -252,7 +252,7 @@
   /** Whether a first try may be made at a runner, or another one can still end in the call's time. */
   protected hasTimeAt(runner: RunnerEntry): boolean {
     if (this.#tries === 0 || !this.#choice) return true;
-    return canStillEnd(this.leftMs, this.parts.board.expectedMs(runner.id, this.#choice));
+    return canFinishInTime(this.leftMs, this.parts.board.expectedMs(runner.id, this.#choice));
   }
 
   /** Sends the call to a runner; false when it has been tried too often. */
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -4,7 +4,7 @@
  */
 
 import type { HttpAnswerHead } from "../../ports/http/http-exchange.ts";
-import { mayBegin } from "../../scheduling/admission/program-admission.ts";
+import { mayStartProgram } from "../../scheduling/admission/program-admission.ts";
 import type { ProgramId } from "../../scheduling/ids/program-id.ts";
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
@@ -148,7 +148,7 @@
     const occupancy = board.occupancy(this.pool.name);
     const { admission } = this.record;
     if (admission) this.record.admission = { ...admission, occupancy: roundedShare(occupancy) };
-    return mayBegin({ occupancy, rank: this.rank, sample: context.random.unit() });
+    return mayStartProgram({ occupancy, rank: this.rank, sample: context.random.unit() });
   }
 
   #noteAdmission(partition: number, answer: AdmitTurnResponse, elapsedMs: number): void {
--- a/src/node/calls/completion-conclusions.ts
+++ b/src/node/calls/completion-conclusions.ts
@@ -1,7 +1,7 @@
 /** How completions end: the outcome for the caller, what is charged, and why it was decided so. */
 import { problemOf } from "../../errors/tulipwheel-error.ts";
 import type { GenerateResult } from "../../ports/engine/engine-client.ts";
-import { utf8Length } from "../../scheduling/admission/worst-case-tokens.ts";
+import { utf8LengthBound } from "../../scheduling/admission/worst-case-tokens.ts";
 import type { Decision } from "../../scheduling/decision/decision.ts";
 import type { CallOutcome } from "../../scheduling/program/records.ts";
 import type { NodeContext } from "../node-context.ts";
@@ -61,7 +61,7 @@
   /** The caller has hung up. */
   cancelled(job: CompletionJob, progress: CompletionProgress): CallConclusion {
     const problem = problemOf("back-end-failed", "The caller hung up, and the call was cancelled.");
-    const spent = promptTokensBound(job) + utf8Length(job.active.text);
+    const spent = promptTokensBound(job) + utf8LengthBound(job.active.text);
     return this.#conclude(job, progress, failedWith(problem), spent);
   }
 
--- a/src/scheduling/admission/program-admission.ts
+++ b/src/scheduling/admission/program-admission.ts
@@ -4,16 +4,16 @@
  */
 
 /** Share of the places that are taken from which on some programs are refused, for the most important routes. */
-const FIRST_REFUSED = 0.9;
+const REFUSAL_START_OCCUPANCY = 0.9;
 /** From so much more on, all of them are. */
-const RAMP = 0.35;
+const REFUSAL_RAMP_OCCUPANCY = 0.35;
 /** Less important routes are refused this much earlier, for each rank. */
-const RANK_STEP = 0.1;
+const RANK_STEP_OCCUPANCY = 0.1;
 /** Ranks beyond this are treated alike, so that nothing is refused while three in ten places are free. */
-const MOST_RANKS = 2;
+const MAX_RANK = 2;
 
 /** What the decision depends on. */
-export interface ProgramStart {
+export interface ProgramAdmissionInput {
   /** Requests at the runners as a share of their places. */
   readonly occupancy: number;
   /** Of tenant and route, as operators give it: 0 is the most important. */
@@ -23,7 +23,7 @@
 }
 
 /** See the module's comment. */
-export function mayBegin({ occupancy, rank, sample }: ProgramStart): boolean {
-  const firstRefused = FIRST_REFUSED - RANK_STEP * Math.min(rank, MOST_RANKS);
-  return sample >= (occupancy - firstRefused) / RAMP;
+export function mayStartProgram({ occupancy, rank, sample }: ProgramAdmissionInput): boolean {
+  const refusalStartOccupancy = REFUSAL_START_OCCUPANCY - RANK_STEP_OCCUPANCY * Math.min(rank, MAX_RANK);
+  return sample >= (occupancy - refusalStartOccupancy) / REFUSAL_RAMP_OCCUPANCY;
 }
--- a/src/scheduling/admission/worst-case-tokens.ts
+++ b/src/scheduling/admission/worst-case-tokens.ts
@@ -15,13 +15,13 @@
 export function messageTokensBound(messages: readonly ChatMessage[]): number {
   let bound = 0;
   for (const { role, content } of messages) {
-    bound += utf8Length(content) + utf8Length(role) + TOKENS_PER_MESSAGE;
+    bound += utf8LengthBound(content) + utf8LengthBound(role) + TOKENS_PER_MESSAGE;
   }
   return bound;
 }
 
 /** Bytes of a text in UTF-8, without building them. */
-export function utf8Length(text: string): number {
+export function utf8LengthBound(text: string): number {
   let bytes = 0;
   for (let position = 0; position < text.length; position++) {
     const unit = text.charCodeAt(position);
--- a/src/scheduling/queue/runner-queue.ts
+++ b/src/scheduling/queue/runner-queue.ts
@@ -28,11 +28,11 @@
 
 interface QueuedRequest {
   readonly request: SlotRequest;
-  readonly arrivedMs: number;
+  readonly arrivedAtMs: number;
 }
 
 /** Part of a new measurement in the moving average of service times. */
-const AVERAGE_GAIN = 0.1;
+const NEWEST_SAMPLE_WEIGHT = 0.1;
 
 /** See the module's comment. */
 export class RunnerQueue {
@@ -44,7 +44,7 @@
   readonly #queued = new Map<string, QueuedRequest>();
   #averageServiceMs: number;
   #draining = false;
-  #foreignActive = 0;
+  #earlierHomeActive = 0;
 
   constructor(options: RunnerQueueOptions) {
     this.#slots = options.slots;
@@ -81,7 +81,7 @@
 
   /** Calls on the runner that an earlier home granted; they take up slots until they end. */
   setForeignActive(count: number): void {
-    this.#foreignActive = count;
+    this.#earlierHomeActive = count;
   }
 
   /** Stops or resumes giving out work; a draining queue refuses what waits. */
@@ -91,7 +91,7 @@
 
   /** Estimated wait of a request that arrived now, in ms. */
   expectedWaitMs(): number {
-    const ahead = this.#granted.size + this.#foreignActive + this.#queued.size + 1 - this.#slots;
+    const ahead = this.#granted.size + this.#earlierHomeActive + this.#queued.size + 1 - this.#slots;
     return ahead <= 0 ? 0 : (ahead * this.#averageServiceMs) / this.#slots;
   }
 
@@ -101,7 +101,7 @@
     if (this.#granted.has(key) || this.#queued.has(key)) return true;
     if (this.#draining || this.#queued.size >= this.#maxQueued) return false;
     if (request.promptTokens + request.maxTokens > this.#kvTokens) return false;
-    this.#queued.set(key, { request, arrivedMs: nowMs });
+    this.#queued.set(key, { request, arrivedAtMs: nowMs });
     return true;
   }
 
@@ -109,12 +109,12 @@
   grantNext(nowMs: number): GrantedSlot[] {
     const granted: GrantedSlot[] = [];
     if (this.#draining) return granted;
-    while (this.#granted.size + this.#foreignActive < this.#slots) {
+    while (this.#granted.size + this.#earlierHomeActive < this.#slots) {
       const next = this.#mostUrgent(nowMs);
       if (!next) break;
       const key = slotKey(next.request.call, next.request.attempt);
       this.#queued.delete(key);
-      const slot = { request: next.request, grantedAtMs: nowMs, waitedMs: nowMs - next.arrivedMs };
+      const slot = { request: next.request, grantedAtMs: nowMs, waitedMs: nowMs - next.arrivedAtMs };
       this.#granted.set(key, slot);
       granted.push(slot);
     }
@@ -134,14 +134,14 @@
     if (!slot) return;
     this.#granted.delete(key);
     const serviceMs = nowMs - slot.grantedAtMs;
-    this.#averageServiceMs += (serviceMs - this.#averageServiceMs) * AVERAGE_GAIN;
+    this.#averageServiceMs += (serviceMs - this.#averageServiceMs) * NEWEST_SAMPLE_WEIGHT;
   }
 
   /** Takes out the requests that have waited longer than they may, or all of them while draining. */
   takeExpired(nowMs: number): SlotRequest[] {
     const expired: SlotRequest[] = [];
-    for (const [key, { request, arrivedMs }] of this.#queued) {
-      if (!this.#draining && nowMs - arrivedMs < request.patienceMs) continue;
+    for (const [key, { request, arrivedAtMs }] of this.#queued) {
+      if (!this.#draining && nowMs - arrivedAtMs < request.patienceMs) continue;
       this.#queued.delete(key);
       expired.push(request);
     }
@@ -174,15 +174,15 @@
     return attainedPerWeight(left) < attainedPerWeight(right);
   }
 
-  #agedRank({ request, arrivedMs }: QueuedRequest, nowMs: number): number {
+  #agedRank({ request, arrivedAtMs }: QueuedRequest, nowMs: number): number {
     const rank = PRIORITY_CLASSES.indexOf(request.priorityClass);
-    return rank - Math.floor((nowMs - arrivedMs) / this.#agingStepMs);
+    return rank - Math.floor((nowMs - arrivedAtMs) / this.#agingStepMs);
   }
 }
 
-function slackOf({ request, arrivedMs }: QueuedRequest, nowMs: number): number {
+function slackOf({ request, arrivedAtMs }: QueuedRequest, nowMs: number): number {
   if (request.slackMs === undefined) return Number.POSITIVE_INFINITY;
-  return request.slackMs - (nowMs - arrivedMs);
+  return request.slackMs - (nowMs - arrivedAtMs);
 }
 
 function attainedPerWeight({ request }: QueuedRequest): number {
--- a/src/scheduling/runner-selection/choose-runner.ts
+++ b/src/scheduling/runner-selection/choose-runner.ts
@@ -37,10 +37,10 @@
 ): readonly Alternative[] {
   const eligible = input.runners.filter((runner) => isEligible(runner, input));
   const candidates = pickCandidates(eligible, input);
-  const priced = candidates.map((runner) => priceOf(runner, input, costs));
+  const alternatives = candidates.map((runner) => estimateCost(runner, input, costs));
   // The sort is stable: among equals the first sampled wins, so that leaders do not all run to the same one.
-  priced.sort((left, right) => left.totalMs - right.totalMs);
-  return priced.map((alternative, rank) => ({ ...alternative, chosen: rank === 0 }));
+  alternatives.sort((left, right) => left.totalMs - right.totalMs);
+  return alternatives.map((alternative, rank) => ({ ...alternative, chosen: rank === 0 }));
 }
 
 function isEligible(runner: RunnerView, input: RunnerChoiceInput): boolean {
@@ -49,16 +49,16 @@
 }
 
 function pickCandidates(eligible: readonly RunnerView[], input: RunnerChoiceInput): RunnerView[] {
-  const holders = eligible.filter((runner) => cachedTokens(runner, input) > 0);
-  const others = eligible.filter((runner) => !holders.includes(runner));
+  const candidates = eligible.filter((runner) => cachedTokens(runner, input) > 0);
+  const others = eligible.filter((runner) => !candidates.includes(runner));
   for (const sample of input.samples) {
     const [picked] = others.splice(Math.floor(sample * others.length), 1);
-    if (picked) holders.push(picked);
+    if (picked) candidates.push(picked);
   }
-  return holders;
+  return candidates;
 }
 
-function priceOf(runner: RunnerView, input: RunnerChoiceInput, costs: RunnerCosts): Alternative {
+function estimateCost(runner: RunnerView, input: RunnerChoiceInput, costs: RunnerCosts): Alternative {
   const cached = Math.min(cachedTokens(runner, input), input.promptTokens);
   const prefillMs = (input.promptTokens - cached) / costs.prefillTokensPerMs;
   const transferMs = runner.zone === input.zone ? 0 : costs.crossZoneMs;
--- a/src/scheduling/urgency/turn-urgency.ts
+++ b/src/scheduling/urgency/turn-urgency.ts
@@ -6,7 +6,7 @@
 import type { Urgency } from "./urgency.ts";
 
 /** What is known of a turn. */
-export interface TurnState {
+export interface TurnTiming {
   /** Time until the program should be over, in ms; negative once it is late. */
   readonly timeLeftMs: number;
   /** Time within which the operators want the first piece of an answer, in ms: the measure of short and long here. */
@@ -14,16 +14,16 @@
 }
 
 /** Of the programs that can still end in time, those with the least time left. */
-const SHORTEST: Urgency = 1;
-const LONGEST: Urgency = 7;
+const MOST_URGENT: Urgency = 1;
+const LEAST_URGENT_IN_TIME: Urgency = 7;
 /** Programs that are late: worth less, and nothing once they are very late. */
 const LATE: Urgency = 8;
 /** The shortest class ends at this many times the target for a first piece. */
-const FIRST_CLASS_TARGETS = 2.5;
+const MOST_URGENT_TARGET_RATIO = 2.5;
 
 /** See the module's comment. */
-export function turnUrgency({ timeLeftMs, targetLatencyMs }: TurnState): Urgency {
+export function turnUrgency({ timeLeftMs, targetLatencyMs }: TurnTiming): Urgency {
   if (timeLeftMs <= 0) return LATE;
-  const classes = Math.log2(timeLeftMs / (targetLatencyMs * FIRST_CLASS_TARGETS));
-  return Math.min(LONGEST, SHORTEST + Math.max(0, Math.ceil(classes)));
+  const doublings = Math.log2(timeLeftMs / (targetLatencyMs * MOST_URGENT_TARGET_RATIO));
+  return Math.min(LEAST_URGENT_IN_TIME, MOST_URGENT + Math.max(0, Math.ceil(doublings)));
 }
--- a/test/contract/runner-balance.test.ts
+++ b/test/contract/runner-balance.test.ts
@@ -2,7 +2,7 @@
 import { describe, it, type TestContext } from "node:test";
 import { expect } from "earl";
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
-import { canStillEnd } from "../../src/scheduling/admission/can-still-end.ts";
+import { canFinishInTime } from "../../src/scheduling/admission/can-finish-in-time.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import { CostByLoad } from "../../src/scheduling/runner-board/cost-by-load.ts";
 import { CostByTime } from "../../src/scheduling/runner-board/cost-by-time.ts";
@@ -163,7 +163,7 @@
 
 describe("a further try", () => {
   it("is made while half of the expected time is left, or nothing is expected", () => {
-    expect([canStillEnd(100, 200), canStillEnd(99, 200), canStillEnd(1, undefined)]).toEqual([
+    expect([canFinishInTime(100, 200), canFinishInTime(99, 200), canFinishInTime(1, undefined)]).toEqual([
       true,
       false,
       true,
--- a/test/contract/scheduling.test.ts
+++ b/test/contract/scheduling.test.ts
@@ -4,7 +4,7 @@
 import { checkCall, checkProgram } from "../../src/scheduling/admission/check-call.ts";
 import {
   messageTokensBound,
-  utf8Length,
+  utf8LengthBound,
   worstCaseTokens,
 } from "../../src/scheduling/admission/worst-case-tokens.ts";
 import { type EffectivePolicy, isRepeatable } from "../../src/scheduling/policy/effective-policy.ts";
@@ -80,7 +80,7 @@
 
   it("never takes a text for fewer bytes than it has", () => {
     for (const text of ["", "abc", "é", "€", "𝄞", "mi-sud € 𝄞"]) {
-      expect(utf8Length(text) >= Buffer.byteLength(text)).toEqual(true);
+      expect(utf8LengthBound(text) >= Buffer.byteLength(text)).toEqual(true);
     }
     expect(
       worstCaseTokens(7, { ...COMPLETION, messages: [{ role: "user", content: "abc" }] } as never),
@@ -97,7 +97,7 @@
   });
 });
 
-function slot(call: string, changes: Partial<SlotRequest> = {}): SlotRequest {
+function slotRequest(call: string, changes: Partial<SlotRequest> = {}): SlotRequest {
   return {
     call,
     attempt: 1,
@@ -116,33 +116,36 @@
 
 describe("runner queue", () => {
   const ORDERS: [string, SlotRequest[], string[]][] = [
-    ["first come, first served among equals", [slot("a"), slot("b")], ["a", "b"]],
+    ["first come, first served among equals", [slotRequest("a"), slotRequest("b")], ["a", "b"]],
     [
       "the more urgent class first",
-      [slot("a", { priorityClass: "batch" }), slot("b", { priorityClass: "interactive" })],
+      [slotRequest("a", { priorityClass: "batch" }), slotRequest("b", { priorityClass: "interactive" })],
       ["b", "a"],
     ],
     [
       "less slack first within a class",
-      [slot("a", { slackMs: 900 }), slot("b", { slackMs: 100 })],
+      [slotRequest("a", { slackMs: 900 }), slotRequest("b", { slackMs: 100 })],
       ["b", "a"],
     ],
-    ["a deadline before none", [slot("a"), slot("b", { slackMs: 5_000 })], ["b", "a"]],
+    ["a deadline before none", [slotRequest("a"), slotRequest("b", { slackMs: 5_000 })], ["b", "a"]],
     [
       "less attained service first",
-      [slot("a", { attainedServiceMs: 500 }), slot("b", { attainedServiceMs: 20 })],
+      [slotRequest("a", { attainedServiceMs: 500 }), slotRequest("b", { attainedServiceMs: 20 })],
       ["b", "a"],
     ],
     [
       "attained service by weight",
-      [slot("a", { attainedServiceMs: 500, weight: 100 }), slot("b", { attainedServiceMs: 20 })],
+      [
+        slotRequest("a", { attainedServiceMs: 500, weight: 100 }),
+        slotRequest("b", { attainedServiceMs: 20 }),
+      ],
       ["a", "b"],
     ],
   ];
   for (const [name, requests, expected] of ORDERS) {
     it(`grants ${name}`, () => {
       const queue = new RunnerQueue({ slots: 1, kvTokens: 1_000 });
-      queue.offer(slot("running"), 0);
+      queue.offer(slotRequest("running"), 0);
       queue.grantNext(0);
       for (const request of requests) queue.offer(request, 1);
       const granted: string[] = [];
@@ -158,22 +161,22 @@
 
   it("lets nobody wait for ever: who has waited counts as more urgent", () => {
     const queue = new RunnerQueue({ slots: 1, kvTokens: 1_000, agingStepMs: 100 });
-    queue.offer(slot("old", { priorityClass: "batch" }), 0);
-    queue.offer(slot("new", { priorityClass: "interactive" }), 350);
+    queue.offer(slotRequest("old", { priorityClass: "batch" }), 0);
+    queue.offer(slotRequest("new", { priorityClass: "interactive" }), 350);
     expect(queue.grantNext(400)[0].request.call).toEqual("old");
   });
 
   it("grants no more than the slots and the memory hold", () => {
     const queue = new RunnerQueue({ slots: 8, kvTokens: 45 });
-    for (const call of ["a", "b", "c"]) queue.offer(slot(call), 0);
+    for (const call of ["a", "b", "c"]) queue.offer(slotRequest(call), 0);
     expect(queue.grantNext(0).length).toEqual(2);
-    expect(queue.offer(slot("huge", { promptTokens: 100 }), 0)).toEqual(false);
+    expect(queue.offer(slotRequest("huge", { promptTokens: 100 }), 0)).toEqual(false);
   });
 
   it("counts the calls of an earlier home as taking up slots", () => {
     const queue = new RunnerQueue({ slots: 2, kvTokens: 1_000 });
     queue.setForeignActive(2);
-    queue.offer(slot("a"), 0);
+    queue.offer(slotRequest("a"), 0);
     expect(queue.grantNext(0)).toEqual([]);
     queue.setForeignActive(1);
     expect(queue.grantNext(0).length).toEqual(1);
@@ -181,17 +184,17 @@
 
   it("gives out nothing while draining, and refuses who waits", () => {
     const queue = new RunnerQueue({ slots: 1, kvTokens: 1_000 });
-    queue.offer(slot("a"), 0);
+    queue.offer(slotRequest("a"), 0);
     queue.setDraining(true);
     expect(queue.grantNext(0)).toEqual([]);
     expect(queue.takeExpired(0).map(({ call }) => call)).toEqual(["a"]);
-    expect(queue.offer(slot("b"), 0)).toEqual(false);
+    expect(queue.offer(slotRequest("b"), 0)).toEqual(false);
   });
 
   it("gives up on who has waited longer than it may", () => {
     const queue = new RunnerQueue({ slots: 0, kvTokens: 1_000 });
-    queue.offer(slot("a", { patienceMs: 50 }), 0);
-    queue.offer(slot("b", { patienceMs: 500 }), 0);
+    queue.offer(slotRequest("a", { patienceMs: 50 }), 0);
+    queue.offer(slotRequest("b", { patienceMs: 500 }), 0);
     expect(queue.takeExpired(100).map(({ call }) => call)).toEqual(["a"]);
   });
 });
--- a/test/contract/turn-order.test.ts
+++ b/test/contract/turn-order.test.ts
@@ -1,7 +1,7 @@
 /** Which turns go first at the runners, and which programs may begin. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { mayBegin } from "../../src/scheduling/admission/program-admission.ts";
+import { mayStartProgram } from "../../src/scheduling/admission/program-admission.ts";
 import { turnUrgency } from "../../src/scheduling/urgency/turn-urgency.ts";
 
 const TARGET_MS = 200;
@@ -35,20 +35,22 @@
 
 describe("admission of programs", () => {
   it("refuses nothing while half of the places are free, whatever the rank", () => {
-    for (const rank of [0, 1, 2, 9]) expect(mayBegin({ occupancy: 0.5, rank, sample: 0 })).toEqual(true);
+    for (const rank of [0, 1, 2, 9])
+      expect(mayStartProgram({ occupancy: 0.5, rank, sample: 0 })).toEqual(true);
   });
 
   it("refuses everything that begins once places are taken and many wait", () => {
-    for (const rank of [0, 1, 2, 9]) expect(mayBegin({ occupancy: 1.3, rank, sample: 0.999 })).toEqual(false);
+    for (const rank of [0, 1, 2, 9])
+      expect(mayStartProgram({ occupancy: 1.3, rank, sample: 0.999 })).toEqual(false);
   });
 
   it("refuses less important routes first, and more the fuller the runners are", () => {
-    const refusedPart = (occupancy: number, rank: number) => {
+    const refusedPercent = (occupancy: number, rank: number) => {
       const samples = Array.from({ length: 100 }, (_, index) => index / 100);
-      return samples.filter((sample) => !mayBegin({ occupancy, rank, sample })).length;
+      return samples.filter((sample) => !mayStartProgram({ occupancy, rank, sample })).length;
     };
     for (const occupancy of [0.85, 0.95, 1.05])
-      expect(refusedPart(occupancy, 1) > refusedPart(occupancy, 0)).toEqual(true);
-    expect(refusedPart(1.1, 0) > refusedPart(1, 0)).toEqual(true);
+      expect(refusedPercent(occupancy, 1) > refusedPercent(occupancy, 0)).toEqual(true);
+    expect(refusedPercent(1.1, 0) > refusedPercent(1, 0)).toEqual(true);
   });
 });
