--- a/src/scheduling/admission/can-finish-in-time.ts
+++ b/src/scheduling/admission/can-finish-in-time.ts
@@ -1,13 +1,13 @@
 /**
- * Least part of the expected time that must be left: the estimate is an average, and some calls take half of it; beyond
- * that a runner would nearly always work for a caller who is gone.
+ * Least time left, as a part of the expected time. The expected time is an average, and some calls take half of it; with
+ * less time left, a runner would nearly always work for a caller that has timed out.
  */
 const MIN_TIME_RATIO = 0.5;
 
 /**
- * Whether a call can still end in its caller's time at a runner. Pure.
+ * Whether a call can still finish at a runner within its caller's time. Pure.
  *
- * @param expectedMs undefined where nothing is expected: the call is given its chance
+ * @param expectedMs undefined if there is no estimate; the call is then tried
  */
 export function canFinishInTime(leftMs: number, expectedMs: number | undefined): boolean {
   return expectedMs === undefined || leftMs >= MIN_TIME_RATIO * expectedMs;
--- a/src/scheduling/admission/check-call.ts
+++ b/src/scheduling/admission/check-call.ts
@@ -3,18 +3,18 @@
 import type { EffectivePolicy } from "../policy/effective-policy.ts";
 import type { CallRequest, ProgramRecord } from "../program/records.ts";
 
-/** Why a call or program may not go on. */
+/** Why a call or a program is refused. */
 export interface AdmissionRefusal {
   readonly kind: ErrorKindName;
   readonly detail: string;
-  /** The rule, as `explain` shows it. */
+  /** The rule that refused it, as `explain` shows it. */
   readonly rule: string;
-  /** Figures for `explain`, beside those of the program. */
+  /** Values for `explain`, in addition to those of the program. */
   readonly inputs?: Partial<DecisionInputs>;
   readonly limit?: { readonly name: string; readonly allowed: number; readonly reached: number };
 }
 
-/** Checks a call against its program's template. Undefined when it may go on. */
+/** Checks a call against its program's template. Undefined if it is admitted. */
 export function checkCall(
   program: ProgramRecord,
   policy: EffectivePolicy,
@@ -24,7 +24,7 @@
   return checkTarget(policy, request) ?? checkLimits(program, policy, request, nowMs);
 }
 
-/** Checks a new program against its template. Undefined when it may be opened. */
+/** Checks a new program against its template. Undefined if it may be opened. */
 export function checkProgram(
   policy: EffectivePolicy,
   depth: number,
--- a/src/scheduling/admission/program-admission.ts
+++ b/src/scheduling/admission/program-admission.ts
@@ -1,28 +1,29 @@
 /**
- * Whether a program may begin. Beyond what the runners can do, every program more makes all of them late: some are refused
- * before they have begun, so that the others end in time. What has begun goes on. Pure.
+ * Decides whether a program may start. Beyond the capacity of the runners, each further program makes all of them late.
+ * Some are therefore refused before they start, so that the others finish in time. Programs that have begun continue.
+ * Pure.
  */
 
-/** Share of the places that are taken from which on some programs are refused, for the most important routes. */
+/** Occupancy from which some programs of the most important routes are refused. */
 const REFUSAL_START_OCCUPANCY = 0.9;
-/** From so much more on, all of them are. */
+/** Further increase of the occupancy at which all of them are refused. */
 const REFUSAL_RAMP_OCCUPANCY = 0.35;
-/** Less important routes are refused this much earlier, for each rank. */
+/** Less important routes are refused from an occupancy that is lower by this much per rank. */
 const RANK_STEP_OCCUPANCY = 0.1;
-/** Ranks beyond this are treated alike, so that nothing is refused while three in ten places are free. */
+/** Greater ranks count as this one, so that nothing is refused while three in ten places are free. */
 const MAX_RANK = 2;
 
-/** What the decision depends on. */
+/** Inputs of the decision. */
 export interface ProgramAdmissionInput {
   /** Requests at the runners as a share of their places. */
   readonly occupancy: number;
-  /** Of tenant and route, as operators give it: 0 is the most important. */
+  /** Combined rank of tenant and route, as set by the operators; 0 is the most important. */
   readonly rank: number;
-  /** A number in [0, 1), drawn at random. */
+  /** A random number in [0, 1). */
   readonly sample: number;
 }
 
-/** See the module's comment. */
+/** Whether a program may start. */
 export function mayStartProgram({ occupancy, rank, sample }: ProgramAdmissionInput): boolean {
   const refusalStartOccupancy = REFUSAL_START_OCCUPANCY - RANK_STEP_OCCUPANCY * Math.min(rank, MAX_RANK);
   return sample >= (occupancy - refusalStartOccupancy) / REFUSAL_RAMP_OCCUPANCY;
--- a/src/scheduling/admission/worst-case-tokens.ts
+++ b/src/scheduling/admission/worst-case-tokens.ts
@@ -4,14 +4,14 @@
 const TOKENS_PER_MESSAGE = 8;
 
 /**
- * An upper bound of a completion's cost. The history's tokens were counted by an engine; of new text, no token is
+ * An upper bound of a completion's tokens. The tokens of the history were counted by an engine; in new text, no token is
  * shorter than a byte.
  */
 export function worstCaseTokens(historyTokens: number, request: CompletionRequest): number {
   return historyTokens + messageTokensBound(request.messages) + request.maxTokens;
 }
 
-/** An upper bound of the tokens in some messages. */
+/** An upper bound of the tokens in messages. */
 export function messageTokensBound(messages: readonly ChatMessage[]): number {
   let bound = 0;
   for (const { role, content } of messages) {
@@ -20,7 +20,10 @@
   return bound;
 }
 
-/** Bytes of a text in UTF-8, without building them. */
+/**
+ * An upper bound of the bytes of a text in UTF-8, without encoding it. Characters beyond the basic multilingual plane
+ * count as six bytes instead of four.
+ */
 export function utf8LengthBound(text: string): number {
   let bytes = 0;
   for (let position = 0; position < text.length; position++) {
--- a/src/scheduling/queue/runner-queue.ts
+++ b/src/scheduling/queue/runner-queue.ts
@@ -1,21 +1,21 @@
 /**
- * What a runner's home knows of its runner: the slots it granted and the requests that wait.
- * It needs no load report for that; reports only correct it.
+ * The state that a runner's home keeps of its runner: the slots that it granted and the requests that wait.
+ * It does not depend on load reports; they only correct it.
  */
 import { PRIORITY_CLASSES } from "../policy/effective-policy.ts";
 import { type SlotRequest, slotKey } from "./slot-request.ts";
 
 /** Options of a {@link RunnerQueue}. */
 export interface RunnerQueueOptions {
-  /** Calls that the runner works on together. */
+  /** Calls that the runner processes at the same time. */
   readonly slots: number;
-  /** Tokens of key-value cache that the runner has for calls in progress. */
+  /** Capacity of the runner's key-value cache for calls in progress, in tokens. */
   readonly kvTokens: number;
   /** Waiting time after which a request counts as one class more urgent, in ms. Default 10,000. */
   readonly agingStepMs?: number;
   /** Requests that may wait. Default 1,024. */
   readonly maxQueued?: number;
-  /** Assumed length of a call before any was measured, in ms. Default 500. */
+  /** Assumed duration of a call before one was measured, in ms. Default 500. */
   readonly initialServiceMs?: number;
 }
 
@@ -31,10 +31,10 @@
   readonly arrivedAtMs: number;
 }
 
-/** Part of a new measurement in the moving average of service times. */
+/** Weight of the newest sample in the moving average of service times. */
 const NEWEST_SAMPLE_WEIGHT = 0.1;
 
-/** See the module's comment. */
+/** Slots and waiting requests of one runner. */
 export class RunnerQueue {
   readonly #slots: number;
   readonly #kvTokens: number;
@@ -54,22 +54,22 @@
     this.#averageServiceMs = options.initialServiceMs ?? 500;
   }
 
-  /** Slots in use. */
+  /** Number of slots in use. */
   get active(): number {
     return this.#granted.size;
   }
 
-  /** Requests that wait. */
+  /** Number of requests that wait. */
   get queued(): number {
     return this.#queued.size;
   }
 
-  /** Slots in all. */
+  /** Total number of slots. */
   get slots(): number {
     return this.#slots;
   }
 
-  /** Whether no new work is given out. */
+  /** Whether the queue grants no new slots. */
   get draining(): boolean {
     return this.#draining;
   }
@@ -79,23 +79,23 @@
     return this.#granted.values();
   }
 
-  /** Calls on the runner that an earlier home granted; they take up slots until they end. */
+  /** Sets how many calls on the runner an earlier home granted; they use slots until they end. */
   setForeignActive(count: number): void {
     this.#earlierHomeActive = count;
   }
 
-  /** Stops or resumes giving out work; a draining queue refuses what waits. */
+  /** Stops or resumes granting slots. A draining queue also refuses the requests that wait. */
   setDraining(draining: boolean): void {
     this.#draining = draining;
   }
 
-  /** Estimated wait of a request that arrived now, in ms. */
+  /** Estimated wait of a request that arrives now, in ms. */
   expectedWaitMs(): number {
     const ahead = this.#granted.size + this.#earlierHomeActive + this.#queued.size + 1 - this.#slots;
     return ahead <= 0 ? 0 : (ahead * this.#averageServiceMs) / this.#slots;
   }
 
-  /** Puts a request in line. Returns false when the queue takes none. A request in line already stays where it is. */
+  /** Adds a request. Returns false if the queue rejects it. A request that is already known keeps its position. */
   offer(request: SlotRequest, nowMs: number): boolean {
     const key = slotKey(request.call, request.attempt);
     if (this.#granted.has(key) || this.#queued.has(key)) return true;
@@ -126,7 +126,7 @@
     return this.#granted.get(slotKey(call, attempt));
   }
 
-  /** Frees the slot of an attempt, or takes its request out of the line. */
+  /** Frees the slot of an attempt, or removes its request from the queue. */
   release(call: string, attempt: number, nowMs: number): void {
     const key = slotKey(call, attempt);
     const slot = this.#granted.get(key);
@@ -137,7 +137,7 @@
     this.#averageServiceMs += (serviceMs - this.#averageServiceMs) * NEWEST_SAMPLE_WEIGHT;
   }
 
-  /** Takes out the requests that have waited longer than they may, or all of them while draining. */
+  /** Removes and returns the requests that have waited for as long as they may, or all requests while draining. */
   takeExpired(nowMs: number): SlotRequest[] {
     const expired: SlotRequest[] = [];
     for (const [key, { request, arrivedAtMs }] of this.#queued) {
--- a/src/scheduling/queue/slot-request.ts
+++ b/src/scheduling/queue/slot-request.ts
@@ -1,6 +1,6 @@
 import type { PriorityClass } from "../policy/effective-policy.ts";
 
-/** What a shard's leader tells a runner's home about a call that wants to run. */
+/** A request of a shard's leader to a runner's home for a slot in which a call can run. */
 export interface SlotRequest {
   readonly call: string;
   readonly attempt: number;
@@ -8,7 +8,7 @@
   readonly tenant: string;
   readonly priorityClass: PriorityClass;
   readonly weight: number;
-  /** Time that the program has left, in ms; undefined without a deadline. */
+  /** Time left until the program's deadline, in ms; undefined without a deadline. */
   readonly slackMs: number | undefined;
   /** Time that back ends have spent on the program so far, in ms. */
   readonly attainedServiceMs: number;
--- a/src/scheduling/runner-selection/choose-runner.ts
+++ b/src/scheduling/runner-selection/choose-runner.ts
@@ -1,12 +1,12 @@
 /**
- * Chooses a runner for a call by estimated cost: expected wait, prefill of what is not cached, and distance.
- * Considered are the runners that hold the prefix and a few random ones; looking at all of them would make every
- * leader run to the same idle runner.
+ * Chooses a runner for a call by estimated cost: expected wait, prefill of the tokens that are not cached, and distance.
+ * The candidates are the runners that have cached the prefix and a few random ones: if every shard leader considered all
+ * runners, all of them would choose the same idle runner.
  */
 import type { Alternative } from "../decision/decision.ts";
 import type { CachedPrefix, RunnerView } from "./runner-view.ts";
 
-/** What the choice depends on. */
+/** Inputs of the choice. */
 export interface RunnerChoiceInput {
   readonly model: string;
   readonly promptTokens: number;
@@ -15,7 +15,7 @@
   readonly cached: readonly CachedPrefix[];
   /** Runners that have already refused this call. */
   readonly excluded: readonly string[];
-  /** Random numbers in [0, 1), one for each random candidate wanted. */
+  /** Random numbers in [0, 1), one for each random candidate. */
   readonly samples: readonly number[];
 }
 
@@ -30,7 +30,7 @@
 /** Costs assumed until an engine reports its own. */
 export const DEFAULT_RUNNER_COSTS: RunnerCosts = { prefillTokensPerMs: 8, crossZoneMs: 2 };
 
-/** Orders the candidates by cost; the first is the choice. Empty when no runner may take the call. */
+/** Orders the candidates by cost; the first one is chosen. Empty if no runner may take the call. */
 export function chooseRunner(
   input: RunnerChoiceInput,
   costs: RunnerCosts = DEFAULT_RUNNER_COSTS,
@@ -38,7 +38,7 @@
   const eligible = input.runners.filter((runner) => isEligible(runner, input));
   const candidates = pickCandidates(eligible, input);
   const alternatives = candidates.map((runner) => estimateCost(runner, input, costs));
-  // The sort is stable: among equals the first sampled wins, so that leaders do not all run to the same one.
+  // The sort is stable: among equal costs the first sample wins, so that leaders do not all choose the same runner.
   alternatives.sort((left, right) => left.totalMs - right.totalMs);
   return alternatives.map((alternative, rank) => ({ ...alternative, chosen: rank === 0 }));
 }
--- a/src/scheduling/runner-selection/runner-view.ts
+++ b/src/scheduling/runner-selection/runner-view.ts
@@ -1,4 +1,4 @@
-/** What a shard's leader knows of a runner; may be some seconds old, except right after the home answered. */
+/** What a shard's leader knows about a runner; may be some seconds old, except right after the runner's home answered. */
 export interface RunnerView {
   readonly runner: string;
   /** Models that the runner serves. */
@@ -6,9 +6,9 @@
   readonly zone: string;
   /** IP address and port of the engine's interface. */
   readonly address: string;
-  /** Address of the node that is the runner's home; undefined while there is none. */
+  /** Address of the runner's home, the node that grants its slots; undefined while there is none. */
   readonly home: string | undefined;
-  /** The home's fencing token: a larger one is a newer home. */
+  /** Fencing token of the home; a newer home has a larger one. */
   readonly fencingToken: number;
   readonly leaving: boolean;
   readonly slots: number;
--- a/src/scheduling/urgency/turn-urgency.ts
+++ b/src/scheduling/urgency/turn-urgency.ts
@@ -1,27 +1,28 @@
 /**
- * In which order turns that wait at a runner go on. Only a program as a whole counts, and it is worth most if it ends in
- * time. So turns of programs that can still end in time come before those that cannot; among the former, the less time
- * is left the sooner. Classes of time double from one to the next, since runners know only ten.
+ * The order in which runners serve waiting turns. Only whole programs matter, and they are worth most if they finish in
+ * time. So turns of programs that can still finish in time come before those of late programs; among the former, the
+ * least time left comes first. Each class covers twice the time of the one before, since runners know only ten classes.
  */
 import type { Urgency } from "./urgency.ts";
 
-/** What is known of a turn. */
+/** The times on which the urgency of a turn depends. */
 export interface TurnTiming {
-  /** Time until the program should be over, in ms; negative once it is late. */
+  /** Time until the program should be finished, in ms; negative once it is late. */
   readonly timeLeftMs: number;
-  /** Time within which the operators want the first piece of an answer, in ms: the measure of short and long here. */
+  /** Target time for the first piece of an answer, in ms, set by the operators. The classes are multiples of it. */
   readonly targetLatencyMs: number;
 }
 
-/** Of the programs that can still end in time, those with the least time left. */
+/** Turns of programs that can still finish in time, with the least time left. */
 const MOST_URGENT: Urgency = 1;
+/** Turns of programs that can still finish in time, with the most time left. */
 const LEAST_URGENT_IN_TIME: Urgency = 7;
-/** Programs that are late: worth less, and nothing once they are very late. */
+/** Turns of late programs: they are worth less, and nothing once they are very late. */
 const LATE: Urgency = 8;
-/** The shortest class ends at this many times the target for a first piece. */
+/** Upper limit of the most urgent class, as a multiple of the target latency. */
 const MOST_URGENT_TARGET_RATIO = 2.5;
 
-/** See the module's comment. */
+/** The urgency class of a turn. */
 export function turnUrgency({ timeLeftMs, targetLatencyMs }: TurnTiming): Urgency {
   if (timeLeftMs <= 0) return LATE;
   const doublings = Math.log2(timeLeftMs / (targetLatencyMs * MOST_URGENT_TARGET_RATIO));
--- a/src/scheduling/urgency/urgency.ts
+++ b/src/scheduling/urgency/urgency.ts
@@ -1,2 +1,2 @@
-/** How urgent a request is among those that wait at a runner: 0 goes first, 9 last. */
+/** Urgency of a request among those that wait at a runner: 0 is served first, 9 last. */
 export type Urgency = number;
--- a/test/contract/scheduling.test.ts
+++ b/test/contract/scheduling.test.ts
@@ -51,17 +51,23 @@
 
 describe("admission of calls", () => {
   const CASES: [string, ProgramRecord, CallRequest, number, ErrorKindName | undefined][] = [
-    ["lets a call within all limits pass", program(), COMPLETION, 0, undefined],
+    ["admits a call within all limits", program(), COMPLETION, 0, undefined],
     ["refuses a model that is not listed", program(), { ...COMPLETION, model: "x" }, 0, "unknown-model"],
     ["refuses a service that is not listed", program(), { ...SERVICE, service: "x" }, 0, "unknown-service"],
-    ["lets the last turn pass", program({ nextNumber: 3 }), COMPLETION, 0, undefined],
-    ["refuses one turn more", program({ nextNumber: 4 }), COMPLETION, 0, "limit-reached"],
+    ["admits the last turn", program({ nextNumber: 3 }), COMPLETION, 0, undefined],
+    ["refuses a turn beyond the limit", program({ nextNumber: 4 }), COMPLETION, 0, "limit-reached"],
     ["counts service calls as turns", program({ nextNumber: 4 }), SERVICE, 0, "limit-reached"],
-    ["refuses after the wall time", program(), COMPLETION, 1_001, "limit-reached"],
-    ["refuses a history that is full", program({ historyTokens: 100 }), COMPLETION, 0, "limit-reached"],
-    ["lets services go on with a full history", program({ historyTokens: 100 }), SERVICE, 0, undefined],
+    ["refuses a call after the wall time", program(), COMPLETION, 1_001, "limit-reached"],
     [
-      "refuses an answer that may be too long",
+      "refuses a completion when the history is full",
+      program({ historyTokens: 100 }),
+      COMPLETION,
+      0,
+      "limit-reached",
+    ],
+    ["admits service calls with a full history", program({ historyTokens: 100 }), SERVICE, 0, undefined],
+    [
+      "refuses a completion whose answer may be too long",
       program(),
       { ...COMPLETION, maxTokens: 51 },
       0,
@@ -78,7 +84,7 @@
     expect(checkProgram(POLICY, 0, 2)?.limit?.name).toEqual("openPrograms");
   });
 
-  it("never takes a text for fewer bytes than it has", () => {
+  it("never underestimates the bytes of a text", () => {
     for (const text of ["", "abc", "é", "€", "𝄞", "mi-sud € 𝄞"]) {
       expect(utf8LengthBound(text) >= Buffer.byteLength(text)).toEqual(true);
     }
@@ -116,7 +122,7 @@
 
 describe("runner queue", () => {
   const ORDERS: [string, SlotRequest[], string[]][] = [
-    ["first come, first served among equals", [slotRequest("a"), slotRequest("b")], ["a", "b"]],
+    ["equal requests in order of arrival", [slotRequest("a"), slotRequest("b")], ["a", "b"]],
     [
       "the more urgent class first",
       [slotRequest("a", { priorityClass: "batch" }), slotRequest("b", { priorityClass: "interactive" })],
@@ -127,14 +133,18 @@
       [slotRequest("a", { slackMs: 900 }), slotRequest("b", { slackMs: 100 })],
       ["b", "a"],
     ],
-    ["a deadline before none", [slotRequest("a"), slotRequest("b", { slackMs: 5_000 })], ["b", "a"]],
+    [
+      "a request with a deadline before one without",
+      [slotRequest("a"), slotRequest("b", { slackMs: 5_000 })],
+      ["b", "a"],
+    ],
     [
       "less attained service first",
       [slotRequest("a", { attainedServiceMs: 500 }), slotRequest("b", { attainedServiceMs: 20 })],
       ["b", "a"],
     ],
     [
-      "attained service by weight",
+      "less attained service per weight first",
       [
         slotRequest("a", { attainedServiceMs: 500, weight: 100 }),
         slotRequest("b", { attainedServiceMs: 20 }),
@@ -159,21 +169,21 @@
     });
   }
 
-  it("lets nobody wait for ever: who has waited counts as more urgent", () => {
+  it("counts requests that have waited as more urgent, so that none starves", () => {
     const queue = new RunnerQueue({ slots: 1, kvTokens: 1_000, agingStepMs: 100 });
     queue.offer(slotRequest("old", { priorityClass: "batch" }), 0);
     queue.offer(slotRequest("new", { priorityClass: "interactive" }), 350);
     expect(queue.grantNext(400)[0].request.call).toEqual("old");
   });
 
-  it("grants no more than the slots and the memory hold", () => {
+  it("grants no more than slots and memory allow", () => {
     const queue = new RunnerQueue({ slots: 8, kvTokens: 45 });
     for (const call of ["a", "b", "c"]) queue.offer(slotRequest(call), 0);
     expect(queue.grantNext(0).length).toEqual(2);
     expect(queue.offer(slotRequest("huge", { promptTokens: 100 }), 0)).toEqual(false);
   });
 
-  it("counts the calls of an earlier home as taking up slots", () => {
+  it("counts the calls of an earlier home as slots in use", () => {
     const queue = new RunnerQueue({ slots: 2, kvTokens: 1_000 });
     queue.setForeignActive(2);
     queue.offer(slotRequest("a"), 0);
@@ -182,7 +192,7 @@
     expect(queue.grantNext(0).length).toEqual(1);
   });
 
-  it("gives out nothing while draining, and refuses who waits", () => {
+  it("grants nothing while draining, and refuses waiting requests", () => {
     const queue = new RunnerQueue({ slots: 1, kvTokens: 1_000 });
     queue.offer(slotRequest("a"), 0);
     queue.setDraining(true);
@@ -191,7 +201,7 @@
     expect(queue.offer(slotRequest("b"), 0)).toEqual(false);
   });
 
-  it("gives up on who has waited longer than it may", () => {
+  it("expires requests that have waited for longer than they may", () => {
     const queue = new RunnerQueue({ slots: 0, kvTokens: 1_000 });
     queue.offer(slotRequest("a", { patienceMs: 50 }), 0);
     queue.offer(slotRequest("b", { patienceMs: 500 }), 0);
@@ -214,34 +224,34 @@
   });
   const base = { model: "m", promptTokens: 800, zone: "z", cached: [], excluded: [], samples: [0, 0] };
   const CASES: [string, RunnerView[], Partial<Parameters<typeof chooseRunner>[0]>, string | undefined][] = [
-    ["takes the shorter wait", [runner("a", { expectedWaitMs: 50 }), runner("b")], {}, "b"],
+    ["prefers the shorter wait", [runner("a", { expectedWaitMs: 50 }), runner("b")], {}, "b"],
     [
-      "takes the holder of the prefix",
+      "prefers the runner that has cached the prefix",
       [runner("a"), runner("b")],
       { cached: [{ runner: "b", tokens: 800 }] },
       "b",
     ],
     [
-      "leaves a holder that is too busy",
+      "avoids a runner that has cached the prefix but is too busy",
       [runner("a"), runner("b", { expectedWaitMs: 500 })],
       { cached: [{ runner: "b", tokens: 800 }] },
       "a",
     ],
     ["prefers its own zone", [runner("a", { zone: "y" }), runner("b")], {}, "b"],
     [
-      "passes over who is leaving",
+      "skips a runner that is leaving",
       [runner("a", { leaving: true }), runner("b", { expectedWaitMs: 99 })],
       {},
       "b",
     ],
     [
-      "passes over who has no home",
+      "skips a runner without a home",
       [runner("a", { home: undefined }), runner("b", { expectedWaitMs: 99 })],
       {},
       "b",
     ],
-    ["passes over other models", [runner("a", { models: ["x"] })], {}, undefined],
-    ["passes over who has refused", [runner("a")], { excluded: ["a"] }, undefined],
+    ["skips a runner that does not serve the model", [runner("a", { models: ["x"] })], {}, undefined],
+    ["skips a runner that has refused the call", [runner("a")], { excluded: ["a"] }, undefined],
   ];
   for (const [name, runners, changes, expected] of CASES) {
     it(name, () => {
@@ -250,7 +260,7 @@
     });
   }
 
-  it("does not always take the same among equals", () => {
+  it("does not always choose the same runner among equals", () => {
     const runners = [runner("a"), runner("b"), runner("c"), runner("d")];
     const chosen = [0.1, 0.4, 0.6, 0.9].map(
       (sample) => chooseRunner({ ...base, runners, samples: [sample, 0] })[0].runner,
--- a/test/contract/turn-order.test.ts
+++ b/test/contract/turn-order.test.ts
@@ -1,4 +1,4 @@
-/** Which turns go first at the runners, and which programs may begin. */
+/** The order in which runners serve turns, and which programs may start. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { mayStartProgram } from "../../src/scheduling/admission/program-admission.ts";
@@ -27,7 +27,7 @@
     });
   }
 
-  it("depends on the time left as measured by the target alone", () => {
+  it("depends only on the ratio of the time left to the target", () => {
     for (const [timeLeftMs, urgency] of CASES)
       expect(turnUrgency({ timeLeftMs: 7 * timeLeftMs, targetLatencyMs: 7 * TARGET_MS })).toEqual(urgency);
   });
@@ -39,12 +39,12 @@
       expect(mayStartProgram({ occupancy: 0.5, rank, sample: 0 })).toEqual(true);
   });
 
-  it("refuses everything that begins once places are taken and many wait", () => {
+  it("refuses all new programs once all places are taken and many calls wait", () => {
     for (const rank of [0, 1, 2, 9])
       expect(mayStartProgram({ occupancy: 1.3, rank, sample: 0.999 })).toEqual(false);
   });
 
-  it("refuses less important routes first, and more the fuller the runners are", () => {
+  it("refuses less important routes first, and more programs the fuller the runners are", () => {
     const refusedPercent = (occupancy: number, rank: number) => {
       const samples = Array.from({ length: 100 }, (_, index) => index / 100);
       return samples.filter((sample) => !mayStartProgram({ occupancy, rank, sample })).length;
