--- a/src/gateway/places/board-runner-group.ts
+++ b/src/gateway/places/board-runner-group.ts
@@ -22,7 +22,7 @@
     return this.#parts.groups.of(this.#pool)[this.#index]?.runners ?? [];
   }
 
-  override unplaced(runner: RunnerId): number {
+  override undispatched(runner: RunnerId): number {
     return this.#parts.board.unplaced(runner);
   }
 
@@ -30,8 +30,8 @@
     return this.#parts.board.load(runner);
   }
 
-  override usualMs(leastCalls: number): number | undefined {
-    return this.#parts.board.usualMs(this.#pool, leastCalls);
+  override averageCallMs(minCalls: number): number | undefined {
+    return this.#parts.board.usualMs(this.#pool, minCalls);
   }
 
   override get memoryTokens(): number | undefined {
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -7,9 +7,9 @@
 import type { RpcReply } from "../../runtime/rpc.ts";
 import type { Sender } from "../../runtime/transport.ts";
 import {
-  forecastAlone,
-  LEAST_CALLS,
+  forecastFromLocalLoad,
   longestWaitMs,
+  MIN_CALLS_FOR_AVERAGE,
   type PlaceCall,
   type PlaceDecision,
   type PlaceForecast,
@@ -292,7 +292,7 @@
   #localRefusal(requester: PlaceRequester): PlaceRefused | undefined {
     const { board, context } = this.#parts;
     const pool = requester.pool.name;
-    const forecast = forecastAlone(board.poolLoad(pool), board.usualMs(pool, LEAST_CALLS));
+    const forecast = forecastFromLocalLoad(board.poolLoad(pool), board.usualMs(pool, MIN_CALLS_FOR_AVERAGE));
     const excessMs = forecast.expectedMs - longestWaitMs(requester.describe(), forecast.holdingMs);
     if (forecast.expectedMs === 0 || excessMs <= 0) return undefined;
     const minDelayMs = Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, excessMs));
--- a/src/gateway/places/place-host.ts
+++ b/src/gateway/places/place-host.ts
@@ -55,7 +55,7 @@
   onReturned({ returned, withdrawn = [] }: ReturnPlaces): void {
     const nowMs = this.#nowMs;
     for (const group of this.#groups.values()) {
-      for (const place of returned) group.dispatcher.giveBack(place, nowMs);
+      for (const place of returned) group.dispatcher.release(place, nowMs);
       for (const request of withdrawn) group.dispatcher.withdraw(request, nowMs);
       this.#settleWaiting(group);
     }
@@ -75,7 +75,7 @@
     const hosted = this.#hostedGroup(pool, group);
     hosted.lastAskedAtMs = this.#nowMs;
     this.#addresses.set(instance, address);
-    const decision = hosted.dispatcher.ask(call, instance, this.#nowMs);
+    const decision = hosted.dispatcher.requestPlace(call, instance, this.#nowMs);
     if (decision.type === "queued") this.#scheduleQueueCheck();
     return decision;
   }
@@ -90,7 +90,7 @@
       group: new BoardRunnerGroup(this.#parts, pool, index),
       weightOf: (tenant) => this.#parts.weights.of(tenant),
       firstLease: LEASE_BLOCK_SIZE * random.below(LEASE_BLOCK_COUNT),
-      learningMs: MAX_REPORT_AGE_HEARTBEATS * settings.timing.heartbeatMs,
+      maxReportAgeMs: MAX_REPORT_AGE_HEARTBEATS * settings.timing.heartbeatMs,
     });
     const created = { pool, index, dispatcher, lastAskedAtMs: nowMs, lastLoggedAtMs: nowMs };
     this.#groups.set(key, created);
@@ -128,7 +128,7 @@
     this.#parts.board.dropStale(nowMs);
     for (const [key, group] of this.#groups) {
       const { pool, index, dispatcher, lastAskedAtMs } = group;
-      dispatcher.endLeases(nowMs);
+      dispatcher.expireLeases(nowMs);
       const isIdle = dispatcher.waiting === 0 && nowMs - lastAskedAtMs > GROUP_IDLE_MS;
       if (isIdle || !this.#parts.dispatchers.isSelf(pool, index)) {
         this.#stopDispatching(key, group);
@@ -138,7 +138,7 @@
       const { leased, waiting } = dispatcher;
       if (waiting > 0) this.#logQueue(group);
       this.#context.metrics.dispatched(pool, index, {
-        places: dispatcher.room(nowMs).places,
+        places: dispatcher.capacity(nowMs).places,
         leased,
         waiting,
       });
@@ -151,7 +151,7 @@
     if (nowMs - group.lastLoggedAtMs < LOG_INTERVAL_MS) return;
     group.lastLoggedAtMs = nowMs;
     const { pool, index, dispatcher } = group;
-    const { places, free, placedByOthers, paused } = dispatcher.room(nowMs);
+    const { places, free, placedByOthers, paused } = dispatcher.capacity(nowMs);
     const { leased, waiting } = dispatcher;
     const state = { pool, group: index, places, free, leased, placedByOthers, paused, waiting };
     this.#context.log.info(state, "calls wait for places");
--- a/src/scheduling/place-queue/place-refused.ts
+++ b/src/scheduling/place-queue/place-refused.ts
@@ -1,12 +1,12 @@
 import type { PlaceForecast } from "./place-forecast.ts";
-import type { PlaceRefusal } from "./place-refusal.ts";
+import type { PlaceRefusalReason } from "./place-refusal-reason.ts";
 
 /** A call that gets no place. */
 export interface PlaceRefused {
   readonly type: "refused";
-  /** When there is likely to be one, in ms. */
+  /** Time after which a place is likely to be free, in ms. */
   readonly retryAfterMs: number;
-  readonly reason: PlaceRefusal;
-  /** Left out where no forecast was made. */
+  readonly reason: PlaceRefusalReason;
+  /** Omitted if no forecast was made. */
   readonly forecast?: PlaceForecast;
 }
--- a/src/scheduling/place-queue/retry-times.ts
+++ b/src/scheduling/place-queue/retry-times.ts
@@ -1,25 +1,28 @@
 /**
- * When callers that are refused should come back: one after the other as places come free, not all at one moment. Pure.
+ * Spreads the retries of refused callers over time: one after another as places become free, not all at once. No I/O.
  */
 
-/** Times further than this beyond the first are given out anew from it on, in ms: callers do not wait for longer. */
-const WINDOW_MS = 1_000;
+/**
+ * How far a retry may lie behind the earliest possible one, in ms. Beyond that, retries are assigned from the earliest
+ * time again: callers do not wait for longer.
+ */
+const RETRY_WINDOW_MS = 1_000;
 
-/** See the module's comment. */
+/** Assigns retry times to refused callers. */
 export class RetryTimes {
   #lastAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * How long the next caller should stay away, in ms.
+   * Delay after which the next refused caller should retry, in ms.
    *
-   * @param earliestMs when there may be a place at the earliest, from now
-   * @param stepMs how often a place comes free
+   * @param earliestMs shortest time until a place may be free
+   * @param intervalMs time between two places that become free
    */
-  next(nowMs: number, earliestMs: number, stepMs: number): number {
+  next(nowMs: number, earliestMs: number, intervalMs: number): number {
     const earliestAtMs = nowMs + earliestMs;
-    const followingMs = this.#lastAtMs + stepMs;
-    const isWithin = followingMs >= earliestAtMs && followingMs <= earliestAtMs + WINDOW_MS;
-    this.#lastAtMs = isWithin ? followingMs : earliestAtMs;
+    const nextAtMs = this.#lastAtMs + intervalMs;
+    const isInWindow = nextAtMs >= earliestAtMs && nextAtMs <= earliestAtMs + RETRY_WINDOW_MS;
+    this.#lastAtMs = isInWindow ? nextAtMs : earliestAtMs;
     return this.#lastAtMs - nowMs;
   }
 }
--- a/src/scheduling/queue/runner-queue.ts
+++ b/src/scheduling/queue/runner-queue.ts
@@ -1,21 +1,21 @@
 /**
- * What a runner's home knows of its runner: the slots it granted and the requests that wait.
- * It needs no load report for that; reports only correct it.
+ * The state that a runner's home keeps of its runner: the slots that it granted and the requests that wait.
+ * It does not depend on load reports; they only correct it.
  */
 import { PRIORITY_CLASSES } from "../policy/effective-policy.ts";
 import { type SlotRequest, slotKey } from "./slot-request.ts";
 
 /** Options of a {@link RunnerQueue}. */
 export interface RunnerQueueOptions {
-  /** Calls that the runner works on together. */
+  /** Calls that the runner processes at the same time. */
   readonly slots: number;
-  /** Tokens of key-value cache that the runner has for calls in progress. */
+  /** Capacity of the runner's key-value cache for calls in progress, in tokens. */
   readonly kvTokens: number;
   /** Waiting time after which a request counts as one class more urgent, in ms. Default 10,000. */
   readonly agingStepMs?: number;
   /** Requests that may wait. Default 1,024. */
   readonly maxQueued?: number;
-  /** Assumed length of a call before any was measured, in ms. Default 500. */
+  /** Assumed duration of a call before one was measured, in ms. Default 500. */
   readonly initialServiceMs?: number;
 }
 
@@ -28,13 +28,13 @@
 
 interface QueuedRequest {
   readonly request: SlotRequest;
-  readonly arrivedMs: number;
+  readonly arrivedAtMs: number;
 }
 
-/** Part of a new measurement in the moving average of service times. */
-const AVERAGE_GAIN = 0.1;
+/** Weight of the newest sample in the moving average of service times. */
+const NEWEST_SAMPLE_WEIGHT = 0.1;
 
-/** See the module's comment. */
+/** Slots and waiting requests of one runner. */
 export class RunnerQueue {
   readonly #slots: number;
   readonly #kvTokens: number;
@@ -44,7 +44,7 @@
   readonly #queued = new Map<string, QueuedRequest>();
   #averageServiceMs: number;
   #draining = false;
-  #foreignActive = 0;
+  #earlierHomeActive = 0;
 
   constructor(options: RunnerQueueOptions) {
     this.#slots = options.slots;
@@ -54,22 +54,22 @@
     this.#averageServiceMs = options.initialServiceMs ?? 500;
   }
 
-  /** Slots in use. */
+  /** Number of slots in use. */
   get active(): number {
     return this.#granted.size;
   }
 
-  /** Requests that wait. */
+  /** Number of requests that wait. */
   get queued(): number {
     return this.#queued.size;
   }
 
-  /** Slots in all. */
+  /** Total number of slots. */
   get slots(): number {
     return this.#slots;
   }
 
-  /** Whether no new work is given out. */
+  /** Whether the queue grants no new slots. */
   get draining(): boolean {
     return this.#draining;
   }
@@ -79,29 +79,29 @@
     return this.#granted.values();
   }
 
-  /** Calls on the runner that an earlier home granted; they take up slots until they end. */
+  /** Sets how many calls on the runner an earlier home granted; they use slots until they end. */
   setForeignActive(count: number): void {
-    this.#foreignActive = count;
+    this.#earlierHomeActive = count;
   }
 
-  /** Stops or resumes giving out work; a draining queue refuses what waits. */
+  /** Stops or resumes granting slots. A draining queue also refuses the requests that wait. */
   setDraining(draining: boolean): void {
     this.#draining = draining;
   }
 
-  /** Estimated wait of a request that arrived now, in ms. */
+  /** Estimated wait of a request that arrives now, in ms. */
   expectedWaitMs(): number {
-    const ahead = this.#granted.size + this.#foreignActive + this.#queued.size + 1 - this.#slots;
+    const ahead = this.#granted.size + this.#earlierHomeActive + this.#queued.size + 1 - this.#slots;
     return ahead <= 0 ? 0 : (ahead * this.#averageServiceMs) / this.#slots;
   }
 
-  /** Puts a request in line. Returns false when the queue takes none. A request in line already stays where it is. */
+  /** Adds a request. Returns false if the queue rejects it. A request that is already known keeps its position. */
   offer(request: SlotRequest, nowMs: number): boolean {
     const key = slotKey(request.call, request.attempt);
     if (this.#granted.has(key) || this.#queued.has(key)) return true;
     if (this.#draining || this.#queued.size >= this.#maxQueued) return false;
     if (request.promptTokens + request.maxTokens > this.#kvTokens) return false;
-    this.#queued.set(key, { request, arrivedMs: nowMs });
+    this.#queued.set(key, { request, arrivedAtMs: nowMs });
     return true;
   }
 
@@ -109,12 +109,12 @@
   grantNext(nowMs: number): GrantedSlot[] {
     const granted: GrantedSlot[] = [];
     if (this.#draining) return granted;
-    while (this.#granted.size + this.#foreignActive < this.#slots) {
+    while (this.#granted.size + this.#earlierHomeActive < this.#slots) {
       const next = this.#mostUrgent(nowMs);
       if (!next) break;
       const key = slotKey(next.request.call, next.request.attempt);
       this.#queued.delete(key);
-      const slot = { request: next.request, grantedAtMs: nowMs, waitedMs: nowMs - next.arrivedMs };
+      const slot = { request: next.request, grantedAtMs: nowMs, waitedMs: nowMs - next.arrivedAtMs };
       this.#granted.set(key, slot);
       granted.push(slot);
     }
@@ -126,7 +126,7 @@
     return this.#granted.get(slotKey(call, attempt));
   }
 
-  /** Frees the slot of an attempt, or takes its request out of the line. */
+  /** Frees the slot of an attempt, or removes its request from the queue. */
   release(call: string, attempt: number, nowMs: number): void {
     const key = slotKey(call, attempt);
     const slot = this.#granted.get(key);
@@ -134,14 +134,14 @@
     if (!slot) return;
     this.#granted.delete(key);
     const serviceMs = nowMs - slot.grantedAtMs;
-    this.#averageServiceMs += (serviceMs - this.#averageServiceMs) * AVERAGE_GAIN;
+    this.#averageServiceMs += (serviceMs - this.#averageServiceMs) * NEWEST_SAMPLE_WEIGHT;
   }
 
-  /** Takes out the requests that have waited longer than they may, or all of them while draining. */
+  /** Removes and returns the requests that have waited for as long as they may, or all requests while draining. */
   takeExpired(nowMs: number): SlotRequest[] {
     const expired: SlotRequest[] = [];
-    for (const [key, { request, arrivedMs }] of this.#queued) {
-      if (!this.#draining && nowMs - arrivedMs < request.patienceMs) continue;
+    for (const [key, { request, arrivedAtMs }] of this.#queued) {
+      if (!this.#draining && nowMs - arrivedAtMs < request.patienceMs) continue;
       this.#queued.delete(key);
       expired.push(request);
     }
@@ -174,15 +174,15 @@
     return attainedPerWeight(left) < attainedPerWeight(right);
   }
 
-  #agedRank({ request, arrivedMs }: QueuedRequest, nowMs: number): number {
+  #agedRank({ request, arrivedAtMs }: QueuedRequest, nowMs: number): number {
     const rank = PRIORITY_CLASSES.indexOf(request.priorityClass);
-    return rank - Math.floor((nowMs - arrivedMs) / this.#agingStepMs);
+    return rank - Math.floor((nowMs - arrivedAtMs) / this.#agingStepMs);
   }
 }
 
-function slackOf({ request, arrivedMs }: QueuedRequest, nowMs: number): number {
+function slackOf({ request, arrivedAtMs }: QueuedRequest, nowMs: number): number {
   if (request.slackMs === undefined) return Number.POSITIVE_INFINITY;
-  return request.slackMs - (nowMs - arrivedMs);
+  return request.slackMs - (nowMs - arrivedAtMs);
 }
 
 function attainedPerWeight({ request }: QueuedRequest): number {
--- a/test/contract/turn-order.test.ts
+++ b/test/contract/turn-order.test.ts
@@ -1,7 +1,7 @@
-/** Which turns go first at the runners, and which programs may begin. */
+/** The order in which runners serve turns, and which programs may start. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { mayBegin } from "../../src/scheduling/admission/program-admission.ts";
+import { mayStartProgram } from "../../src/scheduling/admission/program-admission.ts";
 import { turnUrgency } from "../../src/scheduling/urgency/turn-urgency.ts";
 
 const TARGET_MS = 200;
@@ -27,7 +27,7 @@
     });
   }
 
-  it("depends on the time left as measured by the target alone", () => {
+  it("depends only on the ratio of the time left to the target", () => {
     for (const [timeLeftMs, urgency] of CASES)
       expect(turnUrgency({ timeLeftMs: 7 * timeLeftMs, targetLatencyMs: 7 * TARGET_MS })).toEqual(urgency);
   });
@@ -35,20 +35,22 @@
 
 describe("admission of programs", () => {
   it("refuses nothing while half of the places are free, whatever the rank", () => {
-    for (const rank of [0, 1, 2, 9]) expect(mayBegin({ occupancy: 0.5, rank, sample: 0 })).toEqual(true);
+    for (const rank of [0, 1, 2, 9])
+      expect(mayStartProgram({ occupancy: 0.5, rank, sample: 0 })).toEqual(true);
   });
 
-  it("refuses everything that begins once places are taken and many wait", () => {
-    for (const rank of [0, 1, 2, 9]) expect(mayBegin({ occupancy: 1.3, rank, sample: 0.999 })).toEqual(false);
+  it("refuses all new programs once all places are taken and many calls wait", () => {
+    for (const rank of [0, 1, 2, 9])
+      expect(mayStartProgram({ occupancy: 1.3, rank, sample: 0.999 })).toEqual(false);
   });
 
-  it("refuses less important routes first, and more the fuller the runners are", () => {
-    const refusedPart = (occupancy: number, rank: number) => {
+  it("refuses less important routes first, and more programs the fuller the runners are", () => {
+    const refusedPercent = (occupancy: number, rank: number) => {
       const samples = Array.from({ length: 100 }, (_, index) => index / 100);
-      return samples.filter((sample) => !mayBegin({ occupancy, rank, sample })).length;
+      return samples.filter((sample) => !mayStartProgram({ occupancy, rank, sample })).length;
     };
     for (const occupancy of [0.85, 0.95, 1.05])
-      expect(refusedPart(occupancy, 1) > refusedPart(occupancy, 0)).toEqual(true);
-    expect(refusedPart(1.1, 0) > refusedPart(1, 0)).toEqual(true);
+      expect(refusedPercent(occupancy, 1) > refusedPercent(occupancy, 0)).toEqual(true);
+    expect(refusedPercent(1.1, 0) > refusedPercent(1, 0)).toEqual(true);
   });
 });
