--- a/.dependency-cruiser.cjs
+++ b/.dependency-cruiser.cjs
@@ -58,7 +58,7 @@
       to: {
         path: "^src",
         pathNot:
-          "^src/(ports|runtime/clock|scheduling/(routing|runner-board|ids)/|gateway/(run-gateway|gateway-settings|gateway-context))",
+          "^src/(ports|runtime/clock|scheduling/(routing|runner-balancing|ids)/|gateway/(run-gateway|gateway-settings|gateway-context))",
       },
     },
     {
--- a/bench/experiment/policies.ts
+++ b/bench/experiment/policies.ts
@@ -3,7 +3,7 @@
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../src/scheduling/ids/runner-name.ts";
 import type { SlotRequest } from "../../src/scheduling/queue/slot-request.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-board/runner-board.ts";
+import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { chooseRunner } from "../../src/scheduling/runner-selection/choose-runner.ts";
 import type { CachedPrefix } from "../../src/scheduling/runner-selection/runner-view.ts";
 import type { EmulatedRunner } from "./emulated-runner.ts";
--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -20,7 +20,7 @@
     name: "runner: an entry of an earlier start replaces the known one",
     edits: [
       {
-        file: "src/scheduling/runner-board/start-order.ts",
+        file: "src/scheduling/runner-balancing/start-order.ts",
         from: 'return entry.bornMs > known.bornMs ? "later" : "earlier";',
         to: 'return "later";',
       },
@@ -59,7 +59,7 @@
     name: "runner: gateways use all connections that they may",
     edits: [
       {
-        file: "src/scheduling/runner-board/connection-share.ts",
+        file: "src/scheduling/runner-balancing/connection-share.ts",
         from: "if (use.own < connectionShare(maxConnections - lent, gateways)) return true;",
         to: "if (gateways > 0 && use.own < MAX_SHARE) return true;",
       },
--- a/bench/simulation/gateways/member-fleet.ts
+++ b/bench/simulation/gateways/member-fleet.ts
@@ -12,8 +12,8 @@
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../../src/scheduling/ids/runner-name.ts";
-import { RunnerBoard } from "../../../src/scheduling/runner-board/runner-board.ts";
-import type { RunnerCost } from "../../../src/scheduling/runner-board/runner-cost.ts";
+import { RunnerBoard } from "../../../src/scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerCost } from "../../../src/scheduling/runner-balancing/runner-cost-model.ts";
 import { SimulatedNetwork } from "../simulated-network.ts";
 import { SimulatedProcess, VirtualTime } from "../virtual-time.ts";
 
--- a/bench/simulation/gateways/simulated-gateway.ts
+++ b/bench/simulation/gateways/simulated-gateway.ts
@@ -22,7 +22,7 @@
 import { RpcEndpoint } from "../../../src/runtime/rpc.ts";
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
 import type { RoutingConfiguration } from "../../../src/scheduling/routing/routing-configuration.ts";
-import { EMPTY_REPORT } from "../../../src/scheduling/runner-board/empty-report.ts";
+import { EMPTY_REPORT } from "../../../src/scheduling/runner-balancing/empty-load-report.ts";
 import type { SimulatedNetwork, SimulatedTransport } from "../simulated-network.ts";
 import type { SimulatedProcess } from "../virtual-time.ts";
 import type { SimulatedRowStore } from "./simulated-row-store.ts";
--- a/src/gateway/calls/plain-call.ts
+++ b/src/gateway/calls/plain-call.ts
@@ -1,7 +1,7 @@
 /** A call whose answer is one piece. It is run again only where its route says that this does no harm. */
 
 import type { HttpAnswerHead } from "../../ports/http/http-exchange.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import { RoutedCall } from "./routed-call.ts";
 import type { AttemptFailure } from "./runner-attempt.ts";
 
--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -7,10 +7,10 @@
   sendRequest,
 } from "../../ports/http/http-exchange.ts";
 import type { TenantName } from "../../scheduling/ids/tenant-name.ts";
-import type { PendingRequest } from "../../scheduling/runner-board/pending-request.ts";
-import type { RequestOutcome } from "../../scheduling/runner-board/request-outcome.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { PendingRequest } from "../../scheduling/runner-balancing/pending-request.ts";
+import type { RequestOutcome } from "../../scheduling/runner-balancing/request-outcome.ts";
+import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { Urgency } from "../../scheduling/urgency/urgency.ts";
 import type { BufferPool } from "../buffers/buffer-pool.ts";
 import type { GatewayContext } from "../gateway-context.ts";
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -7,7 +7,7 @@
 import { mayBegin } from "../../scheduling/admission/program-admission.ts";
 import type { ProgramId } from "../../scheduling/ids/program-id.ts";
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import { turnUrgency } from "../../scheduling/urgency/turn-urgency.ts";
 import type { Urgency } from "../../scheduling/urgency/urgency.ts";
 import type { AdmitTurnResponse, EndTurnRequest } from "../gateway-messages.ts";
--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -14,7 +14,7 @@
   PlaceRefused,
   ReturnedPlace,
 } from "../scheduling/place-queue/index.ts";
-import type { NodeReport } from "../scheduling/runner-board/node-report.ts";
+import type { NodeReport } from "../scheduling/runner-balancing/load-report.ts";
 import type { StoreCall, StoreCallOutcome } from "./store/store-call.ts";
 
 /** Where a gateway is in its life. Only ready ones are given to callers; only they own partitions. */
--- a/src/gateway/members/digest-sender.ts
+++ b/src/gateway/members/digest-sender.ts
@@ -3,9 +3,9 @@
  * zones. Each receiver is told only what is news to it.
  */
 import type { Transport } from "../../runtime/transport.ts";
-import { EMPTY_REPORT } from "../../scheduling/runner-board/empty-report.ts";
-import type { NodeReport } from "../../scheduling/runner-board/node-report.ts";
-import { ReportTotals } from "../../scheduling/runner-board/report-totals.ts";
+import { EMPTY_REPORT } from "../../scheduling/runner-balancing/empty-load-report.ts";
+import type { NodeReport } from "../../scheduling/runner-balancing/load-report.ts";
+import { ReportTotals } from "../../scheduling/runner-balancing/report-totals.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { GatewayMessage, MemberDigest } from "../gateway-messages.ts";
 import { DigestLog } from "./digest-log.ts";
--- a/src/gateway/members/member-directory.ts
+++ b/src/gateway/members/member-directory.ts
@@ -8,8 +8,8 @@
 import type { DisconnectReason } from "../../runtime/disconnect-reason.ts";
 import type { Sender, Transport } from "../../runtime/transport.ts";
 import type { Headroom } from "../../scheduling/caller-spread/headroom.ts";
-import { EMPTY_REPORT } from "../../scheduling/runner-board/empty-report.ts";
-import type { NodeReport } from "../../scheduling/runner-board/node-report.ts";
+import { EMPTY_REPORT } from "../../scheduling/runner-balancing/empty-load-report.ts";
+import type { NodeReport } from "../../scheduling/runner-balancing/load-report.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type {
   GatewayMessage,
--- a/src/gateway/places/board-group-parts.ts
+++ b/src/gateway/places/board-group-parts.ts
@@ -1,4 +1,4 @@
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
+import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
--- a/src/gateway/places/board-group.ts
+++ b/src/gateway/places/board-group.ts
@@ -1,7 +1,7 @@
 /** A group of runners as the dispatcher's own board knows them. */
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import { type PlaceCall, RunnerGroup } from "../../scheduling/place-queue/index.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { BoardGroupParts } from "./board-group-parts.ts";
 
 const NONE: ReadonlySet<RunnerId> = new Set();
--- a/src/gateway/places/place-client-parts.ts
+++ b/src/gateway/places/place-client-parts.ts
@@ -1,6 +1,6 @@
 import type { RpcEndpoint } from "../../runtime/rpc.ts";
 import type { Transport } from "../../runtime/transport.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
+import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { GatewayMessage, GatewayRpcSchema } from "../gateway-messages.ts";
 import type { DispatcherDirectory } from "./dispatcher-directory.ts";
--- a/src/gateway/places/place-group.ts
+++ b/src/gateway/places/place-group.ts
@@ -1,4 +1,4 @@
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 
 /** Runners of a pool whose places one dispatcher hands out. */
 export interface PlaceGroup {
--- a/src/gateway/places/place-verdict.ts
+++ b/src/gateway/places/place-verdict.ts
@@ -1,5 +1,5 @@
 import type { PlaceRefusal } from "../../scheduling/place-queue/index.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { HeldPlace } from "./held-place.ts";
 
 /** What has become of a call's question for a place. */
--- a/src/gateway/places/pool-scarcity.ts
+++ b/src/gateway/places/pool-scarcity.ts
@@ -3,7 +3,7 @@
  * and most are taken. Far from that, a question before each call would cost more than it saves.
  */
 import type { RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
+import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
--- a/src/gateway/places/runner-groups.ts
+++ b/src/gateway/places/runner-groups.ts
@@ -3,8 +3,8 @@
  * runner or a group more moves few of the others.
  */
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { jumpHash } from "./jump-hash.ts";
 import type { PlaceGroup } from "./place-group.ts";
--- a/src/gateway/runners/runner-connections.ts
+++ b/src/gateway/runners/runner-connections.ts
@@ -12,9 +12,9 @@
   connectionShare,
   mayExceedShare,
   mayUseConnection,
-} from "../../scheduling/runner-board/connection-share.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+} from "../../scheduling/runner-balancing/connection-share.ts";
+import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 
 /** Connections of this gateway to one runner, all requests in flight included. */
 const MAX_CONNECTIONS = 64;
--- a/src/gateway/runners/runner-watch.ts
+++ b/src/gateway/runners/runner-watch.ts
@@ -5,9 +5,9 @@
 import type { TimerHandle } from "../../runtime/clock.ts";
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../scheduling/ids/runner-name.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
-import { startOrder } from "../../scheduling/runner-board/start-order.ts";
+import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
+import { startOrder } from "../../scheduling/runner-balancing/start-order.ts";
 import { TableFollower, type TableListener } from "../configuration/table-follower.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { UnreadableRows } from "../store/unreadable-rows.ts";
--- a/src/ports/platform-records.ts
+++ b/src/ports/platform-records.ts
@@ -1,5 +1,5 @@
 import type { RoutingConfiguration } from "../scheduling/routing/routing-configuration.ts";
-import type { RunnerEntry } from "../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../scheduling/runner-balancing/runner-entry.ts";
 
 /** Where the platform keeps what is not the system's own, and how it spells it. */
 export interface PlatformRecords {
--- a/src/scheduling/place-queue/forecast-alone.ts
+++ b/src/scheduling/place-queue/forecast-alone.ts
@@ -1,4 +1,4 @@
-import type { PoolLoad } from "../runner-board/pool-load.ts";
+import type { PoolLoad } from "../runner-balancing/pool-load.ts";
 import { ASSUMED_HOLDING_MS } from "./assumed-holding.ts";
 import type { PlaceForecast } from "./place-forecast.ts";
 
--- a/src/scheduling/place-queue/holding-times.ts
+++ b/src/scheduling/place-queue/holding-times.ts
@@ -1,5 +1,5 @@
 /** How long calls hold their places here, learned by route from those that were given back. Pure. */
-import { MovingAverage } from "../runner-board/moving-average.ts";
+import { MovingAverage } from "../runner-balancing/moving-average.ts";
 import { ASSUMED_HOLDING_MS } from "./assumed-holding.ts";
 import { LEAST_CALLS } from "./least-calls.ts";
 
--- a/src/scheduling/place-queue/runner-group.ts
+++ b/src/scheduling/place-queue/runner-group.ts
@@ -1,5 +1,5 @@
 import type { RunnerId } from "../ids/runner-id.ts";
-import type { RunnerEntry } from "../runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../runner-balancing/runner-entry.ts";
 import type { PlaceCall } from "./place-call.ts";
 
 /** The runners whose places a dispatcher hands out, as it knows them now. */
--- a/src/scheduling/place-queue/runner-room.ts
+++ b/src/scheduling/place-queue/runner-room.ts
@@ -1,6 +1,6 @@
 /** Which runners of a group have room for a call: places, and memory for its tokens. Pure. */
 import type { RunnerId } from "../ids/runner-id.ts";
-import type { RunnerEntry } from "../runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../runner-balancing/runner-entry.ts";
 import type { GroupRoom } from "./group-room.ts";
 import type { LeaseBook } from "./lease-book.ts";
 import { LEAST_CALLS } from "./least-calls.ts";
--- a/src/scheduling/runner-board/cost-by-time.ts
+++ b/src/scheduling/runner-balancing/cost-by-time.ts
@@ -8,8 +8,8 @@
 import { median } from "./median.ts";
 import { PoolTimes } from "./pool-times.ts";
 import type { RunnerCandidate } from "./runner-candidate.ts";
-import type { RunnerChoice } from "./runner-choice.ts";
-import { type CostFunction, RunnerCost } from "./runner-cost.ts";
+import { type CostFunction, RunnerCost } from "./runner-cost-model.ts";
+import type { RunnerChoice } from "./runner-criteria.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
 
 /** Cost of a runner that is being avoided: taken only when nothing else is left. */
--- a/src/scheduling/runner-board/report-totals.ts
+++ b/src/scheduling/runner-balancing/report-totals.ts
@@ -3,9 +3,9 @@
  * costs the same however many nodes there are. Pure.
  */
 import type { RunnerId } from "../ids/runner-id.ts";
-import type { NodeReport } from "./node-report.ts";
+import type { NodeReport } from "./load-report.ts";
 import type { OutcomeCounts } from "./outcome-counts.ts";
-import { ToldPaces } from "./told-paces.ts";
+import { ToldPaces } from "./reported-paces.ts";
 
 /** Outcomes are told in tenths; whole numbers of them add up without rounding. */
 const TENTHS = 10;
--- a/src/scheduling/runner-board/told-paces.ts
+++ b/src/scheduling/runner-balancing/reported-paces.ts
@@ -1,7 +1,7 @@
 /** Paces of runners as other nodes have told them last. Pure. */
 import type { RunnerId } from "../ids/runner-id.ts";
+import type { NodeReport } from "./load-report.ts";
 import { median } from "./median.ts";
-import type { NodeReport } from "./node-report.ts";
 
 type Paces = NonNullable<NodeReport["paces"]>;
 
--- a/src/scheduling/runner-board/runner-cost.ts
+++ b/src/scheduling/runner-balancing/runner-cost-model.ts
@@ -1,6 +1,6 @@
 import type { CallTiming } from "./call-timing.ts";
 import type { RunnerCandidate } from "./runner-candidate.ts";
-import type { RunnerChoice } from "./runner-choice.ts";
+import type { RunnerChoice } from "./runner-criteria.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
 
 /** What a request costs at a runner: the least is chosen. */
--- a/test/contract/balance-messages.test.ts
+++ b/test/contract/balance-messages.test.ts
@@ -9,7 +9,7 @@
 } from "../../bench/simulation/gateways/member-fleet.ts";
 import { loadTextHash, type TextHash } from "../../src/runtime/text-hash.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
-import { CostByTime } from "../../src/scheduling/runner-board/cost-by-time.ts";
+import { CostByTime } from "../../src/scheduling/runner-balancing/cost-by-time.ts";
 
 const SETTLE_MS = 6_000;
 /** A heartbeat to the relay, its digest to the relay of another zone, and that one's: each after half a second at most. */
--- a/test/contract/connection-share.test.ts
+++ b/test/contract/connection-share.test.ts
@@ -6,7 +6,7 @@
   connectionShare,
   mayExceedShare,
   mayUseConnection,
-} from "../../src/scheduling/runner-board/connection-share.ts";
+} from "../../src/scheduling/runner-balancing/connection-share.ts";
 
 describe("share of a runner's connections", () => {
   const SHARES: [maxConnections: number, gateways: number, share: number][] = [
--- a/test/contract/place-parts.test.ts
+++ b/test/contract/place-parts.test.ts
@@ -11,7 +11,7 @@
 import type { TenantName } from "../../src/scheduling/ids/tenant-name.ts";
 import type { PlaceCall } from "../../src/scheduling/place-queue/index.ts";
 import { RouteTable } from "../../src/scheduling/routing/route-table.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-board/runner-board.ts";
+import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
 import { runnerEntry } from "./support/runner-entry.ts";
 
--- a/test/contract/report-totals.test.ts
+++ b/test/contract/report-totals.test.ts
@@ -3,8 +3,8 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
-import type { NodeReport } from "../../src/scheduling/runner-board/node-report.ts";
-import { ReportTotals } from "../../src/scheduling/runner-board/report-totals.ts";
+import type { NodeReport } from "../../src/scheduling/runner-balancing/load-report.ts";
+import { ReportTotals } from "../../src/scheduling/runner-balancing/report-totals.ts";
 
 const TTL_MS = 3_000;
 const RUNNERS = ["r1", "r2", "r3"] as RunnerId[];
--- a/test/contract/runner-balance.test.ts
+++ b/test/contract/runner-balance.test.ts
@@ -4,10 +4,10 @@
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import { canStillEnd } from "../../src/scheduling/admission/can-still-end.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
-import { CostByLoad } from "../../src/scheduling/runner-board/cost-by-load.ts";
-import { CostByTime } from "../../src/scheduling/runner-board/cost-by-time.ts";
-import type { NodeReport } from "../../src/scheduling/runner-board/node-report.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-board/runner-board.ts";
+import { CostByLoad } from "../../src/scheduling/runner-balancing/cost-by-load.ts";
+import { CostByTime } from "../../src/scheduling/runner-balancing/cost-by-time.ts";
+import type { NodeReport } from "../../src/scheduling/runner-balancing/load-report.ts";
+import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { runnerEntry } from "./support/runner-entry.ts";
 import { type Load, playLoad, type TurnTimes, type Work } from "./support/runner-load.ts";
 
--- a/test/contract/runner-board.test.ts
+++ b/test/contract/runner-balancer.test.ts
@@ -3,9 +3,9 @@
 import { expect } from "earl";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../src/scheduling/ids/runner-name.ts";
-import type { CallTiming } from "../../src/scheduling/runner-board/call-timing.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-board/runner-board.ts";
-import type { RunnerEntry } from "../../src/scheduling/runner-board/runner-entry.ts";
+import type { CallTiming } from "../../src/scheduling/runner-balancing/call-timing.ts";
+import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerEntry } from "../../src/scheduling/runner-balancing/runner-entry.ts";
 
 const A = "a" as RunnerId;
 const B = "b" as RunnerId;
--- a/test/contract/runner-connections.test.ts
+++ b/test/contract/runner-connections.test.ts
@@ -6,8 +6,8 @@
 import { SystemClock } from "../../src/runtime/clock.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../src/scheduling/ids/runner-name.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-board/runner-board.ts";
-import type { RunnerEntry } from "../../src/scheduling/runner-board/runner-entry.ts";
+import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerEntry } from "../../src/scheduling/runner-balancing/runner-entry.ts";
 import { RunnerStandin } from "../../standins/platform/runner-standin.ts";
 
 const ID = "runner-1#1" as RunnerId;
--- a/test/contract/runner-watch.test.ts
+++ b/test/contract/runner-watch.test.ts
@@ -10,7 +10,7 @@
 import { StoreHealth } from "../../src/gateway/store-health.ts";
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-board/runner-board.ts";
+import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
 
 const RUNNER = "runner-1" as RunnerId;
--- a/test/contract/support/place-fleet.ts
+++ b/test/contract/support/place-fleet.ts
@@ -27,7 +27,7 @@
 import type { RequestId } from "../../../src/scheduling/ids/request-id.ts";
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
 import type { PlaceCall } from "../../../src/scheduling/place-queue/index.ts";
-import { RunnerBoard } from "../../../src/scheduling/runner-board/runner-board.ts";
+import { RunnerBoard } from "../../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { runnerEntry } from "./runner-entry.ts";
 
 export const POOL = { name: "p", maxConnections: 100, engine: undefined };
--- a/test/contract/support/place-load.ts
+++ b/test/contract/support/place-load.ts
@@ -9,7 +9,7 @@
   PlaceDispatcher,
   RunnerGroup,
 } from "../../../src/scheduling/place-queue/index.ts";
-import type { RunnerEntry } from "../../../src/scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../../src/scheduling/runner-balancing/runner-entry.ts";
 import { runnerEntry } from "./runner-entry.ts";
 
 export const RUNNERS = 8;
--- a/test/contract/support/runner-entry.ts
+++ b/test/contract/support/runner-entry.ts
@@ -1,6 +1,6 @@
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../../src/scheduling/ids/runner-name.ts";
-import type { RunnerEntry } from "../../../src/scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../../src/scheduling/runner-balancing/runner-entry.ts";
 
 /** A ready runner of the pool `p`, of which some fields differ. */
 export function runnerEntry(id: string, fields: Partial<RunnerEntry> = {}): RunnerEntry {
--- a/test/contract/support/runner-load.ts
+++ b/test/contract/support/runner-load.ts
@@ -2,9 +2,9 @@
 import { createClock } from "@sinonjs/fake-timers";
 import { SeededRandomSource } from "../../../src/runtime/random-source.ts";
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
-import type { NodeReport } from "../../../src/scheduling/runner-board/node-report.ts";
-import { RunnerBoard } from "../../../src/scheduling/runner-board/runner-board.ts";
-import type { RunnerCost } from "../../../src/scheduling/runner-board/runner-cost.ts";
+import type { NodeReport } from "../../../src/scheduling/runner-balancing/load-report.ts";
+import { RunnerBoard } from "../../../src/scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerCost } from "../../../src/scheduling/runner-balancing/runner-cost-model.ts";
 import { runnerEntry } from "./runner-entry.ts";
 
 const HEARTBEAT_MS = 500;
