--- a/bench/experiment/policies.ts
+++ b/bench/experiment/policies.ts
@@ -3,7 +3,7 @@
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../src/scheduling/ids/runner-name.ts";
 import type { SlotRequest } from "../../src/scheduling/queue/slot-request.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
+import { RunnerBalancer } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { chooseRunner } from "../../src/scheduling/runner-selection/choose-runner.ts";
 import type { CachedPrefix } from "../../src/scheduling/runner-selection/runner-view.ts";
 import type { EmulatedRunner } from "./emulated-runner.ts";
@@ -83,12 +83,12 @@
 
 /** The choice that gateways make, with the load of all runners known. */
 function placeByBoard({ runners, cached, random }: PlacementQuestion): EmulatedRunner {
-  const board = new RunnerBoard();
-  const entry = { bornMs: undefined, pool: "p", address: "", zone: "z", state: "ready" } as const;
+  const board = new RunnerBalancer();
+  const entry = { startedAtMs: undefined, pool: "p", address: "", zone: "z", state: "ready" } as const;
   for (const { name, slots } of runners)
     board.upsert({ ...entry, id: name as RunnerId, name: name as RunnerName, slots });
   const inFlight = runners.map(({ name, outstanding }) => [name as RunnerId, outstanding] as const);
-  board.report("all", { inFlight, failing: [] }, 0);
+  board.recordReport("all", { inFlight, failing: [] }, 0);
   const preferred = cached[0]?.runner as RunnerId | undefined;
   const choice = { pool: "p", zone: "z", excluded: new Set<RunnerId>(), preferred, nowMs: 0 };
   const chosen = board.choose({ ...choice, sample: random.unit() });
--- a/bench/heartbeats.ts
+++ b/bench/heartbeats.ts
@@ -22,7 +22,7 @@
 for (const size of values.sizes.split(",").map(Number)) {
   const fleet = new MemberFleet(hash, size, DIRECT_MOST, Number(values.zones));
   for (const [index, { board, process: member }] of fleet.members.entries())
-    board.started(FLEET_RUNNERS[index % 2] ?? FLEET_RUNNERS[0], member.monotonicMs(), 10 * SETTLE_MS);
+    board.recordStart(FLEET_RUNNERS[index % 2] ?? FLEET_RUNNERS[0], member.monotonicMs(), 10 * SETTLE_MS);
   await fleet.time.runUntil(SETTLE_MS);
   fleet.messages = 0;
   fleet.weighs = true;
--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -21,7 +21,7 @@
     edits: [
       {
         file: "src/scheduling/runner-balancing/start-order.ts",
-        from: 'return entry.bornMs > known.bornMs ? "later" : "earlier";',
+        from: 'return entry.startedAtMs > known.startedAtMs ? "later" : "earlier";',
         to: 'return "later";',
       },
     ],
@@ -60,7 +60,7 @@
     edits: [
       {
         file: "src/scheduling/runner-balancing/connection-share.ts",
-        from: "if (use.own < connectionShare(maxConnections - lent, gateways)) return true;",
+        from: "if (use.own < connectionShare(maxConnections - unreserved, gateways)) return true;",
         to: "if (gateways > 0 && use.own < MAX_SHARE) return true;",
       },
     ],
--- a/bench/simulation/gateways/member-fleet.ts
+++ b/bench/simulation/gateways/member-fleet.ts
@@ -12,8 +12,8 @@
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../../src/scheduling/ids/runner-name.ts";
-import { RunnerBoard } from "../../../src/scheduling/runner-balancing/runner-balancer.ts";
-import type { RunnerCost } from "../../../src/scheduling/runner-balancing/runner-cost-model.ts";
+import { RunnerBalancer } from "../../../src/scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerCostModel } from "../../../src/scheduling/runner-balancing/runner-cost-model.ts";
 import { SimulatedNetwork } from "../simulated-network.ts";
 import { SimulatedProcess, VirtualTime } from "../virtual-time.ts";
 
@@ -26,12 +26,12 @@
   readonly name: string;
   readonly process: SimulatedProcess;
   readonly directory: MemberDirectory;
-  readonly board: RunnerBoard;
+  readonly board: RunnerBalancer;
 }
 
 /** How members balance; as before where nothing is said. */
 export interface FleetBalance {
-  readonly newCost?: () => RunnerCost;
+  readonly newCost?: () => RunnerCostModel;
   /** What a member can take now, by its index. */
   readonly headroomOf?: (index: number) => number;
 }
@@ -101,8 +101,15 @@
     };
     const transport = this.network.attach(process, { instance, address: peers });
     const directory = new MemberDirectory(context, transport, new StoreHealth(context));
-    const board = new RunnerBoard(this.#balance.newCost?.());
-    const entry = { bornMs: undefined, pool: "p", address: "a", zone, slots: 8, state: "ready" } as const;
+    const board = new RunnerBalancer(this.#balance.newCost?.());
+    const entry = {
+      startedAtMs: undefined,
+      pool: "p",
+      address: "a",
+      zone,
+      slots: 8,
+      state: "ready",
+    } as const;
     for (const id of FLEET_RUNNERS) board.upsert({ ...entry, id, name: id as string as RunnerName });
     directory.selfReport = () => ({
       state: "ready",
@@ -111,7 +118,7 @@
       runners: board.ownReport(process.monotonicMs()),
       headroom: this.#balance.headroomOf?.(index),
     });
-    directory.onLoads = (source, report) => board.report(source, report, process.monotonicMs());
+    directory.onLoads = (source, report) => board.recordReport(source, report, process.monotonicMs());
     directory.sumLoads = (sources) => board.sumReports(sources);
     directory.onLost = (member) => board.dropReport(member.instance);
     transport.onDisconnected((address, reason) => directory.onDisconnected(address, reason));
--- a/bench/simulation/gateways/simulated-gateway.ts
+++ b/bench/simulation/gateways/simulated-gateway.ts
@@ -22,7 +22,7 @@
 import { RpcEndpoint } from "../../../src/runtime/rpc.ts";
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
 import type { RoutingConfiguration } from "../../../src/scheduling/routing/routing-configuration.ts";
-import { EMPTY_REPORT } from "../../../src/scheduling/runner-balancing/empty-load-report.ts";
+import { EMPTY_LOAD_REPORT } from "../../../src/scheduling/runner-balancing/empty-load-report.ts";
 import type { SimulatedNetwork, SimulatedTransport } from "../simulated-network.ts";
 import type { SimulatedProcess } from "../virtual-time.ts";
 import type { SimulatedRowStore } from "./simulated-row-store.ts";
@@ -103,7 +103,7 @@
       state: this.state,
       storeDirect: this.#relayed.isDirect,
       owned: this.#host.owned,
-      runners: EMPTY_REPORT,
+      runners: EMPTY_LOAD_REPORT,
     });
     this.#relayed.relays = () => this.#members.storeRelays();
     this.#relayed.patienceMs = () => health.writeTimeout.currentMs;
--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -7,7 +7,7 @@
 import type { PlaceCall } from "../../scheduling/place-queue/index.ts";
 import type { Route, RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
 import type { Tenant } from "../../scheduling/routing/tenant.ts";
-import type { RunnerChoice } from "../../scheduling/runner-balancing/runner-criteria.ts";
+import type { RunnerCriteria } from "../../scheduling/runner-balancing/runner-criteria.ts";
 import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { Urgency } from "../../scheduling/urgency/urgency.ts";
 import type { CallerExchange } from "../ingress/caller-exchange.ts";
@@ -82,7 +82,7 @@
   protected readonly record: CallRecord;
   readonly #hidesKey: boolean;
   /** What the present runner was chosen by; undefined where a dispatcher chose it. */
-  #choice: RunnerChoice | undefined;
+  #choice: RunnerCriteria | undefined;
   /** The runner that holds most of the prompt, if any is known to. */
   #holder: RunnerId | undefined;
   #tries = 0;
--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -9,7 +9,7 @@
 import type { TenantName } from "../../scheduling/ids/tenant-name.ts";
 import type { PendingRequest } from "../../scheduling/runner-balancing/pending-request.ts";
 import type { RequestOutcome } from "../../scheduling/runner-balancing/request-outcome.ts";
-import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { Urgency } from "../../scheduling/urgency/urgency.ts";
 import type { BufferPool } from "../buffers/buffer-pool.ts";
@@ -39,7 +39,7 @@
 /** What all tries of the calls of a gateway share. */
 export interface AttemptParts {
   readonly context: GatewayContext;
-  readonly board: RunnerBoard;
+  readonly board: RunnerBalancer;
   readonly connections: RunnerConnections;
   readonly callLog: CallLog;
   readonly places: PlaceClient;
@@ -100,7 +100,7 @@
     this.#request = request;
     this.#listener = listener;
     this.#load = parts.board.load(runner.id);
-    this.#pending = parts.board.started(runner.id, this.#nowMs, request.patienceMs, request.isLeased);
+    this.#pending = parts.board.recordStart(runner.id, this.#nowMs, request.patienceMs, request.isLeased);
     const { exchange, body, deadlineMs, lastEventId, urgency, tenant, hidesKey } = request;
     const headers = parts.context.platform.calls.headersForRunner(exchange.rawHeaders, {
       deadlineMs,
@@ -194,7 +194,7 @@
   #finish(outcome: RequestOutcome): void {
     this.#over = true;
     const nowMs = this.#nowMs;
-    this.#parts.board.ended(this.#pending, outcome, nowMs);
+    this.#parts.board.recordEnd(this.#pending, outcome, nowMs);
     this.#parts.context.metrics.tryEnded(outcome, nowMs - this.#pending.startedAtMs);
   }
 
@@ -208,12 +208,12 @@
       work,
       steps: streaming ? this.#chunks : 1,
       workMs: nowMs - (streaming ? this.#firstByteMs : startedAtMs),
-      firstMs: this.#firstByteMs - startedAtMs,
+      firstChunkMs: this.#firstByteMs - startedAtMs,
       promptTokens: call.promptTokens,
       wasCached: isCached,
       load: this.#load,
     };
-    this.#parts.board.timed(this.runner.id, timing, nowMs);
+    this.#parts.board.recordTiming(this.runner.id, timing, nowMs);
   }
 
   get #nowMs(): number {
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -202,7 +202,7 @@
   /** How many runners more may run the turn; those that are gone do not count. */
   get #runnersLeft(): number {
     const { board } = this.parts;
-    const there = [...this.mayHaveRun].filter((id) => board.listed(id) && !this.excluded.has(id));
+    const there = [...this.mayHaveRun].filter((id) => board.isListed(id) && !this.excluded.has(id));
     return this.route.maxAttempts - there.length;
   }
 
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -7,7 +7,7 @@
 import { FULL_HEADROOM } from "../scheduling/caller-spread/headroom.ts";
 import { CostByLoad } from "../scheduling/runner-balancing/cost-by-load.ts";
 import { CostByTime } from "../scheduling/runner-balancing/cost-by-time.ts";
-import { RunnerBoard } from "../scheduling/runner-balancing/runner-balancer.ts";
+import { RunnerBalancer } from "../scheduling/runner-balancing/runner-balancer.ts";
 import { BufferPool } from "./buffers/buffer-pool.ts";
 import { CallService } from "./calls/call-service.ts";
 import { RoutingWatch } from "./configuration/routing-watch.ts";
@@ -52,7 +52,7 @@
   readonly #places: PlaceClient;
   readonly #routing: RoutingWatch;
   readonly #runners: RunnerWatch;
-  readonly #board: RunnerBoard;
+  readonly #board: RunnerBalancer;
   readonly #connections: RunnerConnections;
   readonly #buffers: BufferPool;
   readonly #ingress: IngressServer;
@@ -79,7 +79,7 @@
     this.#context = context;
     const health = new StoreHealth(context);
     const { byExpectedTime } = context.settings.balance;
-    this.#board = new RunnerBoard(byExpectedTime ? new CostByTime() : new CostByLoad());
+    this.#board = new RunnerBalancer(byExpectedTime ? new CostByTime() : new CostByLoad());
     this.#members = new MemberDirectory(context, transport, health);
     this.#registry = new MemberRegistry(context, this.#members, transport.self.address);
     this.#partitions = new PartitionHost(context, this.#members, health, this.#rpc);
@@ -216,7 +216,7 @@
       this.#store.learnRelay(member.instance, member.status.storeDirect);
     };
     this.#members.onLoads = (source, report) =>
-      this.#board.report(source, report, this.#context.clock.monotonicMs());
+      this.#board.recordReport(source, report, this.#context.clock.monotonicMs());
     this.#members.sumLoads = (sources) => this.#board.sumReports(sources);
     this.#members.onLost = (member) => {
       this.#partitions.forget(member);
--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -14,7 +14,7 @@
   PlaceRefused,
   ReturnedPlace,
 } from "../scheduling/place-queue/index.ts";
-import type { NodeReport } from "../scheduling/runner-balancing/load-report.ts";
+import type { LoadReport } from "../scheduling/runner-balancing/load-report.ts";
 import type { StoreCall, StoreCallOutcome } from "./store/store-call.ts";
 
 /** Where a gateway is in its life. Only ready ones are given to callers; only they own partitions. */
@@ -45,7 +45,7 @@
 export interface Heartbeat extends MemberStatus {
   readonly type: "heartbeat";
   /** Its requests at runners. */
-  readonly runners: NodeReport;
+  readonly runners: LoadReport;
   /** Addresses of gateways that it knows; only now and then. */
   readonly peers: readonly string[];
   /** Whether it missed a digest of the receiver, and has to be told everything again. */
@@ -71,7 +71,7 @@
   /** Whether `changed` names every gateway that the relay hears. */
   readonly whole: boolean;
   /** Requests at runners, summed by zone: those of gateways that the receiver does not hear itself. */
-  readonly loads: readonly (readonly [zone: string, report: NodeReport])[];
+  readonly loads: readonly (readonly [zone: string, report: LoadReport])[];
 }
 
 /** Asks the owner of a program's partition whether a turn may run. Repeating it changes nothing. */
--- a/src/gateway/members/digest-sender.ts
+++ b/src/gateway/members/digest-sender.ts
@@ -3,8 +3,8 @@
  * zones. Each receiver is told only what is news to it.
  */
 import type { Transport } from "../../runtime/transport.ts";
-import { EMPTY_REPORT } from "../../scheduling/runner-balancing/empty-load-report.ts";
-import type { NodeReport } from "../../scheduling/runner-balancing/load-report.ts";
+import { EMPTY_LOAD_REPORT } from "../../scheduling/runner-balancing/empty-load-report.ts";
+import type { LoadReport } from "../../scheduling/runner-balancing/load-report.ts";
 import { ReportTotals } from "../../scheduling/runner-balancing/report-totals.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { GatewayMessage, MemberDigest } from "../gateway-messages.ts";
@@ -24,7 +24,7 @@
   readonly #context: GatewayContext;
   readonly #transport: Transport<GatewayMessage>;
   readonly #view: MemberView;
-  readonly #sumLoads: (sources: readonly string[]) => NodeReport;
+  readonly #sumLoads: (sources: readonly string[]) => LoadReport;
   /** What each receiver was told. */
   readonly #log = new DigestLog();
   /** The members of this zone, and all that may be named in it, as digests last told of them. */
@@ -39,7 +39,7 @@
     context: GatewayContext,
     transport: Transport<GatewayMessage>,
     view: MemberView,
-    sumLoads: (sources: readonly string[]) => NodeReport,
+    sumLoads: (sources: readonly string[]) => LoadReport,
   ) {
     this.#context = context;
     this.#transport = transport;
@@ -119,20 +119,20 @@
   }
 
   /** Loads of this zone but of those that tell theirs to the receivers of digests themselves: relays. */
-  #zoneLoad(ofZone: readonly Member[], plan: HeartbeatPlan): NodeReport {
+  #zoneLoad(ofZone: readonly Member[], plan: HeartbeatPlan): LoadReport {
     const digested = new Set(plan.fullDigestsTo);
     const told = new Set(plan.heartbeatsTo.filter((address) => !digested.has(address)));
     const sources = ofZone.filter(({ address }) => !told.has(address)).map(({ instance }) => instance);
     return this.#sumLoads(sources);
   }
 
-  #loadOf(address: string): NodeReport {
+  #loadOf(address: string): LoadReport {
     const member = this.#view.at(address);
-    return member ? this.#sumLoads([member.instance]) : EMPTY_REPORT;
+    return member ? this.#sumLoads([member.instance]) : EMPTY_LOAD_REPORT;
   }
 
   /** Loads of the other zones: what their relays say of them, and those of the relays themselves. */
-  #otherZoneLoads(heard: readonly Member[]): [string, NodeReport][] {
+  #otherZoneLoads(heard: readonly Member[]): [string, LoadReport][] {
     const zones = new Set(this.#view.alive().map(({ status }) => status.zone));
     zones.delete(this.#context.settings.zone);
     return [...zones].map((zone) => {
--- a/src/gateway/members/member-directory.ts
+++ b/src/gateway/members/member-directory.ts
@@ -8,8 +8,8 @@
 import type { DisconnectReason } from "../../runtime/disconnect-reason.ts";
 import type { Sender, Transport } from "../../runtime/transport.ts";
 import type { Headroom } from "../../scheduling/caller-spread/headroom.ts";
-import { EMPTY_REPORT } from "../../scheduling/runner-balancing/empty-load-report.ts";
-import type { NodeReport } from "../../scheduling/runner-balancing/load-report.ts";
+import { EMPTY_LOAD_REPORT } from "../../scheduling/runner-balancing/empty-load-report.ts";
+import type { LoadReport } from "../../scheduling/runner-balancing/load-report.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type {
   GatewayMessage,
@@ -54,7 +54,7 @@
   /** Whether its own connections to the store work. */
   readonly storeDirect: boolean;
   readonly owned: readonly (readonly [number, number])[];
-  readonly runners: NodeReport;
+  readonly runners: LoadReport;
   /** Left out where callers are told of all gateways alike. */
   readonly headroom?: Headroom | undefined;
 }
@@ -84,16 +84,16 @@
     state: "starting",
     storeDirect: false,
     owned: [],
-    runners: EMPTY_REPORT,
+    runners: EMPTY_LOAD_REPORT,
   });
   /** Called when a gateway was heard of. */
   onHeard: (member: Member) => void = () => undefined;
   /** Called when a gateway that was alive is no longer. */
   onLost: (member: Member) => void = () => undefined;
   /** Called with the requests at runners of a gateway, or of a zone. */
-  onLoads: (source: string, report: NodeReport) => void = () => undefined;
+  onLoads: (source: string, report: LoadReport) => void = () => undefined;
   /** Sums the loads that were last given for some sources. */
-  sumLoads: (sources: readonly string[]) => NodeReport = () => EMPTY_REPORT;
+  sumLoads: (sources: readonly string[]) => LoadReport = () => EMPTY_LOAD_REPORT;
 
   constructor(context: GatewayContext, transport: MemberTransport, health: StoreHealth) {
     this.#context = context;
--- a/src/gateway/places/board-group.ts
+++ b/src/gateway/places/board-group.ts
@@ -32,7 +32,7 @@
   }
 
   override usualMs(leastCalls: number): number | undefined {
-    return this.#parts.board.usualMs(this.#pool, leastCalls);
+    return this.#parts.board.averageMs(this.#pool, leastCalls);
   }
 
   override get memoryTokens(): number | undefined {
--- a/src/gateway/places/place-client-parts.ts
+++ b/src/gateway/places/place-client-parts.ts
@@ -1,6 +1,6 @@
 import type { RpcEndpoint } from "../../runtime/rpc.ts";
 import type { Transport } from "../../runtime/transport.ts";
-import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { GatewayMessage, GatewayRpcSchema } from "../gateway-messages.ts";
 import type { DispatcherDirectory } from "./dispatcher-directory.ts";
@@ -10,7 +10,7 @@
 /** What a PlaceClient works with. */
 export interface PlaceClientParts {
   readonly context: GatewayContext;
-  readonly board: RunnerBoard;
+  readonly board: RunnerBalancer;
   readonly groups: RunnerGroups;
   readonly scarcity: PoolScarcity;
   readonly dispatchers: DispatcherDirectory;
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -287,7 +287,7 @@
   #refusalAlone(asker: PlaceAsker): PlaceRefused | undefined {
     const { board, context } = this.#parts;
     const pool = asker.pool.name;
-    const forecast = forecastAlone(board.poolLoad(pool), board.usualMs(pool, LEAST_CALLS));
+    const forecast = forecastAlone(board.poolLoad(pool), board.averageMs(pool, LEAST_CALLS));
     const tooLongMs = forecast.expectedMs - longestWaitMs(asker.describe(), forecast.holdingMs);
     if (forecast.expectedMs === 0 || tooLongMs <= 0) return undefined;
     const soonestMs = Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, tooLongMs));
--- a/src/gateway/places/pool-scarcity.ts
+++ b/src/gateway/places/pool-scarcity.ts
@@ -3,7 +3,7 @@
  * and most are taken. Far from that, a question before each call would cost more than it saves.
  */
 import type { RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
-import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
@@ -32,13 +32,18 @@
 /** See the module's comment. */
 export class PoolScarcity {
   readonly #context: GatewayContext;
-  readonly #board: RunnerBoard;
+  readonly #board: RunnerBalancer;
   readonly #groups: RunnerGroups;
   readonly #liveGateways: () => number;
   readonly #pools = new Map<string, KnownPool>();
 
   /** @param liveGateways how many gateways are alive, this one included */
-  constructor(context: GatewayContext, board: RunnerBoard, groups: RunnerGroups, liveGateways: () => number) {
+  constructor(
+    context: GatewayContext,
+    board: RunnerBalancer,
+    groups: RunnerGroups,
+    liveGateways: () => number,
+  ) {
     this.#context = context;
     this.#board = board;
     this.#groups = groups;
--- a/src/gateway/places/runner-groups.ts
+++ b/src/gateway/places/runner-groups.ts
@@ -3,7 +3,7 @@
  * runner or a group more moves few of the others.
  */
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
-import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { jumpHash } from "./jump-hash.ts";
@@ -23,10 +23,10 @@
 /** See the module's comment. */
 export class RunnerGroups {
   readonly #context: GatewayContext;
-  readonly #board: RunnerBoard;
+  readonly #board: RunnerBalancer;
   readonly #pools = new Map<string, DealtPool>();
 
-  constructor(context: GatewayContext, board: RunnerBoard) {
+  constructor(context: GatewayContext, board: RunnerBalancer) {
     this.#context = context;
     this.#board = board;
   }
--- a/src/gateway/runners/runner-connections.ts
+++ b/src/gateway/runners/runner-connections.ts
@@ -13,7 +13,7 @@
   mayExceedShare,
   mayUseConnection,
 } from "../../scheduling/runner-balancing/connection-share.ts";
-import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 
 /** Connections of this gateway to one runner, all requests in flight included. */
@@ -32,7 +32,7 @@
 /** What the connections depend on. */
 export interface RunnerConnectionsParts {
   readonly clock: Clock;
-  readonly board: RunnerBoard;
+  readonly board: RunnerBalancer;
   /** Gateways that are alive, this one included. */
   readonly gateways: () => number;
   /** Connections that each runner of a pool takes from all gateways; undefined where that is not known. */
--- a/src/gateway/runners/runner-watch.ts
+++ b/src/gateway/runners/runner-watch.ts
@@ -5,7 +5,7 @@
 import type { TimerHandle } from "../../runtime/clock.ts";
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../scheduling/ids/runner-name.ts";
-import type { RunnerBoard } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import { startOrder } from "../../scheduling/runner-balancing/start-order.ts";
 import { TableFollower, type TableListener } from "../configuration/table-follower.ts";
@@ -28,7 +28,7 @@
 export class RunnerWatch {
   readonly #context: GatewayContext;
   readonly #health: StoreHealth;
-  readonly #board: RunnerBoard;
+  readonly #board: RunnerBalancer;
   readonly #follower: TableFollower;
   readonly #unreadable: UnreadableRows;
   /** The start of each listed runner that the board has. */
@@ -43,7 +43,7 @@
   /** Called when a runner has started again: this start of it has ended. */
   onEnded: (runner: RunnerId) => void = () => undefined;
 
-  constructor(context: GatewayContext, health: StoreHealth, board: RunnerBoard) {
+  constructor(context: GatewayContext, health: StoreHealth, board: RunnerBalancer) {
     this.#context = context;
     this.#health = health;
     this.#board = board;
--- a/src/scheduling/runner-balancing/call-timing.ts
+++ b/src/scheduling/runner-balancing/call-timing.ts
@@ -7,7 +7,7 @@
   /** From the first piece of a stream to its end; of another answer all of its time. */
   readonly workMs: number;
   /** Until the first piece of the answer. */
-  readonly firstMs: number;
+  readonly firstChunkMs: number;
   /** Undefined where they are not known. */
   readonly promptTokens: number | undefined;
   /** Whether the runner was believed to hold most of the prompt. */
--- a/src/scheduling/runner-balancing/connection-share.ts
+++ b/src/scheduling/runner-balancing/connection-share.ts
@@ -9,7 +9,7 @@
 /** What one gateway uses of one runner at most. */
 const MAX_SHARE = 64;
 /** Part of all connections that is lent: as long as no more are in use, a gateway may go beyond its share. */
-const LENT_PART = 0.5;
+const UNRESERVED_FRACTION = 0.5;
 
 /** How the connections of one runner are used. */
 export interface ConnectionUse {
@@ -27,9 +27,9 @@
 
 /** Whether a gateway may have one request more at a runner. */
 export function mayUseConnection(use: ConnectionUse, maxConnections: number, gateways: number): boolean {
-  const lent = maxConnections * LENT_PART;
-  if (use.own < connectionShare(maxConnections - lent, gateways)) return true;
-  return use.own < MAX_SHARE && use.total < lent;
+  const unreserved = maxConnections * UNRESERVED_FRACTION;
+  if (use.own < connectionShare(maxConnections - unreserved, gateways)) return true;
+  return use.own < MAX_SHARE && use.total < unreserved;
 }
 
 /**
--- a/src/scheduling/runner-balancing/cost-by-load.ts
+++ b/src/scheduling/runner-balancing/cost-by-load.ts
@@ -2,8 +2,8 @@
 import type { CallTiming } from "./call-timing.ts";
 import { median } from "./median.ts";
 import type { RunnerCandidate } from "./runner-candidate.ts";
-import { type CostFunction, RunnerCost } from "./runner-cost-model.ts";
-import type { RunnerChoice } from "./runner-criteria.ts";
+import { type CostFunction, RunnerCostModel } from "./runner-cost-model.ts";
+import type { RunnerCriteria } from "./runner-criteria.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
 
 /** Cost of a runner that is being avoided: taken only when nothing else is left. */
@@ -15,39 +15,39 @@
  * much of the runner's time as several turns take: under load, calls that leave the holder for a free place elsewhere
  * take more capacity than they find.
  */
-const COLD_PROMPT_COST = 2.5;
+const UNCACHED_PROMPT_COST = 2.5;
 /** What each request beyond the slots costs, as a share of all slots. */
-const QUEUED_COST = 4;
+const QUEUED_REQUEST_COST = 4;
 /** What a runner costs at which every request fails, as a share of all slots. */
-const FAILING_COST = 4;
+const FAILURE_COST = 4;
 /** What a runner costs for each time that its steps take as long again as those of the pool. */
-const SLOW_COST = 0.25;
+const SLOWNESS_COST = 0.25;
 /** A pace up to this many times as slow as the pool's costs nothing. */
 const TOLERATED_SLOWNESS = 2;
-const MAX_SLOW_COST = 2;
+const MAX_SLOWNESS_COST = 2;
 /** How long the usual pace of a pool counts, in ms. */
-const PACE_TTL_MS = 200;
+const MEDIAN_PACE_TTL_MS = 200;
 
 /** How long runners of a pool usually take for a step, as of a moment. */
-interface UsualPace {
+interface MedianPace {
   readonly atMs: number;
   readonly paceMs: number;
 }
 
 /** See the module's comment. */
-export class CostByLoad extends RunnerCost {
+export class CostByLoad extends RunnerCostModel {
   override readonly sharesPaces = false;
-  override readonly mostWeighed = Number.POSITIVE_INFINITY;
+  override readonly maxCandidates = Number.POSITIVE_INFINITY;
   /** By pool. */
-  readonly #usualPaces = new Map<string, UsualPace>();
+  readonly #medianPaces = new Map<string, MedianPace>();
 
-  override among(
+  override costFunction(
     candidates: readonly RunnerCandidate[],
-    choice: RunnerChoice,
+    criteria: RunnerCriteria,
     loads: RunnerLoads,
   ): CostFunction {
-    const usualMs = this.#usualPaceMs(candidates, choice);
-    return (candidate) => costOf(candidate, choice, loads, usualMs);
+    const medianMs = this.#medianPaceMs(candidates, criteria);
+    return (candidate) => costOf(candidate, criteria, loads, medianMs);
   }
 
   override expectedMs(): undefined {
@@ -59,39 +59,39 @@
   }
 
   /** The median pace of the candidates, looked at only now and then: it changes slowly. */
-  #usualPaceMs(candidates: readonly RunnerCandidate[], { pool, nowMs }: RunnerChoice): number | undefined {
-    const known = this.#usualPaces.get(pool);
-    if (known && nowMs - known.atMs < PACE_TTL_MS) return known.paceMs;
-    const paceMs = usualPaceMs(candidates, nowMs);
-    if (paceMs !== undefined) this.#usualPaces.set(pool, { atMs: nowMs, paceMs });
+  #medianPaceMs(candidates: readonly RunnerCandidate[], { pool, nowMs }: RunnerCriteria): number | undefined {
+    const known = this.#medianPaces.get(pool);
+    if (known && nowMs - known.atMs < MEDIAN_PACE_TTL_MS) return known.paceMs;
+    const paceMs = medianPaceMs(candidates, nowMs);
+    if (paceMs !== undefined) this.#medianPaces.set(pool, { atMs: nowMs, paceMs });
     return paceMs;
   }
 }
 
 function costOf(
   { entry, health, avoidUntilMs }: RunnerCandidate,
-  choice: RunnerChoice,
+  criteria: RunnerCriteria,
   loads: RunnerLoads,
-  usualMs: number | undefined,
+  medianMs: number | undefined,
 ): number {
   const load = loads.load(entry.id);
-  const beyond = Math.max(0, load + 1 - entry.slots);
-  let cost = (load + beyond * QUEUED_COST) / entry.slots;
-  if (entry.zone !== choice.zone) cost += OTHER_ZONE_COST;
-  if (choice.preferred !== undefined && choice.preferred !== entry.id) cost += COLD_PROMPT_COST;
-  if (choice.nowMs < avoidUntilMs) cost += AVOIDED_COST;
-  cost += loads.failureRate(entry.id, choice.nowMs) * FAILING_COST;
-  return cost + slownessCost(health.paceMs(choice.nowMs), usualMs);
+  const excess = Math.max(0, load + 1 - entry.slots);
+  let cost = (load + excess * QUEUED_REQUEST_COST) / entry.slots;
+  if (entry.zone !== criteria.zone) cost += OTHER_ZONE_COST;
+  if (criteria.preferred !== undefined && criteria.preferred !== entry.id) cost += UNCACHED_PROMPT_COST;
+  if (criteria.nowMs < avoidUntilMs) cost += AVOIDED_COST;
+  cost += loads.failureRate(entry.id, criteria.nowMs) * FAILURE_COST;
+  return cost + slownessCost(health.paceMs(criteria.nowMs), medianMs);
 }
 
 /** The median pace of the candidates; undefined when too few are known. */
-function usualPaceMs(candidates: readonly RunnerCandidate[], nowMs: number): number | undefined {
+function medianPaceMs(candidates: readonly RunnerCandidate[], nowMs: number): number | undefined {
   const times = candidates.flatMap(({ health }) => health.paceMs(nowMs) ?? []);
   return times.length >= 2 ? median(times) : undefined;
 }
 
-function slownessCost(paceMs: number | undefined, usualMs: number | undefined): number {
-  if (paceMs === undefined || usualMs === undefined || usualMs <= 0) return 0;
-  const beyond = Math.max(0, paceMs / usualMs - TOLERATED_SLOWNESS);
-  return Math.min(MAX_SLOW_COST, beyond * SLOW_COST);
+function slownessCost(paceMs: number | undefined, medianMs: number | undefined): number {
+  if (paceMs === undefined || medianMs === undefined || medianMs <= 0) return 0;
+  const excess = Math.max(0, paceMs / medianMs - TOLERATED_SLOWNESS);
+  return Math.min(MAX_SLOWNESS_COST, excess * SLOWNESS_COST);
 }
--- a/src/scheduling/runner-balancing/cost-by-time.ts
+++ b/src/scheduling/runner-balancing/cost-by-time.ts
@@ -8,53 +8,53 @@
 import { median } from "./median.ts";
 import { PoolTimes } from "./pool-times.ts";
 import type { RunnerCandidate } from "./runner-candidate.ts";
-import { type CostFunction, RunnerCost } from "./runner-cost-model.ts";
-import type { RunnerChoice } from "./runner-criteria.ts";
+import { type CostFunction, RunnerCostModel } from "./runner-cost-model.ts";
+import type { RunnerCriteria } from "./runner-criteria.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
 
 /** Cost of a runner that is being avoided: taken only when nothing else is left. */
 const AVOIDED_COST_MS = 1_000_000;
 /** Steps in a full batch take longer than in an empty one by about this part. */
-const FULL_BATCH_PART = 0.25;
+const FULL_BATCH_SLOWDOWN = 0.25;
 /**
  * What a full batch costs beside, as a part of a call: the more requests share a runner's memory, the more cached prompts
  * give way, and the more requests are preempted and read anew.
  */
-const CROWDED_PART = 0.5;
+const MEMORY_CONTENTION_COST_CALLS = 0.5;
 /**
  * What another zone costs, as a part of a call: its way is short, but traffic between zones is paid for, and a zone that
  * is parted breaks the calls that cross its border.
  */
-const OTHER_ZONE_PART = 0.4;
+const OTHER_ZONE_COST_CALLS = 0.4;
 /** What a runner costs at which every request fails, in calls: the lost one, others in its place, and its program. */
-const FAILED_CALLS = 8;
+const FAILURE_COST_CALLS = 8;
 /** What a prompt costs that is not cached, in calls, while the speed of reading is not known. */
-const UNCACHED_CALLS = 2.5;
+const UNCACHED_PROMPT_COST_CALLS = 2.5;
 /**
  * How widely the choice is spread over runners of nearly the same cost, in ms, and at most a call: in an empty pool, and
  * added in a full one. All nodes know the same paces, and loads that are half a second old; with less they would all run to
  * the same runner till they hear of it, where the wait for its places is the longer the fuller the pool.
  */
-const SPREAD_MS = 40;
-const FULL_SPREAD_MS = 250;
+const BASE_SPREAD_MS = 40;
+const FULL_POOL_SPREAD_MS = 250;
 /**
  * The holder of the prompt is left for a runner that is better, not for the luck of the draw: its share of the spread is
  * beyond the largest of the others by so much, which these reach once in eight choices.
  */
-const HOLDER_MARGIN = 2;
+const PREFERRED_RUNNER_MARGIN = 2;
 /** Among so many there are nearly always some of the fast ones of the own zone, and weighing takes processor time. */
-const MOST_WEIGHED = 16;
+const MAX_CANDIDATES = 16;
 /** A runner is taken to be at most so many times faster or slower than the usual one. */
-const MOST_SLOWNESS = 8;
+const MAX_SLOWNESS = 8;
 /** Requests that come and go between reports: so near to its slots, a runner may already have more than them. */
-const UNCERTAIN_REQUESTS = 2;
+const LOAD_UNCERTAINTY_REQUESTS = 2;
 /** How long what is usual in a pool counts, in ms: it changes slowly. */
-const USUAL_TTL_MS = 200;
+const POOL_STATE_TTL_MS = 200;
 /** Time of a step while none has been seen, in ms. */
-const UNKNOWN_PACE_MS = 50;
+const DEFAULT_PACE_MS = 50;
 
 /** What is usual in a pool, as of a moment. */
-interface UsualState {
+interface PoolState {
   readonly atMs: number;
   /** Time of a step. */
   readonly paceMs: number;
@@ -63,109 +63,117 @@
 }
 
 /** What holds for all runners of a choice. */
-interface PoolCosts {
+interface TypicalTimes {
   /** Time of a step at the usual runner. */
   readonly paceMs: number;
   /** Time of a call there, without waiting. */
   readonly callMs: number;
   /** Time for reading the prompt there, with nothing else running. */
-  readonly readMs: number;
+  readonly prefillMs: number;
 }
 
 /** See the module's comment. */
-export class CostByTime extends RunnerCost {
+export class CostByTime extends RunnerCostModel {
   override readonly sharesPaces = true;
-  override readonly mostWeighed = MOST_WEIGHED;
+  override readonly maxCandidates = MAX_CANDIDATES;
   /** By pool. */
   readonly #times = new Map<string, PoolTimes>();
-  readonly #usualStates = new Map<string, UsualState>();
+  readonly #poolStates = new Map<string, PoolState>();
 
-  override among(
+  override costFunction(
     candidates: readonly RunnerCandidate[],
-    choice: RunnerChoice,
+    criteria: RunnerCriteria,
     loads: RunnerLoads,
   ): CostFunction {
-    const { paceMs, occupancy } = this.#usual(candidates, choice, loads);
-    const usual = this.#poolCosts(paceMs, choice);
-    const spreadMs = Math.min(usual.callMs, SPREAD_MS + FULL_SPREAD_MS * occupancy);
-    const holderSample = Math.log(Math.min(candidates.length, MOST_WEIGHED)) + HOLDER_MARGIN;
+    const { paceMs, occupancy } = this.#poolState(candidates, criteria, loads);
+    const typical = this.#typicalTimes(paceMs, criteria);
+    const spreadMs = Math.min(typical.callMs, BASE_SPREAD_MS + FULL_POOL_SPREAD_MS * occupancy);
+    const preferredSample = Math.log(Math.min(candidates.length, MAX_CANDIDATES)) + PREFERRED_RUNNER_MARGIN;
     return (candidate, index) => {
-      const isHolder = candidate.entry.id === choice.preferred;
-      const sample = isHolder ? holderSample : gumbelSample(choice.sample, index);
-      return costMs(candidate, choice, loads, usual) - spreadMs * sample;
+      const isPreferred = candidate.entry.id === criteria.preferred;
+      const sample = isPreferred ? preferredSample : gumbelSample(criteria.sample, index);
+      return costMs(candidate, criteria, loads, typical) - spreadMs * sample;
     };
   }
 
-  override expectedMs(candidate: RunnerCandidate, choice: RunnerChoice, loads: RunnerLoads): number {
-    const paceMs = this.#usualStates.get(choice.pool)?.paceMs ?? UNKNOWN_PACE_MS;
-    const usual = this.#poolCosts(paceMs, choice);
-    return timeMs(candidate, choice, loads, usual, 1);
+  override expectedMs(candidate: RunnerCandidate, criteria: RunnerCriteria, loads: RunnerLoads): number {
+    const paceMs = this.#poolStates.get(criteria.pool)?.paceMs ?? DEFAULT_PACE_MS;
+    const typical = this.#typicalTimes(paceMs, criteria);
+    return completionMs(candidate, criteria, loads, typical, 1);
   }
 
   override observe({ entry, pace }: RunnerCandidate, timing: CallTiming, nowMs: number): number {
     const known = this.#times.get(entry.pool);
     const times = known ?? new PoolTimes();
     if (!known) this.#times.set(entry.pool, times);
-    const usualMs = this.#usualStates.get(entry.pool)?.paceMs;
-    const slowness = usualMs === undefined ? 1 : bounded(pace.slowness(usualMs, nowMs));
-    const hadPlace = timing.load < entry.slots;
-    const batch = 1 + FULL_BATCH_PART * Math.min(1, timing.load / entry.slots);
-    return times.observe(timing, slowness, hadPlace) / batch;
+    const medianMs = this.#poolStates.get(entry.pool)?.paceMs;
+    const slowness = medianMs === undefined ? 1 : clampSlowness(pace.slowness(medianMs, nowMs));
+    const hadFreeSlot = timing.load < entry.slots;
+    const batchSlowdown = 1 + FULL_BATCH_SLOWDOWN * Math.min(1, timing.load / entry.slots);
+    return times.observe(timing, slowness, hadFreeSlot) / batchSlowdown;
   }
 
-  #usual(candidates: readonly RunnerCandidate[], choice: RunnerChoice, loads: RunnerLoads): UsualState {
-    const { pool, nowMs } = choice;
-    const known = this.#usualStates.get(pool);
-    if (known && nowMs - known.atMs < USUAL_TTL_MS) return known;
-    const paces = candidates.flatMap(({ pace }) => pace.longMs ?? []);
-    const paceMs = median(paces) ?? known?.paceMs ?? UNKNOWN_PACE_MS;
-    const usual = { atMs: nowMs, paceMs, occupancy: occupancyOf(candidates, loads) };
-    this.#usualStates.set(pool, usual);
-    return usual;
+  #poolState(
+    candidates: readonly RunnerCandidate[],
+    criteria: RunnerCriteria,
+    loads: RunnerLoads,
+  ): PoolState {
+    const { pool, nowMs } = criteria;
+    const known = this.#poolStates.get(pool);
+    if (known && nowMs - known.atMs < POOL_STATE_TTL_MS) return known;
+    const paces = candidates.flatMap(({ pace }) => pace.longTermMs ?? []);
+    const paceMs = median(paces) ?? known?.paceMs ?? DEFAULT_PACE_MS;
+    const state = { atMs: nowMs, paceMs, occupancy: occupancyOf(candidates, loads) };
+    this.#poolStates.set(pool, state);
+    return state;
   }
 
-  #poolCosts(paceMs: number, { pool, promptTokens }: RunnerChoice): PoolCosts {
+  #typicalTimes(paceMs: number, { pool, promptTokens }: RunnerCriteria): TypicalTimes {
     const times = this.#times.get(pool);
     const callMs = paceMs * (times?.steps ?? 1);
     const tokensPerMs = times?.promptTokensPerMs;
     const isKnown = tokensPerMs !== undefined && promptTokens !== undefined;
-    return { paceMs, callMs, readMs: isKnown ? promptTokens / tokensPerMs : callMs * UNCACHED_CALLS };
+    return {
+      paceMs,
+      callMs,
+      prefillMs: isKnown ? promptTokens / tokensPerMs : callMs * UNCACHED_PROMPT_COST_CALLS,
+    };
   }
 }
 
 function costMs(
   candidate: RunnerCandidate,
-  choice: RunnerChoice,
+  criteria: RunnerCriteria,
   loads: RunnerLoads,
-  usual: PoolCosts,
+  typical: TypicalTimes,
 ): number {
   const { entry, avoidUntilMs } = candidate;
-  const batch = Math.min(loads.load(entry.id), entry.slots);
-  let cost = timeMs(candidate, choice, loads, usual, 1 + batch);
-  cost += CROWDED_PART * (batch / entry.slots) * usual.callMs;
-  cost += loads.failureRate(entry.id, choice.nowMs) * FAILED_CALLS * usual.callMs;
-  if (entry.zone !== choice.zone) cost += OTHER_ZONE_PART * usual.callMs;
-  return choice.nowMs < avoidUntilMs ? cost + AVOIDED_COST_MS : cost;
+  const batchSize = Math.min(loads.load(entry.id), entry.slots);
+  let cost = completionMs(candidate, criteria, loads, typical, 1 + batchSize);
+  cost += MEMORY_CONTENTION_COST_CALLS * (batchSize / entry.slots) * typical.callMs;
+  cost += loads.failureRate(entry.id, criteria.nowMs) * FAILURE_COST_CALLS * typical.callMs;
+  if (entry.zone !== criteria.zone) cost += OTHER_ZONE_COST_CALLS * typical.callMs;
+  return criteria.nowMs < avoidUntilMs ? cost + AVOIDED_COST_MS : cost;
 }
 
 /**
  * Time until the call is over.
  *
- * @param heldUp requests that wait while the prompt is read, itself among them: it counts once for each
+ * @param delayedRequests requests that wait while the prompt is read, itself among them: it counts once for each
  */
-function timeMs(
+function completionMs(
   { entry, pace }: RunnerCandidate,
-  { preferred, nowMs }: RunnerChoice,
+  { preferred, nowMs }: RunnerCriteria,
   loads: RunnerLoads,
-  { paceMs, callMs, readMs }: PoolCosts,
-  heldUp: number,
+  { paceMs, callMs, prefillMs }: TypicalTimes,
+  delayedRequests: number,
 ): number {
   const load = loads.load(entry.id);
-  const batch = Math.min(1, load / entry.slots);
-  const waiting = expectedBeyond(load + 1 - entry.slots) / entry.slots;
-  let atUsualMs = callMs * (1 + FULL_BATCH_PART * batch + waiting);
-  if (preferred !== undefined && preferred !== entry.id) atUsualMs += readMs * heldUp;
-  return atUsualMs * bounded(pace.slowness(paceMs, nowMs));
+  const batchFill = Math.min(1, load / entry.slots);
+  const waiting = expectedExcess(load + 1 - entry.slots) / entry.slots;
+  let atMedianPaceMs = callMs * (1 + FULL_BATCH_SLOWDOWN * batchFill + waiting);
+  if (preferred !== undefined && preferred !== entry.id) atMedianPaceMs += prefillMs * delayedRequests;
+  return atMedianPaceMs * clampSlowness(pace.slowness(paceMs, nowMs));
 }
 
 function occupancyOf(candidates: readonly RunnerCandidate[], loads: RunnerLoads): number {
@@ -179,12 +187,12 @@
 }
 
 /** Requests beyond the slots, where the load is known only roughly. */
-function expectedBeyond(beyond: number): number {
-  if (beyond >= UNCERTAIN_REQUESTS) return beyond;
-  if (beyond <= -UNCERTAIN_REQUESTS) return 0;
-  return (beyond + UNCERTAIN_REQUESTS) ** 2 / (4 * UNCERTAIN_REQUESTS);
+function expectedExcess(excess: number): number {
+  if (excess >= LOAD_UNCERTAINTY_REQUESTS) return excess;
+  if (excess <= -LOAD_UNCERTAINTY_REQUESTS) return 0;
+  return (excess + LOAD_UNCERTAINTY_REQUESTS) ** 2 / (4 * LOAD_UNCERTAINTY_REQUESTS);
 }
 
-function bounded(slowness: number): number {
-  return Math.min(MOST_SLOWNESS, Math.max(1 / MOST_SLOWNESS, slowness));
+function clampSlowness(slowness: number): number {
+  return Math.min(MAX_SLOWNESS, Math.max(1 / MAX_SLOWNESS, slowness));
 }
--- a/src/scheduling/runner-balancing/empty-load-report.ts
+++ b/src/scheduling/runner-balancing/empty-load-report.ts
@@ -1,4 +1,4 @@
-import type { NodeReport } from "./load-report.ts";
+import type { LoadReport } from "./load-report.ts";
 
 /** Of a node that has no requests at runners. */
-export const EMPTY_REPORT: NodeReport = { inFlight: [], failing: [] };
+export const EMPTY_LOAD_REPORT: LoadReport = { inFlight: [], failing: [] };
--- a/src/scheduling/runner-balancing/load-report.ts
+++ b/src/scheduling/runner-balancing/load-report.ts
@@ -1,7 +1,7 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 
 /** What a node tells the others of its requests at runners. */
-export interface NodeReport {
+export interface LoadReport {
   /** Requests in flight. */
   readonly inFlight: readonly (readonly [runner: RunnerId, count: number])[];
   /** Those of them that a dispatcher has placed; left out where there are none. */
--- a/src/scheduling/runner-balancing/moving-average.ts
+++ b/src/scheduling/runner-balancing/moving-average.ts
@@ -1,12 +1,12 @@
 /** An average in which each value has the same weight at first, and the newest ones count more later on. Pure. */
 export class MovingAverage {
-  readonly #leastWeight: number;
+  readonly #minWeight: number;
   #value: number | undefined;
   #count = 0;
 
-  /** @param leastWeight weight of the newest value once there are many, 0 to 1 */
-  constructor(leastWeight: number) {
-    this.#leastWeight = leastWeight;
+  /** @param minWeight weight of the newest value once there are many, 0 to 1 */
+  constructor(minWeight: number) {
+    this.#minWeight = minWeight;
   }
 
   /** Undefined while there is no value. */
@@ -22,7 +22,7 @@
   /** Takes in a value. */
   add(value: number): void {
     this.#count += 1;
-    const weight = Math.max(this.#leastWeight, 1 / this.#count);
+    const weight = Math.max(this.#minWeight, 1 / this.#count);
     const last = this.#value ?? value;
     this.#value = last + (value - last) * weight;
   }
--- a/src/scheduling/runner-balancing/report-totals.ts
+++ b/src/scheduling/runner-balancing/report-totals.ts
@@ -3,14 +3,14 @@
  * costs the same however many nodes there are. Pure.
  */
 import type { RunnerId } from "../ids/runner-id.ts";
-import type { NodeReport } from "./load-report.ts";
+import type { LoadReport } from "./load-report.ts";
 import type { OutcomeCounts } from "./outcome-counts.ts";
-import { ToldPaces } from "./reported-paces.ts";
+import { ReportedPaces } from "./reported-paces.ts";
 
 /** Outcomes are told in tenths; whole numbers of them add up without rounding. */
 const TENTHS = 10;
 
-type Paces = NonNullable<NodeReport["paces"]>;
+type Paces = NonNullable<LoadReport["paces"]>;
 
 interface RunnerTotal {
   inFlight: number;
@@ -19,17 +19,17 @@
   failureTenths: number;
 }
 
-interface ReportOfNode {
-  readonly report: NodeReport;
+interface StoredReport {
+  readonly report: LoadReport;
   readonly atMs: number;
 }
 
 /** See the module's comment. */
 export class ReportTotals {
   readonly #ttlMs: number;
-  readonly #reports = new Map<string, ReportOfNode>();
+  readonly #reports = new Map<string, StoredReport>();
   readonly #totals = new Map<RunnerId, RunnerTotal>();
-  readonly #paces = new ToldPaces();
+  readonly #paces = new ReportedPaces();
 
   /** @param ttlMs how long a report counts, in ms */
   constructor(ttlMs: number) {
@@ -55,48 +55,48 @@
 
   /** What other nodes have told of a runner's pace lately, in ms; one number each. */
   pacesMs(runner: RunnerId): number[] {
-    return this.#paces.of(runner);
+    return this.#paces.pacesOf(runner);
   }
 
   /** A node's report replaces the one before. */
-  set(node: string, report: NodeReport, nowMs: number): void {
-    this.delete(node);
-    this.#reports.set(node, { report, atMs: nowMs });
+  set(source: string, report: LoadReport, nowMs: number): void {
+    this.delete(source);
+    this.#reports.set(source, { report, atMs: nowMs });
     this.#add(report, 1);
-    if (report.paces) this.#paces.add(node, report.paces);
+    if (report.paces) this.#paces.add(source, report.paces);
   }
 
   /** Drops a node's report. */
-  delete(node: string): void {
-    const known = this.#reports.get(node);
+  delete(source: string): void {
+    const known = this.#reports.get(source);
     if (!known) return;
-    this.#reports.delete(node);
+    this.#reports.delete(source);
     this.#add(known.report, -1);
-    if (known.report.paces) this.#paces.delete(node, known.report.paces);
+    if (known.report.paces) this.#paces.delete(source, known.report.paces);
   }
 
   /** Drops reports that are too old. They lie in the order in which they came. */
   dropStale(nowMs: number): void {
-    for (const [node, { atMs }] of this.#reports) {
+    for (const [source, { atMs }] of this.#reports) {
       if (nowMs - atMs <= this.#ttlMs) return;
-      this.delete(node);
+      this.delete(source);
     }
   }
 
   /** The reports of some nodes, as one: of paces it has the medians. */
-  sum(nodes: readonly string[]): NodeReport {
+  sum(sources: readonly string[]): LoadReport {
     const sum = new ReportTotals(this.#ttlMs);
-    for (const node of nodes) {
-      const known = this.#reports.get(node);
+    for (const source of sources) {
+      const known = this.#reports.get(source);
       if (!known) continue;
       sum.#add(known.report, 1);
-      if (known.report.paces) sum.#paces.add(node, known.report.paces);
+      if (known.report.paces) sum.#paces.add(source, known.report.paces);
     }
     return sum.#asReport(sum.#paces.medians());
   }
 
   /** A sum of reports without one of its parts; paces stay, since a median has no parts. */
-  static difference(sum: NodeReport, part: NodeReport): NodeReport {
+  static difference(sum: LoadReport, part: LoadReport): LoadReport {
     const { inFlight, leased = [], failing } = part;
     if (inFlight.length === 0 && leased.length === 0 && failing.length === 0) return sum;
     const totals = new ReportTotals(Number.POSITIVE_INFINITY);
@@ -105,7 +105,7 @@
     return totals.#asReport(sum.paces ?? []);
   }
 
-  #add({ inFlight, leased = [], failing }: NodeReport, sign: 1 | -1): void {
+  #add({ inFlight, leased = [], failing }: LoadReport, sign: 1 | -1): void {
     for (const [runner, count] of inFlight) {
       const total = this.#total(runner);
       total.inFlight += sign * count;
@@ -138,7 +138,7 @@
     return total;
   }
 
-  #asReport(paces: Paces): NodeReport {
+  #asReport(paces: Paces): LoadReport {
     const inFlight: [RunnerId, number][] = [];
     const leased: [RunnerId, number][] = [];
     const failing: [RunnerId, number, number][] = [];
--- a/src/scheduling/runner-balancing/runner-balancer.ts
+++ b/src/scheduling/runner-balancing/runner-balancer.ts
@@ -5,7 +5,7 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { CallTiming } from "./call-timing.ts";
 import { CostByLoad } from "./cost-by-load.ts";
-import type { NodeReport } from "./load-report.ts";
+import type { LoadReport } from "./load-report.ts";
 import { median } from "./median.ts";
 import { MovingAverage } from "./moving-average.ts";
 import type { PendingRequest } from "./pending-request.ts";
@@ -13,8 +13,8 @@
 import { ReportTotals } from "./report-totals.ts";
 import type { RequestOutcome } from "./request-outcome.ts";
 import type { RunnerCandidate } from "./runner-candidate.ts";
-import type { RunnerCost } from "./runner-cost-model.ts";
-import type { RunnerChoice } from "./runner-criteria.ts";
+import type { RunnerCostModel } from "./runner-cost-model.ts";
+import type { RunnerCriteria } from "./runner-criteria.ts";
 import type { RunnerEntry } from "./runner-entry.ts";
 import { RunnerHealth } from "./runner-health.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
@@ -31,14 +31,14 @@
 /** How long a report counts, in ms. */
 const REPORT_TTL_MS = 3_000;
 /** Paces of runners that were used since then are told to other nodes, in ms: about twice, with heartbeats. */
-const TOLD_PACE_MS = 1_000;
+const REPORTED_PACE_MAX_AGE_MS = 1_000;
 /** Reports of several nodes come together: what they tell of a runner is taken in once in this time, in ms. */
-const LEARN_MS = 200;
+const MIN_PACE_UPDATE_INTERVAL_MS = 200;
 /** Paces from here on are told as whole numbers, in ms: what is lost is less than they vary from call to call. */
-const WHOLE_PACE_MS = 10;
-const REPORT_DIGITS = 10;
+const MIN_INTEGER_PACE_MS = 10;
+const TENTHS = 10;
 /** Weight of the newest request in how long requests usually take. */
-const USUAL_WEIGHT = 0.1;
+const NEWEST_REQUEST_WEIGHT = 0.1;
 
 interface RunnerState extends RunnerCandidate {
   entry: RunnerEntry;
@@ -47,17 +47,17 @@
 }
 
 /** See the module's comment. */
-export class RunnerBoard implements RunnerLoads {
-  readonly #cost: RunnerCost;
+export class RunnerBalancer implements RunnerLoads {
+  readonly #costModel: RunnerCostModel;
   readonly #runners = new Map<RunnerId, RunnerState>();
   /** What other nodes tell. */
   readonly #reports = new ReportTotals(REPORT_TTL_MS);
   /** How long requests of a pool that went well took lately, in ms. */
-  readonly #usualMs = new Map<string, MovingAverage>();
+  readonly #averageMs = new Map<string, MovingAverage>();
 
-  /** @param cost how runners are weighed against each other */
-  constructor(cost: RunnerCost = new CostByLoad()) {
-    this.#cost = cost;
+  /** @param costModel how runners are weighed against each other */
+  constructor(costModel: RunnerCostModel = new CostByLoad()) {
+    this.#costModel = costModel;
   }
 
   /** Adds or updates an entry of the list. */
@@ -73,7 +73,7 @@
   }
 
   /** Whether a runner is in the list, ready or not. */
-  listed(id: RunnerId): boolean {
+  isListed(id: RunnerId): boolean {
     return this.#runners.has(id);
   }
 
@@ -89,14 +89,18 @@
   }
 
   /** The best runner for a request; undefined when none may take it. */
-  choose(choice: RunnerChoice): RunnerEntry | undefined {
-    this.#reports.dropStale(choice.nowMs);
-    const candidates = this.#candidates(choice);
+  choose(criteria: RunnerCriteria): RunnerEntry | undefined {
+    this.#reports.dropStale(criteria.nowMs);
+    const candidates = this.#candidates(criteria);
     if (candidates.length === 0) return undefined;
-    const costOf = this.#cost.among(candidates, choice, this);
+    const costOf = this.#costModel.costFunction(candidates, criteria, this);
     let best: RunnerState | undefined;
     let bestCost = Number.POSITIVE_INFINITY;
-    for (const [index, state] of drawn(candidates, this.#cost.mostWeighed, choice).entries()) {
+    for (const [index, state] of drawCandidates(
+      candidates,
+      this.#costModel.maxCandidates,
+      criteria,
+    ).entries()) {
       const cost = costOf(state, index);
       if (cost < bestCost) {
         best = state;
@@ -107,9 +111,9 @@
   }
 
   /** In how many ms a request is expected to be over at a runner; undefined where that is not estimated. */
-  expectedMs(id: RunnerId, choice: RunnerChoice): number | undefined {
+  expectedMs(id: RunnerId, criteria: RunnerCriteria): number | undefined {
     const state = this.#runners.get(id);
-    return state && this.#cost.expectedMs(state, choice, this);
+    return state && this.#costModel.expectedMs(state, criteria, this);
   }
 
   /** Requests under way at a runner, as far as known. */
@@ -157,41 +161,41 @@
   }
 
   /**
-   * Counts a request that leaves for a runner; call {@link ended} when it is over.
+   * Counts a request that leaves for a runner; call {@link recordEnd} when it is over.
    *
    * @param patienceMs silence after which the request speaks against the runner, in ms
    * @param isLeased whether a dispatcher has placed it
    */
-  started(runner: RunnerId, nowMs: number, patienceMs: number, isLeased = false): PendingRequest {
+  recordStart(runner: RunnerId, nowMs: number, patienceMs: number, isLeased = false): PendingRequest {
     const pending = { runner, startedAtMs: nowMs, patienceMs, isLeased, answered: false };
     this.#runners.get(runner)?.health.begin(pending);
     return pending;
   }
 
   /** Takes in how long a call took that went well. */
-  timed(runner: RunnerId, timing: CallTiming, nowMs: number): void {
+  recordTiming(runner: RunnerId, timing: CallTiming, nowMs: number): void {
     const state = this.#runners.get(runner);
     if (!state) return;
-    state.health.pace(this.#cost.observe(state, timing, nowMs), nowMs);
-    if (this.#cost.sharesPaces) this.#learnPace(state, nowMs);
+    state.health.recordPace(this.#costModel.observe(state, timing, nowMs), nowMs);
+    if (this.#costModel.sharesPaces) this.#updatePace(state, nowMs);
   }
 
   /** Counts the end of a request. */
-  ended(pending: PendingRequest, outcome: RequestOutcome, nowMs: number): void {
+  recordEnd(pending: PendingRequest, outcome: RequestOutcome, nowMs: number): void {
     const state = this.#runners.get(pending.runner);
     if (!state) return;
     state.health.end(pending, outcome, nowMs);
     if (outcome !== "success") return;
     const { pool } = state.entry;
-    const usual = this.#usualMs.get(pool) ?? new MovingAverage(USUAL_WEIGHT);
-    this.#usualMs.set(pool, usual);
-    usual.add(nowMs - pending.startedAtMs);
+    const average = this.#averageMs.get(pool) ?? new MovingAverage(NEWEST_REQUEST_WEIGHT);
+    this.#averageMs.set(pool, average);
+    average.add(nowMs - pending.startedAtMs);
   }
 
   /** How long a request of a pool usually takes, in ms; undefined while fewer than `leastRequests` were seen here. */
-  usualMs(pool: string, leastRequests: number): number | undefined {
-    const usual = this.#usualMs.get(pool);
-    return usual && usual.count >= leastRequests ? usual.value : undefined;
+  averageMs(pool: string, minRequests: number): number | undefined {
+    const average = this.#averageMs.get(pool);
+    return average && average.count >= minRequests ? average.value : undefined;
   }
 
   /** Passes over a runner for a while, after it refused a connection or was full. */
@@ -207,7 +211,7 @@
   }
 
   /** This node's report to the others, for the heartbeat. */
-  ownReport(nowMs: number): NodeReport {
+  ownReport(nowMs: number): LoadReport {
     const inFlight: [RunnerId, number][] = [];
     const leased: [RunnerId, number][] = [];
     const failing: [RunnerId, number, number][] = [];
@@ -215,9 +219,10 @@
       if (health.inFlight > 0) inFlight.push([id, health.inFlight]);
       if (health.leased > 0) leased.push([id, health.leased]);
       const { successes, failures } = health.counts(nowMs);
-      if (failures >= MIN_REPORTED_FAILURES) failing.push([id, rounded(successes), rounded(failures)]);
+      if (failures >= MIN_REPORTED_FAILURES)
+        failing.push([id, roundToTenth(successes), roundToTenth(failures)]);
     }
-    const paces = this.#cost.sharesPaces ? this.#ownPaces(nowMs) : [];
+    const paces = this.#costModel.sharesPaces ? this.#ownPaces(nowMs) : [];
     return {
       inFlight,
       failing,
@@ -227,50 +232,51 @@
   }
 
   /** Records another node's report. */
-  report(node: string, report: NodeReport, nowMs: number): void {
-    this.#reports.set(node, report, nowMs);
-    if (!this.#cost.sharesPaces) return;
+  recordReport(source: string, report: LoadReport, nowMs: number): void {
+    this.#reports.set(source, report, nowMs);
+    if (!this.#costModel.sharesPaces) return;
     for (const [id] of report.paces ?? []) {
       const state = this.#runners.get(id);
-      if (state && nowMs - state.pace.learnedAtMs >= LEARN_MS) this.#learnPace(state, nowMs);
+      if (state && nowMs - state.pace.updatedAtMs >= MIN_PACE_UPDATE_INTERVAL_MS)
+        this.#updatePace(state, nowMs);
     }
   }
 
   /** The reports of some nodes, as one. */
-  sumReports(nodes: readonly string[]): NodeReport {
-    return this.#reports.sum(nodes);
+  sumReports(sources: readonly string[]): LoadReport {
+    return this.#reports.sum(sources);
   }
 
   /** Drops what a node that is gone had in flight. */
-  dropReport(node: string): void {
-    this.#reports.delete(node);
+  dropReport(source: string): void {
+    this.#reports.delete(source);
   }
 
   /** Of what this node and the others have seen lately, the median counts: one that is slow itself defames nobody. */
-  #learnPace({ entry, health, pace }: RunnerState, nowMs: number): void {
+  #updatePace({ entry, health, pace }: RunnerState, nowMs: number): void {
     const paces = this.#reports.pacesMs(entry.id);
     const own = health.paceMs(nowMs);
     if (own !== undefined) paces.push(own);
     const paceMs = median(paces);
-    if (paceMs !== undefined) pace.learn(paceMs, paces.length, nowMs);
+    if (paceMs !== undefined) pace.update(paceMs, paces.length, nowMs);
   }
 
   #ownPaces(nowMs: number): [RunnerId, number][] {
     const paces: [RunnerId, number][] = [];
     for (const [id, { health }] of this.#runners) {
       const paceMs = health.paceMs(nowMs);
-      if (paceMs !== undefined && nowMs - health.pacedAtMs <= TOLD_PACE_MS)
-        paces.push([id, roundedPace(paceMs)]);
+      if (paceMs !== undefined && nowMs - health.paceUpdatedAtMs <= REPORTED_PACE_MAX_AGE_MS)
+        paces.push([id, roundPace(paceMs)]);
     }
     return paces;
   }
 
-  #candidates(choice: RunnerChoice): RunnerState[] {
+  #candidates(criteria: RunnerCriteria): RunnerState[] {
     const candidates: RunnerState[] = [];
     for (const state of this.#runners.values()) {
       const { entry } = state;
-      if (entry.pool !== choice.pool || !isReady(state) || choice.excluded.has(entry.id)) continue;
-      if (choice.mayTake?.(entry) ?? true) candidates.push(state);
+      if (entry.pool !== criteria.pool || !isReady(state) || criteria.excluded.has(entry.id)) continue;
+      if (criteria.mayTake?.(entry) ?? true) candidates.push(state);
     }
     return candidates;
   }
@@ -295,8 +301,8 @@
     if (others.length === 0) return false;
     const rates = others.map((state) => this.failureRate(state.entry.id, nowMs));
     rates.sort((left, right) => left - right);
-    const usual = rates[Math.floor(rates.length / 2)] ?? 0;
-    return this.failureRate(id, nowMs) >= usual + OUTLIER_MARGIN;
+    const medianRate = rates[Math.floor(rates.length / 2)] ?? 0;
+    return this.failureRate(id, nowMs) >= medianRate + OUTLIER_MARGIN;
   }
 }
 
@@ -311,29 +317,31 @@
 }
 
 /** The candidates from a random one on; or some of them, drawn evenly over their order, and the preferred one. */
-function drawn(
+function drawCandidates(
   candidates: readonly RunnerState[],
-  most: number,
-  { sample, preferred }: RunnerChoice,
+  maxCount: number,
+  { sample, preferred }: RunnerCriteria,
 ): RunnerState[] {
   const { length } = candidates;
   const start = Math.floor(sample * length);
-  if (length <= most) return [...candidates.slice(start), ...candidates.slice(0, start)];
-  const some = Array.from({ length: most }, (_, index) => {
-    return candidates[(start + Math.floor((index * length) / most)) % length] as RunnerState;
+  if (length <= maxCount) return [...candidates.slice(start), ...candidates.slice(0, start)];
+  const selected = Array.from({ length: maxCount }, (_, index) => {
+    return candidates[(start + Math.floor((index * length) / maxCount)) % length] as RunnerState;
   });
-  const holder = candidates.find(({ entry }) => entry.id === preferred);
-  return holder === undefined || some.includes(holder) ? some : [...some, holder];
+  const preferredState = candidates.find(({ entry }) => entry.id === preferred);
+  return preferredState === undefined || selected.includes(preferredState)
+    ? selected
+    : [...selected, preferredState];
 }
 
 function isReady(state: RunnerState): boolean {
   return state.entry.state === "ready" && !state.leaving;
 }
 
-function rounded(count: number): number {
-  return Math.round(count * REPORT_DIGITS) / REPORT_DIGITS;
+function roundToTenth(count: number): number {
+  return Math.round(count * TENTHS) / TENTHS;
 }
 
-function roundedPace(paceMs: number): number {
-  return paceMs >= WHOLE_PACE_MS ? Math.round(paceMs) : rounded(paceMs);
+function roundPace(paceMs: number): number {
+  return paceMs >= MIN_INTEGER_PACE_MS ? Math.round(paceMs) : roundToTenth(paceMs);
 }
--- a/src/scheduling/runner-balancing/runner-criteria.ts
+++ b/src/scheduling/runner-balancing/runner-criteria.ts
@@ -2,7 +2,7 @@
 import type { RunnerEntry } from "./runner-entry.ts";
 
 /** What a choice depends on. */
-export interface RunnerChoice {
+export interface RunnerCriteria {
   readonly pool: string;
   /** The zone of this node. */
   readonly zone: string;
--- a/src/scheduling/runner-balancing/runner-entry.ts
+++ b/src/scheduling/runner-balancing/runner-entry.ts
@@ -8,7 +8,7 @@
   /** The name under which the platform lists it. */
   readonly name: RunnerName;
   /** Unix time of its start, in ms, by its own clock; undefined where entries do not tell. */
-  readonly bornMs: number | undefined;
+  readonly startedAtMs: number | undefined;
   readonly pool: string;
   /** IP address and port. */
   readonly address: string;
--- a/src/scheduling/runner-balancing/runner-health.ts
+++ b/src/scheduling/runner-balancing/runner-health.ts
@@ -14,9 +14,9 @@
   #leased = 0;
   #successes = 0;
   #failures = 0;
-  #fadedAtMs = 0;
+  #decayedAtMs = 0;
   #paceMs: number | undefined;
-  #pacedAtMs = 0;
+  #paceUpdatedAtMs = 0;
 
   /** Requests without a head of an answer yet, and those whose answer is under way. */
   get inFlight(): number {
@@ -35,49 +35,49 @@
   }
 
   /** How long the runner took for one step of its work: an answer, or an event of a stream. */
-  pace(stepMs: number, nowMs: number): void {
+  recordPace(stepMs: number, nowMs: number): void {
     const last = this.paceMs(nowMs) ?? stepMs;
     this.#paceMs = last + (stepMs - last) * SAMPLE_WEIGHT;
-    this.#pacedAtMs = nowMs;
+    this.#paceUpdatedAtMs = nowMs;
   }
 
   /** The request is over. One that is given up on counts as failed if it had been silent for too long. */
   end(pending: PendingRequest, outcome: RequestOutcome, nowMs: number): void {
     if (!this.#pending.delete(pending)) return;
     if (pending.isLeased) this.#leased -= 1;
-    this.#fade(nowMs);
+    this.#decay(nowMs);
     if (outcome === "success") this.#successes += 1;
-    if (outcome === "failure" || (outcome === "abandoned" && isSilent(pending, nowMs))) this.#failures += 1;
+    if (outcome === "failure" || (outcome === "abandoned" && isOverdue(pending, nowMs))) this.#failures += 1;
   }
 
   /** Outcomes of the last seconds; a request that is silent for too long counts as a failure meanwhile. */
   counts(nowMs: number): OutcomeCounts {
-    this.#fade(nowMs);
-    let silent = 0;
-    for (const pending of this.#pending) if (isSilent(pending, nowMs)) silent += 1;
-    return { successes: this.#successes, failures: this.#failures + silent };
+    this.#decay(nowMs);
+    let overdue = 0;
+    for (const pending of this.#pending) if (isOverdue(pending, nowMs)) overdue += 1;
+    return { successes: this.#successes, failures: this.#failures + overdue };
   }
 
   /** Whether any request failed lately, or is silent for too long. */
   hasFailures(nowMs: number): boolean {
     if (this.#failures > 0) return true;
-    for (const pending of this.#pending) if (isSilent(pending, nowMs)) return true;
+    for (const pending of this.#pending) if (isOverdue(pending, nowMs)) return true;
     return false;
   }
 
   /** When the pace was last seen, in ms of the monotonic clock. */
-  get pacedAtMs(): number {
-    return this.#pacedAtMs;
+  get paceUpdatedAtMs(): number {
+    return this.#paceUpdatedAtMs;
   }
 
   /** Average time of one step, in ms; undefined when none was seen lately. */
   paceMs(nowMs: number): number | undefined {
-    return nowMs - this.#pacedAtMs <= HALF_LIFE_MS ? this.#paceMs : undefined;
+    return nowMs - this.#paceUpdatedAtMs <= HALF_LIFE_MS ? this.#paceMs : undefined;
   }
 
-  #fade(nowMs: number): void {
-    const elapsedMs = nowMs - this.#fadedAtMs;
-    this.#fadedAtMs = nowMs;
+  #decay(nowMs: number): void {
+    const elapsedMs = nowMs - this.#decayedAtMs;
+    this.#decayedAtMs = nowMs;
     if (this.#successes === 0 && this.#failures === 0) return;
     const factor = 0.5 ** (elapsedMs / HALF_LIFE_MS);
     this.#successes *= factor;
@@ -85,6 +85,6 @@
   }
 }
 
-function isSilent(pending: PendingRequest, nowMs: number): boolean {
+function isOverdue(pending: PendingRequest, nowMs: number): boolean {
   return !pending.answered && nowMs - pending.startedAtMs > pending.patienceMs;
 }
--- a/src/scheduling/runner-balancing/start-order.ts
+++ b/src/scheduling/runner-balancing/start-order.ts
@@ -13,7 +13,7 @@
 /** Compares the starts that two entries of one name speak of. */
 export function startOrder(known: RunnerEntry, entry: RunnerEntry): StartOrder {
   if (entry.id === known.id) return "same";
-  if (entry.bornMs === undefined) return "unknown";
-  if (known.bornMs === undefined) return "later";
-  return entry.bornMs > known.bornMs ? "later" : "earlier";
+  if (entry.startedAtMs === undefined) return "unknown";
+  if (known.startedAtMs === undefined) return "later";
+  return entry.startedAtMs > known.startedAtMs ? "later" : "earlier";
 }
--- a/test/contract/balance-messages.test.ts
+++ b/test/contract/balance-messages.test.ts
@@ -31,10 +31,17 @@
       const fleet = new MemberFleet(hash, COUNT, directMost, DEFAULT_ZONES, balance);
       await fleet.time.runUntil(SETTLE_MS);
       const [fast, slow] = FLEET_RUNNERS;
-      const seen = { work: "w", steps: 1, firstMs: 1, promptTokens: undefined, wasCached: false, load: 0 };
+      const seen = {
+        work: "w",
+        steps: 1,
+        firstChunkMs: 1,
+        promptTokens: undefined,
+        wasCached: false,
+        load: 0,
+      };
       for (const { board, process } of fleet.members.slice(0, 3)) {
-        board.timed(fast, { ...seen, workMs: 50 }, process.monotonicMs());
-        board.timed(slow, { ...seen, workMs: 150 }, process.monotonicMs());
+        board.recordTiming(fast, { ...seen, workMs: 50 }, process.monotonicMs());
+        board.recordTiming(slow, { ...seen, workMs: 150 }, process.monotonicMs());
       }
       await fleet.time.runUntil(SETTLE_MS + TOLD_MS);
       for (const { board, process } of fleet.members) {
--- a/test/contract/member-directory.test.ts
+++ b/test/contract/member-directory.test.ts
@@ -81,7 +81,7 @@
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
       for (const { board, process } of fleet.members)
-        board.started(FLEET_RUNNERS[0], process.monotonicMs(), 60_000);
+        board.recordStart(FLEET_RUNNERS[0], process.monotonicMs(), 60_000);
       await fleet.time.runUntil(fleet.time.nowMs + 2_500);
       const loads = fleet.members.map(({ board }) => board.load(FLEET_RUNNERS[0]));
       expect([Math.min(...loads), Math.max(...loads)]).toEqual([count, count]);
--- a/test/contract/place-parts.test.ts
+++ b/test/contract/place-parts.test.ts
@@ -11,7 +11,7 @@
 import type { TenantName } from "../../src/scheduling/ids/tenant-name.ts";
 import type { PlaceCall } from "../../src/scheduling/place-queue/index.ts";
 import { RouteTable } from "../../src/scheduling/routing/route-table.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
+import { RunnerBalancer } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
 import { runnerEntry } from "./support/runner-entry.ts";
 
@@ -20,7 +20,7 @@
 describe("parts of places", () => {
   let nowMs: number;
   let context: GatewayContext;
-  let board: RunnerBoard;
+  let board: RunnerBalancer;
   let groups: RunnerGroups;
 
   beforeEach(async () => {
@@ -28,7 +28,7 @@
     const given = await gatewayContext("gateway", "127.0.0.1:1");
     const clock = Object.assign(Object.create(given.clock), { monotonicMs: () => nowMs });
     context = { ...given, clock, settings: given.settings };
-    board = new RunnerBoard();
+    board = new RunnerBalancer();
     groups = new RunnerGroups(context, board);
   });
 
@@ -40,7 +40,7 @@
 
   const addAll = (count: number) => Array.from({ length: count }, (_, index) => add(index));
   const busy = (id: RunnerId, count: number) =>
-    board.report("other", { inFlight: [[id, count]], failing: [] }, nowMs);
+    board.recordReport("other", { inFlight: [[id, count]], failing: [] }, nowMs);
 
   describe("scarcity", () => {
     const engine = { slots: SLOTS, cacheTokens: 1_000, tokensPerEvent: 1 };
--- a/test/contract/report-totals.test.ts
+++ b/test/contract/report-totals.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
-import type { NodeReport } from "../../src/scheduling/runner-balancing/load-report.ts";
+import type { LoadReport } from "../../src/scheduling/runner-balancing/load-report.ts";
 import { ReportTotals } from "../../src/scheduling/runner-balancing/report-totals.ts";
 
 const TTL_MS = 3_000;
@@ -15,7 +15,7 @@
 const counts = runners.chain((ids) =>
   fc.tuple(...ids.map((id) => fc.tuple(fc.constant(id), fc.integer({ min: 1, max: 9 })))),
 );
-const report: fc.Arbitrary<NodeReport> = fc.record({
+const report: fc.Arbitrary<LoadReport> = fc.record({
   inFlight: counts,
   leased: counts,
   failing: runners.chain((ids) =>
@@ -36,19 +36,19 @@
   passMs: fc.integer({ min: 0, max: TTL_MS }),
 });
 
-function inFlightOf(reports: Iterable<NodeReport>, runner: RunnerId): number {
+function inFlightOf(reports: Iterable<LoadReport>, runner: RunnerId): number {
   let sum = 0;
   for (const { inFlight } of reports) for (const [id, count] of inFlight) if (id === runner) sum += count;
   return sum;
 }
 
-function leasedOf(reports: Iterable<NodeReport>, runner: RunnerId): number {
+function leasedOf(reports: Iterable<LoadReport>, runner: RunnerId): number {
   let sum = 0;
   for (const { leased = [] } of reports) for (const [id, count] of leased) if (id === runner) sum += count;
   return sum;
 }
 
-function failuresOf(reports: Iterable<NodeReport>, runner: RunnerId): number {
+function failuresOf(reports: Iterable<LoadReport>, runner: RunnerId): number {
   let sum = 0;
   for (const { failing } of reports) for (const [id, , count] of failing) if (id === runner) sum += count;
   return Math.round(10 * sum) / 10;
@@ -59,13 +59,13 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
         const totals = new ReportTotals(TTL_MS);
-        const last = new Map<string, { report: NodeReport; atMs: number }>();
+        const last = new Map<string, { report: LoadReport; atMs: number }>();
         let nowMs = 0;
-        for (const { node, report: told, passMs } of steps) {
+        for (const { node, report, passMs } of steps) {
           nowMs += passMs;
-          if (told) {
-            totals.set(node, told, nowMs);
-            last.set(node, { report: told, atMs: nowMs });
+          if (report) {
+            totals.set(node, report, nowMs);
+            last.set(node, { report, atMs: nowMs });
           } else {
             totals.delete(node);
             last.delete(node);
--- a/test/contract/rolling-restart.test.ts
+++ b/test/contract/rolling-restart.test.ts
@@ -34,7 +34,7 @@
         const id = `runner-${runner}-with-a-long-name` as RunnerId;
         member?.board.upsert({
           name: id as string as RunnerName,
-          bornMs: undefined,
+          startedAtMs: undefined,
           id,
           pool: "p",
           address: "a",
@@ -42,7 +42,8 @@
           slots: 8,
           state: "ready",
         });
-        if ((runner + index) % 8 === 0) member?.board.started(id, member.process.monotonicMs(), PATIENCE_MS);
+        if ((runner + index) % 8 === 0)
+          member?.board.recordStart(id, member.process.monotonicMs(), PATIENCE_MS);
       }
     };
     for (let index = 0; index < GATEWAYS; index += 1) putUnderLoad(index);
--- a/test/contract/runner-balance.test.ts
+++ b/test/contract/runner-balance.test.ts
@@ -6,47 +6,52 @@
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import { CostByLoad } from "../../src/scheduling/runner-balancing/cost-by-load.ts";
 import { CostByTime } from "../../src/scheduling/runner-balancing/cost-by-time.ts";
-import type { NodeReport } from "../../src/scheduling/runner-balancing/load-report.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
+import type { LoadReport } from "../../src/scheduling/runner-balancing/load-report.ts";
+import { RunnerBalancer } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { runnerEntry } from "./support/runner-entry.ts";
-import { type Load, playLoad, type TurnTimes, type Work } from "./support/runner-load.ts";
-
-const LENGTH_MS = 20_000;
-const SLOW_MOMENT_MS = 500;
+import {
+  type LoadScenario,
+  type SimulatedCall,
+  simulateLoad,
+  type TurnTimes,
+} from "./support/runner-load.ts";
+
+const DURATION_MS = 20_000;
+const SLOW_INTERVAL_MS = 500;
 /** What is no better by expected time must not be worse, but for the play of chance. */
-const AS_GOOD = 1.05;
+const NO_WORSE_FACTOR = 1.05;
 
-const TURNS = (random: SeededRandomSource): Work => ({
+const newTurn = (random: SeededRandomSource): SimulatedCall => ({
   kind: "turn",
   steps: 3 + random.below(6),
   stepMs: 40,
 });
-const PLAIN = (random: SeededRandomSource): Work => {
+const newPlainCall = (random: SeededRandomSource): SimulatedCall => {
   const meanMs = [26, 69, 104][random.below(3)] as number;
   return { kind: `${meanMs}`, steps: 1, stepMs: -Math.log(1 - random.unit()) * meanMs };
 };
 
-const UNEVEN: Load = {
+const UNEVEN: LoadScenario = {
   gateways: 24,
   runners: 30,
   programsPerS: 60,
-  lengthMs: LENGTH_MS,
-  newWork: TURNS,
-  slowness: (runner, nowMs) => (runner % 3 === 2 ? 1.7 : 0.7) * moment(runner, nowMs),
-  tell: (_, report) => report,
-  newCost: () => new CostByLoad(),
+  durationMs: DURATION_MS,
+  newCall: newTurn,
+  slowness: (runner, nowMs) => (runner % 3 === 2 ? 1.7 : 0.7) * slowMomentFactor(runner, nowMs),
+  deliveredReport: (_, report) => report,
+  newCostModel: () => new CostByLoad(),
 };
 
 /** 15 in 100 half seconds of a runner are slow. */
-function moment(runner: number, nowMs: number): number {
-  const random = new SeededRandomSource(1_000 * runner + Math.floor(nowMs / SLOW_MOMENT_MS));
+function slowMomentFactor(runner: number, nowMs: number): number {
+  const random = new SeededRandomSource(1_000 * runner + Math.floor(nowMs / SLOW_INTERVAL_MS));
   random.unit();
   return random.unit() < 0.15 ? 2.5 : 1;
 }
 
-function playBoth(t: TestContext, load: Load): [byLoad: TurnTimes, byTime: TurnTimes] {
-  const byLoad = playLoad(load);
-  const byTime = playLoad({ ...load, newCost: () => new CostByTime() });
+function simulateBoth(t: TestContext, load: LoadScenario): [byLoad: TurnTimes, byTime: TurnTimes] {
+  const byLoad = simulateLoad(load);
+  const byTime = simulateLoad({ ...load, newCostModel: () => new CostByTime() });
   t.diagnostic(`ms by load ${JSON.stringify(byLoad)}, by expected time ${JSON.stringify(byTime)}`);
   return [byLoad, byTime];
 }
@@ -55,45 +60,49 @@
   expect(byTime.mean < byLoad.mean && byTime.p95 < byLoad.p95).toEqual(true);
 }
 
-function expectAsGood([byLoad, byTime]: [byLoad: TurnTimes, byTime: TurnTimes]): void {
-  expect(byTime.mean <= AS_GOOD * byLoad.mean && byTime.p95 <= AS_GOOD * byLoad.p95).toEqual(true);
+function expectNoWorse([byLoad, byTime]: [byLoad: TurnTimes, byTime: TurnTimes]): void {
+  expect(byTime.mean <= NO_WORSE_FACTOR * byLoad.mean && byTime.p95 <= NO_WORSE_FACTOR * byLoad.p95).toEqual(
+    true,
+  );
 }
 
 describe("uneven runners", () => {
   for (const programsPerS of [30, 90, 120]) {
     it(`answer turns sooner by expected time, ${programsPerS} programs a second`, (t) => {
-      expectBetter(playBoth(t, { ...UNEVEN, programsPerS }));
+      expectBetter(simulateBoth(t, { ...UNEVEN, programsPerS }));
     });
   }
 
   it("answer plain calls of several kinds sooner by expected time", (t) => {
-    expectBetter(playBoth(t, { ...UNEVEN, newWork: PLAIN, programsPerS: 250 }));
+    expectBetter(simulateBoth(t, { ...UNEVEN, newCall: newPlainCall, programsPerS: 250 }));
   });
 
   it("that are alike but for slow moments answer plain calls sooner under a heavy load", (t) => {
-    expectBetter(playBoth(t, { ...UNEVEN, newWork: PLAIN, programsPerS: 350, slowness: moment }));
+    expectBetter(
+      simulateBoth(t, { ...UNEVEN, newCall: newPlainCall, programsPerS: 350, slowness: slowMomentFactor }),
+    );
   });
 
   it("are told apart by own calls where others tell no paces", (t) => {
-    const tell = (_: number, { inFlight, failing }: NodeReport) => ({ inFlight, failing });
-    expectBetter(playBoth(t, { ...UNEVEN, tell }));
+    const deliveredReport = (_: number, { inFlight, failing }: LoadReport) => ({ inFlight, failing });
+    expectBetter(simulateBoth(t, { ...UNEVEN, deliveredReport }));
   });
 
   it("answer turns sooner although a fifth of the gateways tell paces that are their own delays", (t) => {
-    const slowed = (paces: NodeReport["paces"] = []) =>
+    const slowed = (paces: LoadReport["paces"] = []) =>
       paces.map(([runner, paceMs]) => [runner, 4 * paceMs] as const);
-    const tell = (gateway: number, report: NodeReport) =>
+    const deliveredReport = (gateway: number, report: LoadReport) =>
       gateway % 5 === 0 ? { ...report, paces: slowed(report.paces) } : report;
-    expectBetter(playBoth(t, { ...UNEVEN, tell }));
+    expectBetter(simulateBoth(t, { ...UNEVEN, deliveredReport }));
   });
 
   it("that flap between fast and slow do no more harm by expected time", (t) => {
     const flaps = (runner: number, nowMs: number) => (runner < 5 && nowMs % 4_000 < 2_000 ? 6 : 1);
-    expectAsGood(playBoth(t, { ...UNEVEN, slowness: flaps }));
+    expectNoWorse(simulateBoth(t, { ...UNEVEN, slowness: flaps }));
   });
 
   it("are used as before while all are alike", (t) => {
-    expectAsGood(playBoth(t, { ...UNEVEN, slowness: () => 1 }));
+    expectNoWorse(simulateBoth(t, { ...UNEVEN, slowness: () => 1 }));
   });
 });
 
@@ -101,63 +110,68 @@
   const ALL = ["r0", "r1", "r2", "r3", "r4", "r5"] as RunnerId[];
   const SAMPLES = Array.from({ length: 100 }, (_, index) => (index + 0.5) / 100);
 
-  function newBoard(): RunnerBoard {
-    const board = new RunnerBoard(new CostByTime());
-    for (const id of ALL) board.upsert(runnerEntry(id, { slots: 8 }));
-    return board;
+  function newBalancer(): RunnerBalancer {
+    const balancer = new RunnerBalancer(new CostByTime());
+    for (const id of ALL) balancer.upsert(runnerEntry(id, { slots: 8 }));
+    return balancer;
   }
 
   /** Of a hundred calls at once, those that go to the first runner. */
-  function firstRunnersPart(board: RunnerBoard, nowMs: number): number {
-    const choice = { pool: "p", zone: "z", excluded: new Set<RunnerId>(), preferred: undefined, nowMs };
-    const chosen = SAMPLES.map((sample) => board.choose({ ...choice, sample })?.id);
+  function firstRunnerShare(balancer: RunnerBalancer, nowMs: number): number {
+    const criteria = { pool: "p", zone: "z", excluded: new Set<RunnerId>(), preferred: undefined, nowMs };
+    const chosen = SAMPLES.map((sample) => balancer.choose({ ...criteria, sample })?.id);
     return chosen.filter((id) => id === ALL[0]).length / SAMPLES.length;
   }
 
-  function tell(board: RunnerBoard, nodes: readonly string[], firstMs: number, nowMs: number): void {
-    for (const node of nodes) {
+  function reportPaces(
+    balancer: RunnerBalancer,
+    sources: readonly string[],
+    firstMs: number,
+    nowMs: number,
+  ): void {
+    for (const source of sources) {
       const paces = ALL.map((id) => [id, id === ALL[0] ? firstMs : 100] as const);
-      board.report(node, { inFlight: [], failing: [], paces }, nowMs);
+      balancer.recordReport(source, { inFlight: [], failing: [], paces }, nowMs);
     }
   }
 
   it("that one of several nodes tells otherwise than the others are not believed", () => {
-    const board = newBoard();
-    tell(board, ["a", "b", "c"], 100, 0);
-    tell(board, ["d"], 1_000, 100);
-    expect(firstRunnersPart(board, 300) > 0.1).toEqual(true);
+    const balancer = newBalancer();
+    reportPaces(balancer, ["a", "b", "c"], 100, 0);
+    reportPaces(balancer, ["d"], 1_000, 100);
+    expect(firstRunnerShare(balancer, 300) > 0.1).toEqual(true);
   });
 
   it("of a slow runner outlive what was seen lately, and fade when nobody uses it", () => {
-    const board = newBoard();
-    for (let nowMs = 0; nowMs < 5_000; nowMs += 500) tell(board, ["a", "b", "c"], 300, nowMs);
-    expect(firstRunnersPart(board, 4_900) < 0.02).toEqual(true);
-    expect(firstRunnersPart(board, 9_000) < 0.04).toEqual(true);
-    expect(firstRunnersPart(board, 50_000) > 0.1).toEqual(true);
+    const balancer = newBalancer();
+    for (let nowMs = 0; nowMs < 5_000; nowMs += 500) reportPaces(balancer, ["a", "b", "c"], 300, nowMs);
+    expect(firstRunnerShare(balancer, 4_900) < 0.02).toEqual(true);
+    expect(firstRunnerShare(balancer, 9_000) < 0.04).toEqual(true);
+    expect(firstRunnerShare(balancer, 50_000) > 0.1).toEqual(true);
   });
 
   it("of a runner that recovers bring its calls back within seconds", () => {
-    const board = newBoard();
-    for (let nowMs = 0; nowMs < 3_000; nowMs += 500) tell(board, ["a", "b", "c"], 500, nowMs);
-    expect(firstRunnersPart(board, 3_000) < 0.02).toEqual(true);
-    for (let nowMs = 3_000; nowMs < 13_000; nowMs += 500) tell(board, ["a", "b", "c"], 100, nowMs);
-    expect(firstRunnersPart(board, 13_000) > 0.1).toEqual(true);
+    const balancer = newBalancer();
+    for (let nowMs = 0; nowMs < 3_000; nowMs += 500) reportPaces(balancer, ["a", "b", "c"], 500, nowMs);
+    expect(firstRunnerShare(balancer, 3_000) < 0.02).toEqual(true);
+    for (let nowMs = 3_000; nowMs < 13_000; nowMs += 500) reportPaces(balancer, ["a", "b", "c"], 100, nowMs);
+    expect(firstRunnerShare(balancer, 13_000) > 0.1).toEqual(true);
   });
 
   it("that are not known count as the pool's usual one", () => {
-    const board = newBoard();
+    const balancer = newBalancer();
     const paces = ALL.slice(1).map((id) => [id, 100] as const);
-    board.report("a", { inFlight: [], failing: [], paces }, 0);
-    const part = firstRunnersPart(board, 100);
+    balancer.recordReport("a", { inFlight: [], failing: [], paces }, 0);
+    const part = firstRunnerShare(balancer, 100);
     expect(part > 0.1 && part < 0.25).toEqual(true);
   });
 
   it("are told of runners that were used lately", () => {
-    const board = newBoard();
-    const timing = { work: "w", steps: 1, workMs: 52.4, firstMs: 52.4, load: 0, wasCached: false };
-    board.timed(ALL[0] as RunnerId, { ...timing, promptTokens: undefined }, 100);
-    expect(board.ownReport(600).paces).toEqual([[ALL[0] as RunnerId, 52]]);
-    expect(board.ownReport(1_200).paces).toEqual(undefined);
+    const balancer = newBalancer();
+    const timing = { work: "w", steps: 1, workMs: 52.4, firstChunkMs: 52.4, load: 0, wasCached: false };
+    balancer.recordTiming(ALL[0] as RunnerId, { ...timing, promptTokens: undefined }, 100);
+    expect(balancer.ownReport(600).paces).toEqual([[ALL[0] as RunnerId, 52]]);
+    expect(balancer.ownReport(1_200).paces).toEqual(undefined);
   });
 });
 
--- a/test/contract/runner-connections.test.ts
+++ b/test/contract/runner-connections.test.ts
@@ -6,7 +6,7 @@
 import { SystemClock } from "../../src/runtime/clock.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../src/scheduling/ids/runner-name.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
+import { RunnerBalancer } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import type { RunnerEntry } from "../../src/scheduling/runner-balancing/runner-entry.ts";
 import { RunnerStandin } from "../../standins/platform/runner-standin.ts";
 
@@ -21,15 +21,15 @@
   let runner: RunnerStandin;
   let entry: RunnerEntry;
   let connections: RunnerConnections;
-  let board: RunnerBoard;
+  let board: RunnerBalancer;
   let gateways: number;
 
   beforeEach(async () => {
     runner = new RunnerStandin(NAME);
     runner.stepMs = ANSWER_MS;
     const address = await runner.listen();
-    entry = { id: ID, name: NAME, bornMs: 1, pool: "p", address, zone: "z", slots: 1, state: "ready" };
-    board = new RunnerBoard();
+    entry = { id: ID, name: NAME, startedAtMs: 1, pool: "p", address, zone: "z", slots: 1, state: "ready" };
+    board = new RunnerBalancer();
     board.upsert(entry);
     gateways = 1;
     connections = new RunnerConnections({
@@ -99,11 +99,11 @@
     gateways = 3;
     const rooms = Array.from({ length: 4 }, () => {
       const room = connections.room("p")(entry);
-      board.started(ID, 0, 1);
+      board.recordStart(ID, 0, 1);
       return room;
     });
     expect(rooms).toEqual([true, true, true, true]);
-    board.report("other", { inFlight: [[ID, 2]], failing: [] }, 0);
+    board.recordReport("other", { inFlight: [[ID, 2]], failing: [] }, 0);
     expect([connections.room("p")(entry), connections.room("unknown")(entry)]).toEqual([false, true]);
   });
 });
--- a/test/contract/runner-row.test.ts
+++ b/test/contract/runner-row.test.ts
@@ -24,7 +24,7 @@
     const expected = {
       id: "i-7f3a91c2#1760000000123" as never,
       name: NAME as never,
-      bornMs: WHOLE.born,
+      startedAtMs: WHOLE.born,
       pool: "pool",
       address: "10.128.0.9:8080",
       zone: "zone-a",
@@ -35,7 +35,7 @@
     expect(parse({ ...WHOLE, born: undefined })).toEqual({
       ...expected,
       id: NAME as never,
-      bornMs: undefined,
+      startedAtMs: undefined,
     });
     expect(parse({ ...WHOLE, added: { later: [] } })).toEqual(expected);
   });
--- a/test/contract/runner-watch.test.ts
+++ b/test/contract/runner-watch.test.ts
@@ -10,7 +10,7 @@
 import { StoreHealth } from "../../src/gateway/store-health.ts";
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
-import { RunnerBoard } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
+import { RunnerBalancer } from "../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
 
 const RUNNER = "runner-1" as RunnerId;
@@ -34,7 +34,7 @@
 let time: VirtualTime;
 let store: SharedStore;
 let path: SimulatedRowStore;
-let board: RunnerBoard;
+let board: RunnerBalancer;
 let sequence: number;
 let ended: RunnerId[];
 let lines: string[];
@@ -62,7 +62,7 @@
   beforeEach(async () => {
     time = new VirtualTime();
     store = new SharedStore(time, new SeededRandomSource(1));
-    board = new RunnerBoard();
+    board = new RunnerBalancer();
     sequence = 0;
     const clock = new SimulatedProcess("gateway", "zone-a", time);
     const context = await gatewayContext("gateway", UNUSED);
@@ -141,7 +141,7 @@
       await time.runUntil(9_000);
       expect(board.ready(listed)?.name as string).toEqual(RUNNER);
       expect(ended).toEqual(gone);
-      expect(gone.filter((id) => board.listed(id))).toEqual([]);
+      expect(gone.filter((id) => board.isListed(id))).toEqual([]);
     });
   }
 
@@ -149,12 +149,12 @@
     const nowMs = 6_000;
     write(RUNNER, { born: 1_000 });
     await time.runUntil(nowMs);
-    const pending = board.started(FIRST, nowMs, 100);
-    board.report("other gateway", { inFlight: [[FIRST, 3]], failing: [[FIRST, 0, 4]] }, nowMs);
+    const pending = board.recordStart(FIRST, nowMs, 100);
+    board.recordReport("other gateway", { inFlight: [[FIRST, 3]], failing: [[FIRST, 0, 4]] }, nowMs);
     expect([board.load(FIRST), board.isOutlier(FIRST, nowMs)]).toEqual([4, true]);
     write(RUNNER, { born: 2_000 });
     await time.runUntil(7_000);
-    board.ended(pending, "failure", 7_000);
+    board.recordEnd(pending, "failure", 7_000);
     expect([board.load(SECOND), board.isOutlier(SECOND, 7_000)]).toEqual([0, false]);
   });
 
@@ -168,7 +168,7 @@
       write(RUNNER, { born: 1_000 });
       time.after(1_000, spoil);
       await time.runUntil(7_000);
-      expect([board.ready(FIRST), board.listed(FIRST)]).toEqual([undefined, true]);
+      expect([board.ready(FIRST), board.isListed(FIRST)]).toEqual([undefined, true]);
       expect(board.ready(OTHER) !== undefined).toEqual(true);
       write(RUNNER, { born: 1_000 });
       await time.runUntil(8_000);
--- a/test/contract/support/place-fleet.ts
+++ b/test/contract/support/place-fleet.ts
@@ -27,7 +27,7 @@
 import type { RequestId } from "../../../src/scheduling/ids/request-id.ts";
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
 import type { PlaceCall } from "../../../src/scheduling/place-queue/index.ts";
-import { RunnerBoard } from "../../../src/scheduling/runner-balancing/runner-balancer.ts";
+import { RunnerBalancer } from "../../../src/scheduling/runner-balancing/runner-balancer.ts";
 import { runnerEntry } from "./runner-entry.ts";
 
 export const POOL = { name: "p", maxConnections: 100, engine: undefined };
@@ -50,7 +50,7 @@
   readonly name: string;
   readonly instance: string;
   readonly process: SimulatedProcess;
-  readonly board: RunnerBoard;
+  readonly board: RunnerBalancer;
   readonly client: PlaceClient;
   readonly dispatchers: DispatcherDirectory;
   /** Begins a planned stop. */
@@ -116,7 +116,7 @@
     const transport = this.network.attach(process, { instance, address: peers });
     const members = new MemberDirectory(context, transport, new StoreHealth(context));
     const rpc = new RpcEndpoint<GatewayRpcSchema>(transport, process, context.random);
-    const board = new RunnerBoard();
+    const board = new RunnerBalancer();
     for (const id of this.#runners)
       board.upsert(runnerEntry(id, { pool: POOL.name, zone: "zone", slots: this.#slots }));
     const groups = new RunnerGroups(context, board);
@@ -132,7 +132,7 @@
       owned: [],
       runners: board.ownReport(process.monotonicMs()),
     });
-    members.onLoads = (source, report) => board.report(source, report, process.monotonicMs());
+    members.onLoads = (source, report) => board.recordReport(source, report, process.monotonicMs());
     members.sumLoads = (sources) => board.sumReports(sources);
     members.onLost = (member) => {
       board.dropReport(member.instance);
@@ -195,11 +195,11 @@
     const runner = isGranted ? verdict.runner : board.choose({ ...choice, nowMs, sample: 0.5 });
     if (!runner) return;
     placed.runner = runner.id;
-    const pending = board.started(runner.id, nowMs, 1_000, isGranted);
+    const pending = board.recordStart(runner.id, nowMs, 1_000, isGranted);
     this.#noteBusy(runner.id, 1);
     this.time.after(holdMs, () => this.#noteBusy(runner.id, -1));
     process.schedule(holdMs, () => {
-      board.ended(pending, "success", process.monotonicMs());
+      board.recordEnd(pending, "success", process.monotonicMs());
       if (isGranted) verdict.place.giveBack(false);
     });
   }
--- a/test/contract/support/runner-entry.ts
+++ b/test/contract/support/runner-entry.ts
@@ -7,7 +7,7 @@
   return {
     id: id as RunnerId,
     name: id as RunnerName,
-    bornMs: undefined,
+    startedAtMs: undefined,
     pool: "p",
     address: "127.0.0.1:1",
     zone: "z",
