--- a/src/scheduling/runner-balancing/call-timing.ts
+++ b/src/scheduling/runner-balancing/call-timing.ts
@@ -1,17 +1,17 @@
-/** How long the parts of a call took that went well, as the node saw it that made it. Times in ms. */
+/** How long the parts of a successful call took, as measured by the gateway that made it. Times in ms. */
 export interface CallTiming {
-  /** The kind of work: a route. Calls of one kind take about as long as each other. */
+  /** Name of the route, as the kind of work: calls of one route take about the same time. */
   readonly work: string;
-  /** Pieces of a streamed answer; 1 for an answer that is one step. */
+  /** Number of chunks of a streamed answer; 1 for an answer that is not streamed. */
   readonly steps: number;
-  /** From the first piece of a stream to its end; of another answer all of its time. */
+  /** Time from the first chunk of a stream to its end; for other answers, the time of the whole call. */
   readonly workMs: number;
-  /** Until the first piece of the answer. */
+  /** Time until the first chunk of the answer. */
   readonly firstChunkMs: number;
-  /** Undefined where they are not known. */
+  /** Number of tokens in the prompt; undefined if not known. */
   readonly promptTokens: number | undefined;
-  /** Whether the runner was believed to hold most of the prompt. */
+  /** Whether the runner was expected to have most of the prompt cached. */
   readonly wasCached: boolean;
-  /** Requests at the runner when the call was sent there, itself left out. */
+  /** Requests in flight at the runner when the call was sent, not counting the call itself. */
   readonly load: number;
 }
--- a/src/scheduling/runner-balancing/connection-share.ts
+++ b/src/scheduling/runner-balancing/connection-share.ts
@@ -1,31 +1,35 @@
 /**
- * Which part of the connections that a runner takes from all gateways one of them may use. One half of them is shared out
- * evenly, the other is lent to those that need more: callers are not spread evenly over gateways. All together stay within
- * what the runner takes, unless there are so many gateways that the least share of each is too much. Pure.
+ * Limits how many of a runner's connections one gateway may use. A runner accepts a fixed number of connections from all
+ * gateways together. Half of them is reserved in equal shares. The other half is open to gateways that need more, since
+ * callers are not spread evenly over gateways. The total stays within the runner's limit, unless there are so many gateways
+ * that their minimum shares exceed it. Pure.
  */
 
-/** A gateway needs this many at least to work at all, however many gateways there are. */
+/** Minimum share of a gateway, in connections, however many gateways there are: it cannot work with fewer. */
 const MIN_SHARE = 2;
-/** What one gateway uses of one runner at most. */
+/** Most connections that one gateway uses at one runner. */
 const MAX_SHARE = 64;
-/** Part of all connections that is lent: as long as no more are in use, a gateway may go beyond its share. */
+/**
+ * Fraction of a runner's connections that is not reserved. While fewer connections than this are in use in total, a gateway
+ * may exceed its share.
+ */
 const UNRESERVED_FRACTION = 0.5;
 
-/** How the connections of one runner are used. */
+/** How many connections of one runner are in use, counted as requests in flight. */
 export interface ConnectionUse {
-  /** Requests at the runner from this gateway. */
+  /** Requests in flight at the runner from this gateway. */
   readonly own: number;
-  /** Requests at the runner from all gateways, as far as known. */
+  /** Requests in flight at the runner from all gateways, as far as known. */
   readonly total: number;
 }
 
-/** A gateway's equal share of some connections of a runner. */
+/** The equal share of one gateway in a number of connections, within the minimum and maximum per gateway. */
 export function connectionShare(connections: number, gateways: number): number {
   const equal = Math.floor(connections / Math.max(1, gateways));
   return Math.min(MAX_SHARE, Math.max(MIN_SHARE, equal));
 }
 
-/** Whether a gateway may have one request more at a runner. */
+/** Whether a gateway may send one more request to a runner. */
 export function mayUseConnection(use: ConnectionUse, maxConnections: number, gateways: number): boolean {
   const unreserved = maxConnections * UNRESERVED_FRACTION;
   if (use.own < connectionShare(maxConnections - unreserved, gateways)) return true;
@@ -33,8 +37,8 @@
 }
 
 /**
- * Whether a gateway may go beyond its share for a call that no other runner has a connection for: refusing it would help
- * nobody while the runner is known to take more.
+ * Whether a gateway may exceed its share for a call for which it has no free connection at any other runner. Refusing the
+ * call would serve no purpose while the runner is known to accept more connections.
  */
 export function mayExceedShare(use: ConnectionUse, maxConnections: number): boolean {
   return use.own < MAX_SHARE && use.total < maxConnections;
--- a/src/scheduling/runner-balancing/cost-by-load.ts
+++ b/src/scheduling/runner-balancing/cost-by-load.ts
@@ -1,4 +1,4 @@
-/** Weighs runners by requests in flight, as a share of their slots. Pure. */
+/** Compares runners by their requests in flight, as a share of their slots. Pure. */
 import type { CallTiming } from "./call-timing.ts";
 import { median } from "./median.ts";
 import type { RunnerCandidate } from "./runner-candidate.ts";
@@ -6,39 +6,39 @@
 import type { RunnerCriteria } from "./runner-criteria.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
 
-/** Cost of a runner that is being avoided: taken only when nothing else is left. */
+/** Cost of a runner that is being avoided: it is chosen only if there is no other. */
 const AVOIDED_COST = 1_000_000;
-/** What distance costs, as a share of a slot. */
+/** Cost of a runner in another zone, as a share of all slots. */
 const OTHER_ZONE_COST = 0.3;
 /**
- * What a prompt costs that is not cached yet, as a share of all slots. Reading it anew holds up the whole batch, for as
- * much of the runner's time as several turns take: under load, calls that leave the holder for a free place elsewhere
- * take more capacity than they find.
+ * Cost of a prompt that is not cached at the runner, as a share of all slots. Prefilling it delays the whole batch and takes
+ * as much of the runner's time as several turns. Under load, calls that leave the runner with the cached prompt for a free
+ * slot elsewhere use up more capacity than they gain.
  */
 const UNCACHED_PROMPT_COST = 2.5;
-/** What each request beyond the slots costs, as a share of all slots. */
+/** Additional cost of each request beyond the slots, in slots. */
 const QUEUED_REQUEST_COST = 4;
-/** What a runner costs at which every request fails, as a share of all slots. */
+/** Cost of a runner at which every request fails, as a share of all slots. */
 const FAILURE_COST = 4;
-/** What a runner costs for each time that its steps take as long again as those of the pool. */
+/** Cost per multiple of the pool's median pace by which a runner is slower than tolerated. */
 const SLOWNESS_COST = 0.25;
-/** A pace up to this many times as slow as the pool's costs nothing. */
+/** A pace of up to this multiple of the pool's median costs nothing. */
 const TOLERATED_SLOWNESS = 2;
 const MAX_SLOWNESS_COST = 2;
-/** How long the usual pace of a pool counts, in ms. */
+/** How long the median pace of a pool is reused before it is computed again, in ms. */
 const MEDIAN_PACE_TTL_MS = 200;
 
-/** How long runners of a pool usually take for a step, as of a moment. */
+/** The median time of a step at the runners of a pool, and when it was computed. */
 interface MedianPace {
   readonly atMs: number;
   readonly paceMs: number;
 }
 
-/** See the module's comment. */
+/** Cost model that compares runners by load, failure rate, zone, cached prompt and pace. */
 export class CostByLoad extends RunnerCostModel {
   override readonly sharesPaces = false;
   override readonly maxCandidates = Number.POSITIVE_INFINITY;
-  /** By pool. */
+  /** Keyed by pool. */
   readonly #medianPaces = new Map<string, MedianPace>();
 
   override costFunction(
@@ -58,7 +58,7 @@
     return workMs / steps;
   }
 
-  /** The median pace of the candidates, looked at only now and then: it changes slowly. */
+  /** The median pace of the candidates, cached for a short time because it changes slowly. */
   #medianPaceMs(candidates: readonly RunnerCandidate[], { pool, nowMs }: RunnerCriteria): number | undefined {
     const known = this.#medianPaces.get(pool);
     if (known && nowMs - known.atMs < MEDIAN_PACE_TTL_MS) return known.paceMs;
@@ -84,7 +84,7 @@
   return cost + slownessCost(health.paceMs(criteria.nowMs), medianMs);
 }
 
-/** The median pace of the candidates; undefined when too few are known. */
+/** The median pace of the candidates; undefined if fewer than two paces are known. */
 function medianPaceMs(candidates: readonly RunnerCandidate[], nowMs: number): number | undefined {
   const times = candidates.flatMap(({ health }) => health.paceMs(nowMs) ?? []);
   return times.length >= 2 ? median(times) : undefined;
--- a/src/scheduling/runner-balancing/cost-by-time.ts
+++ b/src/scheduling/runner-balancing/cost-by-time.ts
@@ -1,6 +1,6 @@
 /**
- * Weighs runners by the time in which a call is expected to be over there: its steps at the runner's pace, the wait for a
- * place, the reading of its prompt. A fast runner gets more calls than a slow one, and both get some while calls wait.
+ * Compares runners by the expected completion time of a call: the time of its steps at the runner's pace, the wait for a
+ * slot, and the prefill of its prompt. A fast runner gets more calls than a slow one; while calls are waiting, both get some.
  * Times in ms. Pure.
  */
 import type { CallTiming } from "./call-timing.ts";
@@ -12,71 +12,79 @@
 import type { RunnerCriteria } from "./runner-criteria.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
 
-/** Cost of a runner that is being avoided: taken only when nothing else is left. */
+/** Cost of a runner that is being avoided: it is chosen only if there is no other. */
 const AVOIDED_COST_MS = 1_000_000;
-/** Steps in a full batch take longer than in an empty one by about this part. */
+/** Fraction by which a step takes longer in a full batch than in an empty one, approximately. */
 const FULL_BATCH_SLOWDOWN = 0.25;
 /**
- * What a full batch costs beside, as a part of a call: the more requests share a runner's memory, the more cached prompts
- * give way, and the more requests are preempted and read anew.
+ * Additional cost of a full batch, in calls. The more requests share a runner's memory, the more cached prompts are evicted,
+ * and the more requests are preempted and prefilled again.
  */
 const MEMORY_CONTENTION_COST_CALLS = 0.5;
 /**
- * What another zone costs, as a part of a call: its way is short, but traffic between zones is paid for, and a zone that
- * is parted breaks the calls that cross its border.
+ * Cost of a runner in another zone, in calls. The latency between zones is low, but traffic between them is billed, and a
+ * network partition of a zone breaks the calls that cross its boundary.
  */
 const OTHER_ZONE_COST_CALLS = 0.4;
-/** What a runner costs at which every request fails, in calls: the lost one, others in its place, and its program. */
+/** Cost of a runner at which every request fails, in calls: the failed call, its retries, and the loss to its program. */
 const FAILURE_COST_CALLS = 8;
-/** What a prompt costs that is not cached, in calls, while the speed of reading is not known. */
+/** Cost of a prompt that is not cached, in calls, while the prefill speed is not known. */
 const UNCACHED_PROMPT_COST_CALLS = 2.5;
 /**
- * How widely the choice is spread over runners of nearly the same cost, in ms, and at most a call: in an empty pool, and
- * added in a full one. All nodes know the same paces, and loads that are half a second old; with less they would all run to
- * the same runner till they hear of it, where the wait for its places is the longer the fuller the pool.
+ * Scale of the random term that spreads choices over runners of nearly the same cost, in ms: the value in an empty pool, and
+ * what is added to it in a full pool. It is at most the time of a call. All gateways know the same paces, and loads that are
+ * half a second old. With a smaller spread, all of them would choose the same runner until the next reports arrive, and the
+ * wait for its slots grows with the load of the pool.
  */
 const BASE_SPREAD_MS = 40;
 const FULL_POOL_SPREAD_MS = 250;
 /**
- * The holder of the prompt is left for a runner that is better, not for the luck of the draw: its share of the spread is
- * beyond the largest of the others by so much, which these reach once in eight choices.
+ * How far the random term of the preferred runner lies above the expected largest term of the other candidates; one of these
+ * reaches it in one of eight choices. So a call leaves the runner that has its prompt cached for a better runner, and seldom
+ * by chance.
  */
 const PREFERRED_RUNNER_MARGIN = 2;
-/** Among so many there are nearly always some of the fast ones of the own zone, and weighing takes processor time. */
+/**
+ * Most runners that are compared for one choice, since each comparison takes CPU time. So many nearly always include some
+ * fast runners of the own zone.
+ */
 const MAX_CANDIDATES = 16;
-/** A runner is taken to be at most so many times faster or slower than the usual one. */
+/** A runner counts as at most this many times faster or slower than the median of its pool. */
 const MAX_SLOWNESS = 8;
-/** Requests that come and go between reports: so near to its slots, a runner may already have more than them. */
+/**
+ * How far the known load may be off, in requests, since requests start and end between reports. A runner whose load is this
+ * close to its slots may already have more requests than slots.
+ */
 const LOAD_UNCERTAINTY_REQUESTS = 2;
-/** How long what is usual in a pool counts, in ms: it changes slowly. */
+/** How long the state of a pool is reused before it is computed again, in ms: it changes slowly. */
 const POOL_STATE_TTL_MS = 200;
-/** Time of a step while none has been seen, in ms. */
+/** Assumed time of a step while none has been observed, in ms. */
 const DEFAULT_PACE_MS = 50;
 
-/** What is usual in a pool, as of a moment. */
+/** Median pace and occupancy of a pool, and when they were computed. */
 interface PoolState {
   readonly atMs: number;
-  /** Time of a step. */
+  /** Median time of a step over the runners of the pool. */
   readonly paceMs: number;
-  /** Requests as a share of the slots. */
+  /** Requests in flight as a share of the slots. */
   readonly occupancy: number;
 }
 
-/** What holds for all runners of a choice. */
+/** Expected times of a call at a runner of median pace; the same for all candidates of a choice. */
 interface TypicalTimes {
-  /** Time of a step at the usual runner. */
+  /** Time of a step. */
   readonly paceMs: number;
-  /** Time of a call there, without waiting. */
+  /** Time of the whole call, without waiting for a slot. */
   readonly callMs: number;
-  /** Time for reading the prompt there, with nothing else running. */
+  /** Time to prefill the prompt while nothing else is running. */
   readonly prefillMs: number;
 }
 
-/** See the module's comment. */
+/** Cost model that compares runners by the expected completion time of a call, in ms. */
 export class CostByTime extends RunnerCostModel {
   override readonly sharesPaces = true;
   override readonly maxCandidates = MAX_CANDIDATES;
-  /** By pool. */
+  /** Keyed by pool. */
   readonly #times = new Map<string, PoolTimes>();
   readonly #poolStates = new Map<string, PoolState>();
 
@@ -157,9 +165,10 @@
 }
 
 /**
- * Time until the call is over.
+ * Expected time until the call is complete.
  *
- * @param delayedRequests requests that wait while the prompt is read, itself among them: it counts once for each
+ * @param delayedRequests number of requests that are delayed by the prefill of the prompt, including the call itself: the
+ *   prefill time counts once for each of them
  */
 function completionMs(
   { entry, pace }: RunnerCandidate,
@@ -186,7 +195,7 @@
   return slots === 0 ? 0 : load / slots;
 }
 
-/** Requests beyond the slots, where the load is known only roughly. */
+/** Expected number of requests beyond the slots, given that the load is known only approximately. */
 function expectedExcess(excess: number): number {
   if (excess >= LOAD_UNCERTAINTY_REQUESTS) return excess;
   if (excess <= -LOAD_UNCERTAINTY_REQUESTS) return 0;
--- a/src/scheduling/runner-balancing/load-report.ts
+++ b/src/scheduling/runner-balancing/load-report.ts
@@ -1,13 +1,13 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 
-/** What a node tells the others of its requests at runners. */
+/** What a gateway reports to the other gateways about its requests at runners. */
 export interface LoadReport {
-  /** Requests in flight. */
+  /** Number of requests in flight, by runner. */
   readonly inFlight: readonly (readonly [runner: RunnerId, count: number])[];
-  /** Those of them that a dispatcher has placed; left out where there are none. */
+  /** Number of those requests that were placed by a dispatcher; absent if there are none. */
   readonly leased?: readonly (readonly [runner: RunnerId, count: number])[];
-  /** Outcomes of the last seconds, of runners at which some requests failed. */
+  /** Outcomes of the last seconds, for runners at which some requests failed. */
   readonly failing: readonly (readonly [runner: RunnerId, successes: number, failures: number])[];
-  /** Average time of a step of the runners used lately, in ms; left out by builds that do not tell. */
+  /** Average time of a step at recently used runners, in ms; absent from builds that do not report it. */
   readonly paces?: readonly (readonly [runner: RunnerId, paceMs: number])[];
 }
--- a/src/scheduling/runner-balancing/moving-average.ts
+++ b/src/scheduling/runner-balancing/moving-average.ts
@@ -1,25 +1,25 @@
-/** An average in which each value has the same weight at first, and the newest ones count more later on. Pure. */
+/** An average that weights its first values equally, and becomes an exponential moving average after that. Pure. */
 export class MovingAverage {
   readonly #minWeight: number;
   #value: number | undefined;
   #count = 0;
 
-  /** @param minWeight weight of the newest value once there are many, 0 to 1 */
+  /** @param minWeight weight of the newest value once there are many values, from 0 to 1 */
   constructor(minWeight: number) {
     this.#minWeight = minWeight;
   }
 
-  /** Undefined while there is no value. */
+  /** The average; undefined while no value has been added. */
   get value(): number | undefined {
     return this.#value;
   }
 
-  /** How many values it is made of. */
+  /** How many values have been added. */
   get count(): number {
     return this.#count;
   }
 
-  /** Takes in a value. */
+  /** Adds a value to the average. */
   add(value: number): void {
     this.#count += 1;
     const weight = Math.max(this.#minWeight, 1 / this.#count);
--- a/src/scheduling/runner-balancing/outcome-counts.ts
+++ b/src/scheduling/runner-balancing/outcome-counts.ts
@@ -1,4 +1,4 @@
-/** How many requests went well and badly; fractions, since older ones count less. */
+/** Numbers of successful and failed requests. They are fractional, because older requests count less. */
 export interface OutcomeCounts {
   readonly successes: number;
   readonly failures: number;
--- a/src/scheduling/runner-balancing/pending-request.ts
+++ b/src/scheduling/runner-balancing/pending-request.ts
@@ -1,13 +1,13 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 
-/** A request that has left for a runner and is not over. Times are of the monotonic clock, in ms. */
+/** A request that was sent to a runner and is not complete. Times are of the monotonic clock, in ms. */
 export interface PendingRequest {
   readonly runner: RunnerId;
   readonly startedAtMs: number;
-  /** Silence after which the request speaks against its runner. */
+  /** Time without an answer after which the request counts as a failure of its runner. */
   readonly patienceMs: number;
-  /** Whether a dispatcher has placed it. */
+  /** Whether a dispatcher placed the request. */
   readonly isLeased: boolean;
-  /** Whether the head of the answer has come. */
+  /** Whether the headers of the answer have arrived. */
   answered: boolean;
 }
--- a/src/scheduling/runner-balancing/pool-times.ts
+++ b/src/scheduling/runner-balancing/pool-times.ts
@@ -1,34 +1,37 @@
-/** What calls to a pool of runners usually take, learned from those that this node has made. Pure. */
+/** Average times of calls to a pool of runners, measured on the calls of this gateway. Pure. */
 import type { CallTiming } from "./call-timing.ts";
 import { MovingAverage } from "./moving-average.ts";
 
-/** Weight of the newest call: the averages follow a change of the work within some dozens of calls. */
+/** Weight of the newest call in the averages: they follow a change of the workload within some dozens of calls. */
 const CALL_WEIGHT = 0.05;
-/** Fewer calls than this say nothing of the speed at which prompts are read. */
+/** Minimum number of calls, with and without a cached prompt, from which the prefill speed is estimated. */
 const MIN_PROMPT_SAMPLES = 5;
-/** A time counts as at most so many times the average: one that has waited says nothing of the reading. */
+/**
+ * A time counts as at most this multiple of the average, since the time of a call that has waited says nothing about the
+ * prefill.
+ */
 const MAX_AVERAGE_MULTIPLE = 2;
-/** Steps are not told apart below this, in ms. */
+/** Shorter steps count as this long, in ms. */
 const MIN_STEP_MS = 0.1;
-/** The time for reading a prompt is not told apart from other delays below this, in ms. */
+/** Shorter prefill times count as this long, in ms: they cannot be distinguished from other delays. */
 const MIN_PREFILL_MS = 1;
 
-/** See the module's comment. Times are those of a runner of usual speed. */
+/** Moving averages over the calls to one pool. Prefill times are scaled to a runner of median pace. */
 export class PoolTimes {
   readonly #steps = new MovingAverage(CALL_WEIGHT);
-  /** Time of a step, by kind of work. */
+  /** Time of a step, keyed by kind of work. */
   readonly #stepMs = new Map<string, MovingAverage>();
-  /** Time until the first piece of the answer where the prompt was cached, and where it was not. */
+  /** Time until the first chunk of the answer, for calls with a cached prompt and for all others. */
   readonly #cachedFirstChunkMs = new MovingAverage(CALL_WEIGHT);
   readonly #uncachedFirstChunkMs = new MovingAverage(CALL_WEIGHT);
   readonly #uncachedPromptTokens = new MovingAverage(CALL_WEIGHT);
 
-  /** Steps of a call. */
+  /** Average number of steps of a call. */
   get steps(): number {
     return this.#steps.value ?? 1;
   }
 
-  /** Tokens of a prompt that are read in a ms; undefined while that is not known. */
+  /** Prefill speed in tokens per ms; undefined while it is not known. */
   get promptTokensPerMs(): number | undefined {
     const tokens = this.#uncachedPromptTokens.value;
     const uncachedMs = this.#uncachedFirstChunkMs.value;
@@ -40,10 +43,11 @@
   }
 
   /**
-   * Takes in a call that went well.
+   * Records a successful call.
    *
-   * @param slowness of its runner against the usual one
-   * @returns the time of a step as if all kinds of work took the same, in ms
+   * @param slowness pace of its runner relative to the pool's median
+   * @param hadFreeSlot whether the runner had a free slot when the call was sent
+   * @returns the time of a step in ms, normalized for the kind of work
    */
   observe(timing: CallTiming, slowness: number, hadFreeSlot: boolean): number {
     this.#steps.add(timing.steps);
@@ -62,7 +66,9 @@
     if (!wasCached) this.#uncachedPromptTokens.add(promptTokens);
   }
 
-  /** Over kinds of work, each counted once: the same at nodes to which different kinds come. */
+  /**
+   * The mean over the kinds of work, each counted once, so that it is the same at gateways that get different mixes of work.
+   */
   #meanStepMs(): number {
     let sum = 0;
     for (const { value = 0 } of this.#stepMs.values()) sum += value;
@@ -70,7 +76,7 @@
   }
 }
 
-/** The first piece of a stream ends no step that was seen from its beginning. */
+/** The time of one step. The first chunk of a stream is not counted, because the beginning of its step was not observed. */
 function stepMsOf({ workMs, steps }: CallTiming): number {
   return Math.max(MIN_STEP_MS, workMs / Math.max(1, steps - 1));
 }
--- a/src/scheduling/runner-balancing/report-totals.ts
+++ b/src/scheduling/runner-balancing/report-totals.ts
@@ -1,13 +1,13 @@
 /**
- * Reports of other nodes on their requests at runners, summed by runner as they come: a choice among runners then
- * costs the same however many nodes there are. Pure.
+ * Sums the load reports of other gateways by runner as they arrive, so that choosing a runner costs the same however many
+ * gateways there are. Pure.
  */
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { LoadReport } from "./load-report.ts";
 import type { OutcomeCounts } from "./outcome-counts.ts";
 import { ReportedPaces } from "./reported-paces.ts";
 
-/** Outcomes are told in tenths; whole numbers of them add up without rounding. */
+/** Outcomes are reported in tenths. They are summed as integers, without rounding errors. */
 const TENTHS = 10;
 
 type Paces = NonNullable<LoadReport["paces"]>;
@@ -24,41 +24,41 @@
   readonly atMs: number;
 }
 
-/** See the module's comment. */
+/** The latest report of each source, and the totals of all reports by runner. A source is a gateway or a sum of several. */
 export class ReportTotals {
   readonly #ttlMs: number;
   readonly #reports = new Map<string, StoredReport>();
   readonly #totals = new Map<RunnerId, RunnerTotal>();
   readonly #paces = new ReportedPaces();
 
-  /** @param ttlMs how long a report counts, in ms */
+  /** @param ttlMs how long a report is valid, in ms */
   constructor(ttlMs: number) {
     this.#ttlMs = ttlMs;
   }
 
-  /** Requests in flight at a runner from all other nodes. */
+  /** Requests in flight at a runner from all other gateways. */
   inFlight(runner: RunnerId): number {
     return this.#totals.get(runner)?.inFlight ?? 0;
   }
 
-  /** Requests in flight at a runner from all other nodes that a dispatcher has placed. */
+  /** Requests in flight at a runner from all other gateways that were placed by a dispatcher. */
   leased(runner: RunnerId): number {
     return this.#totals.get(runner)?.leased ?? 0;
   }
 
-  /** Outcomes that other nodes have met at a runner lately. */
+  /** Recent outcomes of the requests of other gateways at a runner. */
   outcomes(runner: RunnerId): OutcomeCounts {
     const total = this.#totals.get(runner);
     if (!total) return { successes: 0, failures: 0 };
     return { successes: total.successTenths / TENTHS, failures: total.failureTenths / TENTHS };
   }
 
-  /** What other nodes have told of a runner's pace lately, in ms; one number each. */
+  /** The paces that other gateways last reported for a runner, in ms; one per report. */
   pacesMs(runner: RunnerId): number[] {
     return this.#paces.pacesOf(runner);
   }
 
-  /** A node's report replaces the one before. */
+  /** Stores the report of a source in place of its previous one. */
   set(source: string, report: LoadReport, nowMs: number): void {
     this.delete(source);
     this.#reports.set(source, { report, atMs: nowMs });
@@ -66,7 +66,7 @@
     if (report.paces) this.#paces.add(source, report.paces);
   }
 
-  /** Drops a node's report. */
+  /** Deletes the report of a source. */
   delete(source: string): void {
     const known = this.#reports.get(source);
     if (!known) return;
@@ -75,7 +75,7 @@
     if (known.report.paces) this.#paces.delete(source, known.report.paces);
   }
 
-  /** Drops reports that are too old. They lie in the order in which they came. */
+  /** Deletes reports that are too old. They are stored in order of arrival. */
   dropStale(nowMs: number): void {
     for (const [source, { atMs }] of this.#reports) {
       if (nowMs - atMs <= this.#ttlMs) return;
@@ -83,7 +83,7 @@
     }
   }
 
-  /** The reports of some nodes, as one: of paces it has the medians. */
+  /** Merges the reports of some sources into one: counts are added, and paces are replaced by their median. */
   sum(sources: readonly string[]): LoadReport {
     const sum = new ReportTotals(this.#ttlMs);
     for (const source of sources) {
@@ -95,7 +95,7 @@
     return sum.#asReport(sum.#paces.medians());
   }
 
-  /** A sum of reports without one of its parts; paces stay, since a median has no parts. */
+  /** Subtracts one report from a sum that includes it. Paces are kept, since a median cannot be subtracted from. */
   static difference(sum: LoadReport, part: LoadReport): LoadReport {
     const { inFlight, leased = [], failing } = part;
     if (inFlight.length === 0 && leased.length === 0 && failing.length === 0) return sum;
--- a/src/scheduling/runner-balancing/reported-paces.ts
+++ b/src/scheduling/runner-balancing/reported-paces.ts
@@ -1,16 +1,16 @@
-/** Paces of runners as other nodes have told them last. Pure. */
+/** The paces of runners that other gateways last reported. Pure. */
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { LoadReport } from "./load-report.ts";
 import { median } from "./median.ts";
 
 type Paces = NonNullable<LoadReport["paces"]>;
 
-/** See the module's comment. */
+/** The latest reported time of a step, in ms, by runner and source. */
 export class ReportedPaces {
-  /** By runner, then by node. */
+  /** Keyed by runner, then by source. */
   readonly #paces = new Map<RunnerId, Map<string, number>>();
 
-  /** What a node tells. */
+  /** Adds the paces that a source reports. */
   add(source: string, paces: Paces): void {
     for (const [runner, paceMs] of paces) {
       const bySource = this.#paces.get(runner) ?? new Map<string, number>();
@@ -19,7 +19,7 @@
     }
   }
 
-  /** Drops what a node has told. */
+  /** Deletes the paces that a source has reported. */
   delete(source: string, paces: Paces): void {
     for (const [runner] of paces) {
       const bySource = this.#paces.get(runner);
@@ -28,12 +28,12 @@
     }
   }
 
-  /** What all nodes have told of a runner. */
+  /** The paces that all sources have reported for a runner. */
   pacesOf(runner: RunnerId): number[] {
     return [...(this.#paces.get(runner)?.values() ?? [])];
   }
 
-  /** For each runner the median: one node that is slow itself says nothing of its own. */
+  /** The median pace of each runner, so that one gateway that is slow itself has no effect. */
   medians(): [runner: RunnerId, paceMs: number][] {
     return [...this.#paces.keys()].map((runner) => [runner, median(this.pacesOf(runner)) ?? 0]);
   }
--- a/src/scheduling/runner-balancing/request-outcome.ts
+++ b/src/scheduling/runner-balancing/request-outcome.ts
@@ -1,2 +1,5 @@
-/** How a request at a runner ended; one that is abandoned by its caller, or refused, says nothing of the runner. */
+/**
+ * How a request at a runner ended. A request is abandoned if its caller gave it up or the runner refused it; it then counts
+ * neither for nor against the runner, unless it was overdue.
+ */
 export type RequestOutcome = "success" | "failure" | "abandoned";
--- a/src/scheduling/runner-balancing/runner-balancer.ts
+++ b/src/scheduling/runner-balancing/runner-balancer.ts
@@ -1,6 +1,7 @@
 /**
- * What one node believes of the runners: the platform's list, requests in flight from here and, from heartbeats,
- * from the other nodes, and what this node has met itself. Pure: time comes in as a value.
+ * Balances the calls of one gateway over the runners. It knows the platform's list of runners, the requests in flight from
+ * this gateway and, from heartbeats, from the other gateways, and the outcomes and paces that this gateway has observed.
+ * Pure: time is passed in as a value.
  */
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { CallTiming } from "./call-timing.ts";
@@ -20,24 +21,33 @@
 import type { RunnerLoads } from "./runner-loads.ts";
 import { RunnerPace } from "./runner-pace.ts";
 
-/** How long a runner that refused a connection, or left, is passed over, in ms. */
+/** How long a runner is avoided after it refused a connection or a request, or left, in ms. */
 const AVOID_MS = 1_000;
-/** Outcomes that are assumed to have been good, so that one failure alone says little. */
+/** Number of successes that are added to the counted outcomes, so that a single failure has little effect. */
 const ASSUMED_SUCCESSES = 2;
-/** Runners with less than this of failures are not worth a report. */
+/** Runners with fewer failures than this are left out of the reported outcomes. */
 const MIN_REPORTED_FAILURES = 0.2;
-/** How far an outlier's part of failures lies above that of the others. */
+/** How far the failure rate of an outlier lies above the median of the other runners. */
 const OUTLIER_MARGIN = 0.25;
-/** How long a report counts, in ms. */
+/** How long a report of another gateway is valid, in ms. */
 const REPORT_TTL_MS = 3_000;
-/** Paces of runners that were used since then are told to other nodes, in ms: about twice, with heartbeats. */
+/**
+ * Maximum age of a pace that is reported to other gateways, in ms. Reports are sent with heartbeats, so that each pace is
+ * reported about twice.
+ */
 const REPORTED_PACE_MAX_AGE_MS = 1_000;
-/** Reports of several nodes come together: what they tell of a runner is taken in once in this time, in ms. */
+/**
+ * Minimum time between two updates of a runner's pace from reports, in ms: the reports of several gateways arrive together
+ * and are taken into account at once.
+ */
 const MIN_PACE_UPDATE_INTERVAL_MS = 200;
-/** Paces from here on are told as whole numbers, in ms: what is lost is less than they vary from call to call. */
+/**
+ * Paces of at least this are reported as integers, in ms: the rounding error is smaller than their variation between calls.
+ */
 const MIN_INTEGER_PACE_MS = 10;
+/** Other reported numbers are rounded to tenths. */
 const TENTHS = 10;
-/** Weight of the newest request in how long requests usually take. */
+/** Weight of the newest request in the average duration of requests. */
 const NEWEST_REQUEST_WEIGHT = 0.1;
 
 interface RunnerState extends RunnerCandidate {
@@ -46,49 +56,49 @@
   leaving: boolean;
 }
 
-/** See the module's comment. */
+/** Keeps what a gateway knows about each runner, and chooses the runner for a request. */
 export class RunnerBalancer implements RunnerLoads {
   readonly #costModel: RunnerCostModel;
   readonly #runners = new Map<RunnerId, RunnerState>();
-  /** What other nodes tell. */
+  /** Load reports of the other gateways. */
   readonly #reports = new ReportTotals(REPORT_TTL_MS);
-  /** How long requests of a pool that went well took lately, in ms. */
+  /** Average duration of recent successful requests in ms, keyed by pool. */
   readonly #averageMs = new Map<string, MovingAverage>();
 
-  /** @param costModel how runners are weighed against each other */
+  /** @param costModel computes the costs by which runners are compared */
   constructor(costModel: RunnerCostModel = new CostByLoad()) {
     this.#costModel = costModel;
   }
 
-  /** Adds or updates an entry of the list. */
+  /** Adds or updates a runner of the platform's list. */
   upsert(entry: RunnerEntry): void {
     const known = this.#runners.get(entry.id);
     if (known) known.entry = entry;
     else this.#runners.set(entry.id, newState(entry));
   }
 
-  /** Removes an entry that is gone from the list. */
+  /** Removes a runner that is no longer in the platform's list. */
   remove(id: RunnerId): void {
     this.#runners.delete(id);
   }
 
-  /** Whether a runner is in the list, ready or not. */
+  /** Whether a runner is in the platform's list, ready or not. */
   isListed(id: RunnerId): boolean {
     return this.#runners.has(id);
   }
 
-  /** The entry of a runner that may take new work. */
+  /** The entry of a runner; undefined unless the runner is listed and accepts new requests. */
   ready(id: RunnerId): RunnerEntry | undefined {
     const state = this.#runners.get(id);
     return state && isReady(state) ? state.entry : undefined;
   }
 
-  /** All entries. */
+  /** The entries of all listed runners, ready or not. */
   entries(): RunnerEntry[] {
     return [...this.#runners.values()].map((state) => state.entry);
   }
 
-  /** The best runner for a request; undefined when none may take it. */
+  /** Returns the runner with the lowest cost for a request; undefined if there is no candidate. */
   choose(criteria: RunnerCriteria): RunnerEntry | undefined {
     this.#reports.dropStale(criteria.nowMs);
     const candidates = this.#candidates(criteria);
@@ -110,44 +120,44 @@
     return best?.entry;
   }
 
-  /** In how many ms a request is expected to be over at a runner; undefined where that is not estimated. */
+  /** Expected time to complete a request at a runner, in ms; undefined if the cost model does not estimate it. */
   expectedMs(id: RunnerId, criteria: RunnerCriteria): number | undefined {
     const state = this.#runners.get(id);
     return state && this.#costModel.expectedMs(state, criteria, this);
   }
 
-  /** Requests under way at a runner, as far as known. */
+  /** Requests in flight at a runner from all gateways, as far as known. */
   load(id: RunnerId): number {
     return this.ownLoad(id) + this.#reports.inFlight(id);
   }
 
-  /** Requests of this node under way at a runner. */
+  /** Requests in flight at a runner from this gateway. */
   ownLoad(id: RunnerId): number {
     return this.#runners.get(id)?.health.inFlight ?? 0;
   }
 
-  /** Requests under way at a runner that no dispatcher has placed, as far as known. */
+  /** Requests in flight at a runner that were not placed by a dispatcher, as far as known. */
   unplaced(id: RunnerId): number {
     const health = this.#runners.get(id)?.health;
     const own = health ? health.inFlight - health.leased : 0;
     return own + this.#reports.inFlight(id) - this.#reports.leased(id);
   }
 
-  /** Drops reports of other nodes that are too old to count; a choice does so by itself. */
+  /** Deletes reports of other gateways that are too old. {@link choose} does so as well. */
   dropStale(nowMs: number): void {
     this.#reports.dropStale(nowMs);
   }
 
   /**
-   * Requests under way at the runners of a pool, as far as known, as a share of the places that they have: beyond 1 some
-   * wait. 0 where the pool has no runner.
+   * Requests in flight at the runners of a pool, as far as known, as a share of their slots: above 1, some requests are
+   * waiting. 0 if the pool has no runner that accepts new requests.
    */
   occupancy(pool: string): number {
     const { slots, load } = this.poolLoad(pool);
     return slots === 0 ? 0 : load / slots;
   }
 
-  /** Places of the runners of a pool that take new work, and requests under way there, as far as known. */
+  /** Slots of the runners of a pool that accept new requests, and requests in flight there, as far as known. */
   poolLoad(pool: string): PoolLoad {
     let slots = 0;
     let load = 0;
@@ -161,10 +171,10 @@
   }
 
   /**
-   * Counts a request that leaves for a runner; call {@link recordEnd} when it is over.
+   * Counts a request that is sent to a runner. Call {@link recordEnd} when it is complete.
    *
-   * @param patienceMs silence after which the request speaks against the runner, in ms
-   * @param isLeased whether a dispatcher has placed it
+   * @param patienceMs time without an answer after which the request counts as a failure of the runner, in ms
+   * @param isLeased whether a dispatcher placed the request
    */
   recordStart(runner: RunnerId, nowMs: number, patienceMs: number, isLeased = false): PendingRequest {
     const pending = { runner, startedAtMs: nowMs, patienceMs, isLeased, answered: false };
@@ -172,7 +182,7 @@
     return pending;
   }
 
-  /** Takes in how long a call took that went well. */
+  /** Records how long a successful call took. */
   recordTiming(runner: RunnerId, timing: CallTiming, nowMs: number): void {
     const state = this.#runners.get(runner);
     if (!state) return;
@@ -180,7 +190,7 @@
     if (this.#costModel.sharesPaces) this.#updatePace(state, nowMs);
   }
 
-  /** Counts the end of a request. */
+  /** Records the end of a request. */
   recordEnd(pending: PendingRequest, outcome: RequestOutcome, nowMs: number): void {
     const state = this.#runners.get(pending.runner);
     if (!state) return;
@@ -192,25 +202,25 @@
     average.add(nowMs - pending.startedAtMs);
   }
 
-  /** How long a request of a pool usually takes, in ms; undefined while fewer than `leastRequests` were seen here. */
+  /** Average duration of requests to a pool, in ms; undefined if this gateway has seen fewer than `minRequests`. */
   averageMs(pool: string, minRequests: number): number | undefined {
     const average = this.#averageMs.get(pool);
     return average && average.count >= minRequests ? average.value : undefined;
   }
 
-  /** Passes over a runner for a while, after it refused a connection or was full. */
+  /** Avoids a runner for a while, after it refused a connection or was full. */
   avoid(id: RunnerId, nowMs: number): void {
     const state = this.#runners.get(id);
     if (state) state.avoidUntilMs = nowMs + AVOID_MS;
   }
 
-  /** A runner turned out to be another one, or is on its way out: it takes no new work any more. */
+  /** Excludes a runner from new requests, because its address belongs to another runner now, or because it is leaving. */
   markLeaving(id: RunnerId): void {
     const state = this.#runners.get(id);
     if (state) state.leaving = true;
   }
 
-  /** This node's report to the others, for the heartbeat. */
+  /** The report of this gateway to the others, sent with the heartbeat. */
   ownReport(nowMs: number): LoadReport {
     const inFlight: [RunnerId, number][] = [];
     const leased: [RunnerId, number][] = [];
@@ -231,7 +241,7 @@
     };
   }
 
-  /** Records another node's report. */
+  /** Stores the report of another gateway. */
   recordReport(source: string, report: LoadReport, nowMs: number): void {
     this.#reports.set(source, report, nowMs);
     if (!this.#costModel.sharesPaces) return;
@@ -242,17 +252,20 @@
     }
   }
 
-  /** The reports of some nodes, as one. */
+  /** Merges the reports of some sources into one. */
   sumReports(sources: readonly string[]): LoadReport {
     return this.#reports.sum(sources);
   }
 
-  /** Drops what a node that is gone had in flight. */
+  /** Deletes the report of a gateway that is gone. */
   dropReport(source: string): void {
     this.#reports.delete(source);
   }
 
-  /** Of what this node and the others have seen lately, the median counts: one that is slow itself defames nobody. */
+  /**
+   * Updates the pace of a runner with the median of the paces that this gateway and the others observed recently, so that one
+   * gateway that is slow itself does not make the runner appear slow.
+   */
   #updatePace({ entry, health, pace }: RunnerState, nowMs: number): void {
     const paces = this.#reports.pacesMs(entry.id);
     const own = health.paceMs(nowMs);
@@ -281,7 +294,7 @@
     return candidates;
   }
 
-  /** Part of the requests of the last seconds that failed at a runner, as all nodes see it: 0 to 1. */
+  /** Fraction of the requests of the last seconds that failed at a runner, from 0 to 1, over all gateways. */
   failureRate(id: RunnerId, nowMs: number): number {
     const health = this.#runners.get(id)?.health;
     const others = this.#reports.outcomes(id);
@@ -292,7 +305,7 @@
     return failures / (failures + successes + ASSUMED_SUCCESSES);
   }
 
-  /** Whether requests fail at a runner while they go well at most others of its pool. */
+  /** Whether requests fail at a runner while they succeed at most other runners of its pool. */
   isOutlier(id: RunnerId, nowMs: number): boolean {
     const pool = this.#runners.get(id)?.entry.pool;
     const others = [...this.#runners.values()].filter(
@@ -316,7 +329,10 @@
   };
 }
 
-/** The candidates from a random one on; or some of them, drawn evenly over their order, and the preferred one. */
+/**
+ * Returns all candidates, starting at a random one; or, if there are more than `maxCount`, that many at equal distances from
+ * a random start, and the preferred one.
+ */
 function drawCandidates(
   candidates: readonly RunnerState[],
   maxCount: number,
--- a/src/scheduling/runner-balancing/runner-candidate.ts
+++ b/src/scheduling/runner-balancing/runner-candidate.ts
@@ -2,13 +2,13 @@
 import type { RunnerHealth } from "./runner-health.ts";
 import type { RunnerPace } from "./runner-pace.ts";
 
-/** What a node knows of a runner of its list. */
+/** What a gateway knows about a listed runner. */
 export interface RunnerCandidate {
   readonly entry: RunnerEntry;
-  /** What this node has met there. */
+  /** Outcomes of this gateway's requests to the runner. */
   readonly health: RunnerHealth;
-  /** How fast it is, by what this node and others have seen. */
+  /** Pace of the runner, as observed by this gateway and others. */
   readonly pace: RunnerPace;
-  /** Until when it is passed over, in ms of the monotonic clock. */
+  /** Time until which the runner is avoided, in ms of the monotonic clock. */
   readonly avoidUntilMs: number;
 }
--- a/src/scheduling/runner-balancing/runner-cost-model.ts
+++ b/src/scheduling/runner-balancing/runner-cost-model.ts
@@ -3,25 +3,28 @@
 import type { RunnerCriteria } from "./runner-criteria.ts";
 import type { RunnerLoads } from "./runner-loads.ts";
 
-/** What a request costs at a runner: the least is chosen. */
+/** Returns the cost of a request at a runner. The runner with the lowest cost is chosen. */
 export type CostFunction = (candidate: RunnerCandidate, index: number) => number;
 
-/** How runners are weighed against each other. */
+/** Computes the costs by which runners are compared. */
 export abstract class RunnerCostModel {
-  /** Whether the paces that this node sees are told to others. */
+  /** Whether the paces that this gateway observes are reported to the others. */
   abstract readonly sharesPaces: boolean;
 
-  /** Of more runners than this, only so many are weighed, drawn at random, and the one that is preferred. */
+  /**
+   * Maximum number of runners that are compared. If there are more, that many are drawn at random, and the preferred one is
+   * added.
+   */
   abstract readonly maxCandidates: number;
 
-  /** The cost of one request at each of some runners. */
+  /** Returns the function that computes the cost of a request at each of the candidates. */
   abstract costFunction(
     candidates: readonly RunnerCandidate[],
     criteria: RunnerCriteria,
     loads: RunnerLoads,
   ): CostFunction;
 
-  /** In how many ms a request is expected to be over at a runner; undefined where that is not estimated. */
+  /** Expected time to complete a request at a runner, in ms; undefined if the model does not estimate it. */
   abstract expectedMs(
     candidate: RunnerCandidate,
     criteria: RunnerCriteria,
@@ -29,7 +32,7 @@
   ): number | undefined;
 
   /**
-   * Takes in how long a call took that went well.
+   * Records how long a successful call took.
    *
    * @returns the time of one step at the runner, in ms
    */
--- a/src/scheduling/runner-balancing/runner-criteria.ts
+++ b/src/scheduling/runner-balancing/runner-criteria.ts
@@ -1,20 +1,20 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { RunnerEntry } from "./runner-entry.ts";
 
-/** What a choice depends on. */
+/** What the choice of a runner for a request depends on. */
 export interface RunnerCriteria {
   readonly pool: string;
-  /** The zone of this node. */
+  /** The zone of this gateway. */
   readonly zone: string;
-  /** Runners that this request has met already. */
+  /** Runners that must not be chosen, for example because the request was already sent there. */
   readonly excluded: ReadonlySet<RunnerId>;
-  /** Runner that holds most of the prompt, if any is known to. */
+  /** The runner that has most of the prompt cached, if known. */
   readonly preferred: RunnerId | undefined;
-  /** Tokens of the prompt; left out where they are not known. */
+  /** Number of tokens in the prompt; absent if not known. */
   readonly promptTokens?: number | undefined;
   readonly nowMs: number;
-  /** Breaks ties: a number in [0, 1). */
+  /** Random number in [0, 1) that breaks ties. */
   readonly sample: number;
-  /** Runners that may be chosen; all of the pool when left out. */
+  /** Whether a runner may be chosen; if absent, every ready runner of the pool may. */
   readonly mayTake?: (runner: RunnerEntry) => boolean;
 }
--- a/src/scheduling/runner-balancing/runner-entry.ts
+++ b/src/scheduling/runner-balancing/runner-entry.ts
@@ -1,20 +1,20 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 import type { RunnerName } from "../ids/runner-name.ts";
 
-/** What the platform's list says of one incarnation of a runner. */
+/** Entry of the platform's list for one start of a runner. */
 export interface RunnerEntry {
-  /** Unique per start of the runner. */
+  /** Unique for each start of the runner. */
   readonly id: RunnerId;
-  /** The name under which the platform lists it. */
+  /** The name under which the platform lists the runner. */
   readonly name: RunnerName;
-  /** Unix time of its start, in ms, by its own clock; undefined where entries do not tell. */
+  /** Unix time of the start in ms, by the runner's own clock; undefined if the entry does not say. */
   readonly startedAtMs: number | undefined;
   readonly pool: string;
   /** IP address and port. */
   readonly address: string;
   readonly zone: string;
-  /** Requests that it works on at once. */
+  /** Number of requests that the runner processes at once. */
   readonly slots: number;
-  /** A draining runner serves what it has and takes nothing new. */
+  /** A draining runner completes the requests it has and accepts no new ones. */
   readonly state: "ready" | "draining";
 }
--- a/src/scheduling/runner-balancing/runner-health.ts
+++ b/src/scheduling/runner-balancing/runner-health.ts
@@ -1,14 +1,14 @@
-/** How requests at one runner have fared lately, as this node has seen it. Older outcomes fade. Pure. */
+/** Tracks this gateway's requests at one runner and their recent outcomes. Older outcomes count less. Pure. */
 import type { OutcomeCounts } from "./outcome-counts.ts";
 import type { PendingRequest } from "./pending-request.ts";
 import type { RequestOutcome } from "./request-outcome.ts";
 
-/** Time in which the weight of an outcome halves, in ms. */
+/** Time in which the weight of an outcome halves, in ms. A pace is valid for as long. */
 const HALF_LIFE_MS = 3_000;
 /** Weight of the newest sample in the average pace. */
 const SAMPLE_WEIGHT = 0.3;
 
-/** See the module's comment. */
+/** Requests in flight, decaying outcome counts and average pace of one runner. */
 export class RunnerHealth {
   readonly #pending = new Set<PendingRequest>();
   #leased = 0;
@@ -18,30 +18,30 @@
   #paceMs: number | undefined;
   #paceUpdatedAtMs = 0;
 
-  /** Requests without a head of an answer yet, and those whose answer is under way. */
+  /** Number of requests in flight, whether their answer has begun or not. */
   get inFlight(): number {
     return this.#pending.size;
   }
 
-  /** Requests in flight that a dispatcher has placed. */
+  /** Number of requests in flight that were placed by a dispatcher. */
   get leased(): number {
     return this.#leased;
   }
 
-  /** A request leaves for the runner. */
+  /** Counts a request that is sent to the runner. */
   begin(pending: PendingRequest): void {
     this.#pending.add(pending);
     if (pending.isLeased) this.#leased += 1;
   }
 
-  /** How long the runner took for one step of its work: an answer, or an event of a stream. */
+  /** Records the time of one step: a whole answer, or one event of a stream. */
   recordPace(stepMs: number, nowMs: number): void {
     const last = this.paceMs(nowMs) ?? stepMs;
     this.#paceMs = last + (stepMs - last) * SAMPLE_WEIGHT;
     this.#paceUpdatedAtMs = nowMs;
   }
 
-  /** The request is over. One that is given up on counts as failed if it had been silent for too long. */
+  /** Records the end of a request. An abandoned request counts as a failure if it was overdue. */
   end(pending: PendingRequest, outcome: RequestOutcome, nowMs: number): void {
     if (!this.#pending.delete(pending)) return;
     if (pending.isLeased) this.#leased -= 1;
@@ -50,7 +50,7 @@
     if (outcome === "failure" || (outcome === "abandoned" && isOverdue(pending, nowMs))) this.#failures += 1;
   }
 
-  /** Outcomes of the last seconds; a request that is silent for too long counts as a failure meanwhile. */
+  /** Outcomes of the last seconds. A request counts as a failure while it is overdue. */
   counts(nowMs: number): OutcomeCounts {
     this.#decay(nowMs);
     let overdue = 0;
@@ -58,19 +58,19 @@
     return { successes: this.#successes, failures: this.#failures + overdue };
   }
 
-  /** Whether any request failed lately, or is silent for too long. */
+  /** Whether any request failed recently or is overdue. */
   hasFailures(nowMs: number): boolean {
     if (this.#failures > 0) return true;
     for (const pending of this.#pending) if (isOverdue(pending, nowMs)) return true;
     return false;
   }
 
-  /** When the pace was last seen, in ms of the monotonic clock. */
+  /** When the pace was last updated, in ms of the monotonic clock. */
   get paceUpdatedAtMs(): number {
     return this.#paceUpdatedAtMs;
   }
 
-  /** Average time of one step, in ms; undefined when none was seen lately. */
+  /** Average time of one step, in ms; undefined if no step was recorded recently. */
   paceMs(nowMs: number): number | undefined {
     return nowMs - this.#paceUpdatedAtMs <= HALF_LIFE_MS ? this.#paceMs : undefined;
   }
@@ -85,6 +85,7 @@
   }
 }
 
+/** Whether a request has had no answer for longer than its patience. */
 function isOverdue(pending: PendingRequest, nowMs: number): boolean {
   return !pending.answered && nowMs - pending.startedAtMs > pending.patienceMs;
 }
--- a/src/scheduling/runner-balancing/runner-loads.ts
+++ b/src/scheduling/runner-balancing/runner-loads.ts
@@ -1,9 +1,9 @@
 import type { RunnerId } from "../ids/runner-id.ts";
 
-/** What is known of the requests at runners, of all nodes together. */
+/** Load and failure rate of runners, over the requests of all gateways. */
 export interface RunnerLoads {
-  /** Requests under way. */
+  /** Number of requests in flight. */
   load(runner: RunnerId): number;
-  /** Part of the requests of the last seconds that failed, 0 to 1. */
+  /** Fraction of the requests of the last seconds that failed, from 0 to 1. */
   failureRate(runner: RunnerId, nowMs: number): number;
 }
--- a/src/scheduling/runner-balancing/runner-pace.ts
+++ b/src/scheduling/runner-balancing/runner-pace.ts
@@ -1,16 +1,19 @@
 /**
- * How long a runner takes for a step of its work, in ms: what was seen lately, and a long average that outlives it, so
- * that a fast and a slow runner are told apart where calls are rare. Pure.
+ * Tracks the pace of a runner: the time that it takes for one step of its work, in ms. A long-term average outlasts the most
+ * recent value, so that fast and slow runners can be distinguished even if calls are rare. Pure.
  */
 
-/** Time in which the long average takes in half of a change, in ms: many times as long as a slow moment. */
+/** Time in which the long-term average follows half of a change, in ms: many times as long as a short slowdown. */
 const LONG_TERM_HALF_LIFE_MS = 4_000;
-/** Time in which what was seen lately loses half of its weight, in ms: about as long as a slow moment. */
+/** Time in which the most recent value loses half of its weight, in ms: about as long as a short slowdown. */
 const RECENT_HALF_LIFE_MS = 1_000;
-/** Time in which a runner that nobody uses is believed to come halfway back to its pool, in ms: it may have recovered. */
+/**
+ * Time in which the estimated slowness of an unused runner returns halfway to the pace of its pool, in ms: the runner may
+ * have recovered.
+ */
 const IDLE_RECOVERY_HALF_LIFE_MS = 10_000;
 
-/** See the module's comment. */
+/** The most recent pace and the long-term average pace of one runner. */
 export class RunnerPace {
   #longTermMs: number | undefined;
   #recentMs = 0;
@@ -19,9 +22,10 @@
   #updatedAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Takes in a pace that was seen lately.
+   * Updates the pace with a recent value.
    *
-   * @param sources how many nodes have seen it: one alone may be slow itself, or have met a slow moment
+   * @param sources number of gateways that observed the value: a single one may be slow itself, or may have met a short
+   *   slowdown
    */
   update(paceMs: number, sources: number, nowMs: number): void {
     const elapsedMs = Math.max(0, nowMs - this.#updatedAtMs);
@@ -34,17 +38,17 @@
     this.#updatedAtMs = nowMs;
   }
 
-  /** When something was taken in last, in ms of the monotonic clock. */
+  /** Time of the last update, in ms of the monotonic clock. */
   get updatedAtMs(): number {
     return this.#updatedAtMs;
   }
 
-  /** The long average; undefined where nothing was ever seen. */
+  /** The long-term average; undefined before the first update. */
   get longTermMs(): number | undefined {
     return this.#longTermMs;
   }
 
-  /** The pace against the usual one of the pool: 2 takes twice as long. */
+  /** The pace relative to the median of the pool: a runner of slowness 2 takes twice as long. */
   slowness(medianMs: number, nowMs: number): number {
     if (this.#longTermMs === undefined) return 1;
     const ageMs = Math.max(0, nowMs - this.#updatedAtMs);
--- a/src/scheduling/runner-balancing/start-order.ts
+++ b/src/scheduling/runner-balancing/start-order.ts
@@ -1,16 +1,16 @@
 import type { RunnerEntry } from "./runner-entry.ts";
 
-/** How the start of a runner that an entry speaks of stands to the one that is known under its name. */
+/** How the start of a runner in a new entry relates to the start that is known under the same name. */
 export type StartOrder =
   | "same"
-  /** The known start has ended. */
+  /** The runner was started again: the known start has ended. */
   | "later"
-  /** The entry was written by a start that has ended. */
+  /** The entry was written by a previous start, which has ended. */
   | "earlier"
-  /** The entry does not tell, while the known one did: the runner has not written it. */
+  /** The entry has no start, while the known one had: it was not written by the runner. */
   | "unknown";
 
-/** Compares the starts that two entries of one name speak of. */
+/** Compares the starts of two entries of the same name. */
 export function startOrder(known: RunnerEntry, entry: RunnerEntry): StartOrder {
   if (entry.id === known.id) return "same";
   if (entry.startedAtMs === undefined) return "unknown";
--- a/test/contract/connection-share.test.ts
+++ b/test/contract/connection-share.test.ts
@@ -1,4 +1,4 @@
-/** Which part of a runner's connections each gateway uses. */
+/** Tests how many of a runner's connections each gateway may use. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -23,18 +23,18 @@
   }
 
   const USES: [what: string, own: number, total: number, may: boolean][] = [
-    ["below the share, however full the runner is", 2, 480, true],
-    ["at the share, while less than half is in use", 3, 239, true],
-    ["at the share, while half is in use", 3, 240, false],
-    ["beyond the share, while less than half is in use", 63, 100, true],
-    ["at the most of one gateway", 64, 64, false],
+    ["below its share, however full the runner is", 2, 480, true],
+    ["at its share, while less than half is in use", 3, 239, true],
+    ["at its share, while half is in use", 3, 240, false],
+    ["above its share, while less than half is in use", 63, 100, true],
+    ["at the maximum of one gateway", 64, 64, false],
   ];
   for (const [what, own, total, may] of USES) {
-    it(`${may ? "allows" : "denies"} one request more ${what}`, () =>
+    it(`${may ? "allows" : "denies"} one more request to a gateway ${what}`, () =>
       expect(mayUseConnection({ own, total }, 480, 74)).toEqual(may));
   }
 
-  it("keeps what all gateways use within what the runner takes, when each knows what the others do", () => {
+  it("keeps the connections of all gateways within the runner's limit, if each knows the total", () => {
     const gateways = fc.integer({ min: 1, max: 40 });
     const asks = fc.array(fc.nat(39), { maxLength: 600 });
     fc.assert(
@@ -53,7 +53,7 @@
     );
   });
 
-  it("lets a call that no other runner has a connection for go beyond the share, within what the runner takes", () => {
+  it("lets a call exceed the share if no other runner has a free connection, within the runner's limit", () => {
     const most = 100;
     const use = { own: 40, total: 60 };
     expect(mayUseConnection(use, most, 2)).toEqual(false);
--- a/test/contract/report-totals.test.ts
+++ b/test/contract/report-totals.test.ts
@@ -1,4 +1,4 @@
-/** The sums of what nodes tell of their requests at runners, against sums made anew from all reports. */
+/** Compares the running totals of load reports with sums that are computed from all reports. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import * as fc from "fast-check";
@@ -55,7 +55,7 @@
 }
 
 describe("report totals", () => {
-  it("add up what all nodes that were heard lately have told last", () => {
+  it("add up the latest reports of all gateways that reported recently", () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
         const totals = new ReportTotals(TTL_MS);
@@ -83,7 +83,7 @@
     );
   });
 
-  it("are without one node's part what the others have told", () => {
+  it("minus the report of one gateway equal the sum of the others", () => {
     fc.assert(
       fc.property(report, report, report, (first, second, third) => {
         const totals = new ReportTotals(TTL_MS);
@@ -100,7 +100,7 @@
     );
   });
 
-  it("tell the median of what several nodes say of a runner's pace", () => {
+  it("contain the median of the paces that several gateways report for a runner", () => {
     const totals = new ReportTotals(TTL_MS);
     const paced = (paceMs: number) => ({
       inFlight: [],
--- a/test/contract/runner-balance.test.ts
+++ b/test/contract/runner-balance.test.ts
@@ -1,4 +1,4 @@
-/** What callers get when runners are uneven: by load, and by expected time. */
+/** Compares response times with both cost models, by load and by expected time, when runners differ in speed. */
 import { describe, it, type TestContext } from "node:test";
 import { expect } from "earl";
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
@@ -18,7 +18,7 @@
 
 const DURATION_MS = 20_000;
 const SLOW_INTERVAL_MS = 500;
-/** What is no better by expected time must not be worse, but for the play of chance. */
+/** Where expected time brings no gain, it may be worse by this factor at most: the results vary by chance. */
 const NO_WORSE_FACTOR = 1.05;
 
 const newTurn = (random: SeededRandomSource): SimulatedCall => ({
@@ -42,7 +42,7 @@
   newCostModel: () => new CostByLoad(),
 };
 
-/** 15 in 100 half seconds of a runner are slow. */
+/** Slows a runner down in 15 of 100 intervals of half a second. */
 function slowMomentFactor(runner: number, nowMs: number): number {
   const random = new SeededRandomSource(1_000 * runner + Math.floor(nowMs / SLOW_INTERVAL_MS));
   random.unit();
@@ -66,29 +66,29 @@
   );
 }
 
-describe("uneven runners", () => {
+describe("runners of different speed", () => {
   for (const programsPerS of [30, 90, 120]) {
-    it(`answer turns sooner by expected time, ${programsPerS} programs a second`, (t) => {
+    it(`answer turns sooner by expected time with ${programsPerS} programs per second`, (t) => {
       expectBetter(simulateBoth(t, { ...UNEVEN, programsPerS }));
     });
   }
 
-  it("answer plain calls of several kinds sooner by expected time", (t) => {
+  it("answer calls without streaming, of several kinds, sooner by expected time", (t) => {
     expectBetter(simulateBoth(t, { ...UNEVEN, newCall: newPlainCall, programsPerS: 250 }));
   });
 
-  it("that are alike but for slow moments answer plain calls sooner under a heavy load", (t) => {
+  it("that differ only by short slowdowns answer calls without streaming sooner under heavy load", (t) => {
     expectBetter(
       simulateBoth(t, { ...UNEVEN, newCall: newPlainCall, programsPerS: 350, slowness: slowMomentFactor }),
     );
   });
 
-  it("are told apart by own calls where others tell no paces", (t) => {
+  it("are distinguished by the gateway's own calls if others report no paces", (t) => {
     const deliveredReport = (_: number, { inFlight, failing }: LoadReport) => ({ inFlight, failing });
     expectBetter(simulateBoth(t, { ...UNEVEN, deliveredReport }));
   });
 
-  it("answer turns sooner although a fifth of the gateways tell paces that are their own delays", (t) => {
+  it("answer turns sooner although a fifth of the gateways report paces that include their own delays", (t) => {
     const slowed = (paces: LoadReport["paces"] = []) =>
       paces.map(([runner, paceMs]) => [runner, 4 * paceMs] as const);
     const deliveredReport = (gateway: number, report: LoadReport) =>
@@ -96,12 +96,12 @@
     expectBetter(simulateBoth(t, { ...UNEVEN, deliveredReport }));
   });
 
-  it("that flap between fast and slow do no more harm by expected time", (t) => {
+  it("that alternate between fast and slow are no slower by expected time", (t) => {
     const flaps = (runner: number, nowMs: number) => (runner < 5 && nowMs % 4_000 < 2_000 ? 6 : 1);
     expectNoWorse(simulateBoth(t, { ...UNEVEN, slowness: flaps }));
   });
 
-  it("are used as before while all are alike", (t) => {
+  it("are no slower by expected time while all are alike", (t) => {
     expectNoWorse(simulateBoth(t, { ...UNEVEN, slowness: () => 1 }));
   });
 });
@@ -116,7 +116,7 @@
     return balancer;
   }
 
-  /** Of a hundred calls at once, those that go to the first runner. */
+  /** Fraction of a hundred simultaneous calls that are sent to the first runner. */
   function firstRunnerShare(balancer: RunnerBalancer, nowMs: number): number {
     const criteria = { pool: "p", zone: "z", excluded: new Set<RunnerId>(), preferred: undefined, nowMs };
     const chosen = SAMPLES.map((sample) => balancer.choose({ ...criteria, sample })?.id);
@@ -135,14 +135,14 @@
     }
   }
 
-  it("that one of several nodes tells otherwise than the others are not believed", () => {
+  it("that a single gateway reports differently from the others are ignored", () => {
     const balancer = newBalancer();
     reportPaces(balancer, ["a", "b", "c"], 100, 0);
     reportPaces(balancer, ["d"], 1_000, 100);
     expect(firstRunnerShare(balancer, 300) > 0.1).toEqual(true);
   });
 
-  it("of a slow runner outlive what was seen lately, and fade when nobody uses it", () => {
+  it("of a slow runner outlast recent reports, and expire when it is not used", () => {
     const balancer = newBalancer();
     for (let nowMs = 0; nowMs < 5_000; nowMs += 500) reportPaces(balancer, ["a", "b", "c"], 300, nowMs);
     expect(firstRunnerShare(balancer, 4_900) < 0.02).toEqual(true);
@@ -150,7 +150,7 @@
     expect(firstRunnerShare(balancer, 50_000) > 0.1).toEqual(true);
   });
 
-  it("of a runner that recovers bring its calls back within seconds", () => {
+  it("of a runner that recovers attract calls again within seconds", () => {
     const balancer = newBalancer();
     for (let nowMs = 0; nowMs < 3_000; nowMs += 500) reportPaces(balancer, ["a", "b", "c"], 500, nowMs);
     expect(firstRunnerShare(balancer, 3_000) < 0.02).toEqual(true);
@@ -158,7 +158,7 @@
     expect(firstRunnerShare(balancer, 13_000) > 0.1).toEqual(true);
   });
 
-  it("that are not known count as the pool's usual one", () => {
+  it("that are not known count as the median of the pool", () => {
     const balancer = newBalancer();
     const paces = ALL.slice(1).map((id) => [id, 100] as const);
     balancer.recordReport("a", { inFlight: [], failing: [], paces }, 0);
@@ -166,7 +166,7 @@
     expect(part > 0.1 && part < 0.25).toEqual(true);
   });
 
-  it("are told of runners that were used lately", () => {
+  it("are reported for recently used runners", () => {
     const balancer = newBalancer();
     const timing = { work: "w", steps: 1, workMs: 52.4, firstChunkMs: 52.4, load: 0, wasCached: false };
     balancer.recordTiming(ALL[0] as RunnerId, { ...timing, promptTokens: undefined }, 100);
@@ -175,8 +175,8 @@
   });
 });
 
-describe("a further try", () => {
-  it("is made while half of the expected time is left, or nothing is expected", () => {
+describe("another attempt", () => {
+  it("is made while at least half of the expected time is left, or if no time is expected", () => {
     expect([canStillEnd(100, 200), canStillEnd(99, 200), canStillEnd(1, undefined)]).toEqual([
       true,
       false,
--- a/test/contract/runner-balancer.test.ts
+++ b/test/contract/runner-balancer.test.ts
@@ -1,4 +1,4 @@
-/** What one node believes of the runners, and which one it chooses. */
+/** Tests which runner a gateway chooses, given the load, health and pace of each. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
@@ -12,7 +12,7 @@
 const C = "c" as RunnerId;
 const ALL = [A, B, C];
 
-describe("runner board", () => {
+describe("runner balancer", () => {
   const entry = (id: RunnerId, more: Partial<RunnerEntry> = {}): RunnerEntry => ({
     id,
     name: id as string as RunnerName,
@@ -35,7 +35,7 @@
 
   const PATIENCE_MS = 400;
 
-  it("takes the runner with least in flight, as all nodes see it", () => {
+  it("chooses the runner with the fewest requests in flight from all gateways", () => {
     const balancer = new RunnerBalancer();
     for (const id of [A, B]) balancer.upsert(entry(id));
     balancer.recordReport("other node", { inFlight: [[A, 2]], failing: [] }, 0);
@@ -45,7 +45,7 @@
     expect(balancer.choose(criteria)?.id).toEqual(A);
   });
 
-  it("goes back to the runner that holds the prompt while it has room", () => {
+  it("chooses the runner that has the prompt cached while it is not overloaded", () => {
     const balancer = new RunnerBalancer();
     for (const id of [A, B]) balancer.upsert(entry(id));
     balancer.recordStart(A, 0, PATIENCE_MS);
@@ -54,7 +54,7 @@
     expect(balancer.choose({ ...criteria, preferred: A })?.id).toEqual(B);
   });
 
-  it("stays with the runner that holds the prompt when that is full and others are free", () => {
+  it("chooses the runner that has the prompt cached when it is full and others are free", () => {
     const balancer = new RunnerBalancer();
     for (const id of [A, B]) balancer.upsert(entry(id));
     for (let count = 0; count < 4; count += 1) balancer.recordStart(A, 0, PATIENCE_MS);
@@ -62,7 +62,7 @@
     expect(balancer.choose(criteria)?.id).toEqual(B);
   });
 
-  it("gives nothing new to runners that drain, left, or refused the request", () => {
+  it("does not choose runners that are draining, leaving, or excluded", () => {
     const balancer = new RunnerBalancer();
     balancer.upsert(entry(A, { state: "draining" }));
     expect(balancer.choose(criteria)).toEqual(undefined);
@@ -74,18 +74,21 @@
     expect(balancer.ready(B)).toEqual(undefined);
   });
 
-  const EVIDENCE: [name: string, against: (balancer: RunnerBalancer) => void][] = [
+  const EVIDENCE: [name: string, addEvidence: (balancer: RunnerBalancer) => void][] = [
     [
-      "answers badly",
+      "fails a request",
       (balancer) => balancer.recordEnd(balancer.recordStart(A, 0, PATIENCE_MS), "failure", 10),
     ],
-    ["does not answer at all", (balancer) => void balancer.recordStart(A, -2 * PATIENCE_MS, PATIENCE_MS)],
-    ["was silent until its caller left", (balancer) => recordAbandoned(balancer, -2 * PATIENCE_MS)],
+    ["does not answer in time", (balancer) => void balancer.recordStart(A, -2 * PATIENCE_MS, PATIENCE_MS)],
     [
-      "fails requests of other nodes",
+      "had not answered in time when the caller left",
+      (balancer) => recordAbandoned(balancer, -2 * PATIENCE_MS),
+    ],
+    [
+      "fails requests of other gateways",
       (balancer) => balancer.recordReport("n", { inFlight: [], failing: [[A, 1, 2]] }, 0),
     ],
-    ["takes far longer than the others", (balancer) => recordPaces(balancer)],
+    ["is much slower than the others", (balancer) => recordPaces(balancer)],
   ];
   function recordAbandoned(balancer: RunnerBalancer, startedMs: number): void {
     balancer.recordEnd(balancer.recordStart(A, startedMs, PATIENCE_MS), "abandoned", 10);
@@ -103,7 +106,7 @@
     return { work: "w", steps: 1, workMs, firstChunkMs: workMs, load: 0, ...unknown };
   }
   for (const [name, addEvidence] of EVIDENCE) {
-    it(`passes over a runner that ${name}, until that is long ago`, () => {
+    it(`does not choose a runner that ${name}`, () => {
       const balancer = new RunnerBalancer();
       for (const id of ALL) balancer.upsert(entry(id, id === A ? {} : { zone: "far" }));
       expect(balancer.choose({ ...criteria, nowMs: 20 })?.id).toEqual(A);
@@ -112,7 +115,7 @@
     });
   }
 
-  it("tells a runner that fails from a pool in which all do", () => {
+  it("distinguishes a failing runner from a pool in which all runners fail", () => {
     const balancer = new RunnerBalancer();
     const ids = ALL;
     for (const id of ids) balancer.upsert(entry(id));
@@ -125,7 +128,7 @@
     expect(ids.map((id) => balancer.isOutlier(id, 2 * PATIENCE_MS))).toEqual([false, false, false]);
   });
 
-  it("thinks well again of a runner that failed long ago, and of one whose caller left early", () => {
+  it("chooses a runner again long after it failed, and one whose caller left early", () => {
     const balancer = new RunnerBalancer();
     for (const id of [A, B]) balancer.upsert(entry(id, id === A ? {} : { zone: "far" }));
     balancer.recordEnd(balancer.recordStart(A, 0, PATIENCE_MS), "failure", 10);
@@ -135,7 +138,7 @@
     expect(balancer.ownReport(20_020)).toEqual({ inFlight: [], failing: [] });
   });
 
-  it("passes over a runner that refused connections, but takes it when nothing else is left", () => {
+  it("avoids a runner that refused a connection, unless there is no other", () => {
     const balancer = new RunnerBalancer();
     for (const id of [A, B]) balancer.upsert(entry(id));
     balancer.avoid(A, 0);
--- a/test/contract/support/runner-entry.ts
+++ b/test/contract/support/runner-entry.ts
@@ -2,7 +2,7 @@
 import type { RunnerName } from "../../../src/scheduling/ids/runner-name.ts";
 import type { RunnerEntry } from "../../../src/scheduling/runner-balancing/runner-entry.ts";
 
-/** A ready runner of the pool `p`, of which some fields differ. */
+/** Returns the entry of a ready runner in the pool `p`; `fields` overrides the defaults. */
 export function runnerEntry(id: string, fields: Partial<RunnerEntry> = {}): RunnerEntry {
   return {
     id: id as RunnerId,
--- a/test/contract/support/runner-load.ts
+++ b/test/contract/support/runner-load.ts
@@ -1,4 +1,7 @@
-/** Programs of some turns each, at runners of different speed, with choices by boards that tell each other of them. */
+/**
+ * Simulates programs of several turns at runners of different speed. Each gateway chooses runners with its own balancer and
+ * reports its load and paces to the others.
+ */
 import { createClock } from "@sinonjs/fake-timers";
 import { SeededRandomSource } from "../../../src/runtime/random-source.ts";
 import type { RunnerId } from "../../../src/scheduling/ids/runner-id.ts";
@@ -11,11 +14,11 @@
 const PATIENCE_MS = 60_000;
 const PROMPT_TOKENS = 800;
 const PROMPT_TOKENS_PER_MS = 80;
-/** Before the first piece of a stream, in ms. */
+/** Time until the first chunk of a stream, without prefill, in ms. */
 const FIRST_CHUNK_MS = 20;
-/** Steps in a full batch take so much longer. */
+/** Fraction by which steps take longer in a full batch. */
 const FULL_BATCH_SLOWDOWN = 0.2;
-/** Between the calls of a program, in ms. */
+/** Time between the calls of a program, in ms. */
 const PAUSE_MS = 30;
 const SLOTS = 8;
 const ZONES = ["z1", "z2", "z3"];
@@ -23,27 +26,27 @@
 /** One call. */
 export interface SimulatedCall {
   readonly kind: string;
-  /** Pieces of a stream; 1 for an answer that is one step. */
+  /** Number of chunks of a stream; 1 for an answer that is not streamed. */
   readonly steps: number;
-  /** Time of a step at a runner of usual speed with nothing else to do. */
+  /** Time of a step at an otherwise idle runner of slowness 1. */
   readonly stepMs: number;
 }
 
-/** What is played. */
+/** What is simulated. */
 export interface LoadScenario {
   readonly gateways: number;
   readonly runners: number;
   readonly programsPerS: number;
   readonly durationMs: number;
   readonly newCall: (random: SeededRandomSource) => SimulatedCall;
-  /** How many times the usual a step takes at a runner, at a moment. */
+  /** Factor by which a runner is slower than normal at a time. */
   slowness(runner: number, nowMs: number): number;
-  /** What reaches others of a gateway's report. */
+  /** Returns the report that the other gateways receive, given the report that a gateway sends. */
   deliveredReport(gateway: number, report: LoadReport): LoadReport;
   readonly newCostModel: () => RunnerCostModel;
 }
 
-/** How long turns took, in ms. */
+/** Duration of turns, in ms. */
 export interface TurnTimes {
   readonly mean: number;
   readonly p95: number;
@@ -54,7 +57,7 @@
   readonly waiting: (() => void)[];
 }
 
-/** Plays a load; the same each time. */
+/** Simulates a scenario; deterministic. */
 export function simulateLoad(load: LoadScenario): TurnTimes {
   const clock = createClock(0);
   const random = new SeededRandomSource(7);
