--- a/src/gateway/buffers/buffer-pool.ts
+++ b/src/gateway/buffers/buffer-pool.ts
@@ -48,7 +48,7 @@
 
   /** Whether there is no room for anything more. */
   get exhausted(): boolean {
-    return this.#policy.exceeds(this.#heldBytes);
+    return this.#policy.exceedsBudget(this.#heldBytes);
   }
 
   /** Bytes that may wait for one caller before its runner has to wait as well. */
@@ -75,7 +75,7 @@
   add(reason: BufferReason, bytes: number): void {
     this.#held[reason] += bytes;
     this.#heldBytes += bytes;
-    if (this.#timer === undefined && !this.#policy.isCalm(this.#heldBytes)) this.#lookSoon();
+    if (this.#timer === undefined && !this.#policy.hasAmpleRoom(this.#heldBytes)) this.#lookSoon();
   }
 
   /** A runner begins to wait for a caller, or does so no longer. */
@@ -93,9 +93,9 @@
   #look(): void {
     const elapsedMs = Math.min(MOST_LOOK_MS, this.#context.clock.monotonicMs() - this.#lookedAtMs);
     const waiting = [...this.#open].filter((buffers) => buffers.look(elapsedMs));
-    for (const buffers of this.#policy.cuts(waiting, this.#heldBytes)) this.#cut(buffers);
+    for (const buffers of this.#policy.callersToCut(waiting, this.#heldBytes)) this.#cut(buffers);
     this.#timer = undefined;
-    if (this.#waitingRunners > 0 || !this.#policy.isCalm(this.#heldBytes)) this.#lookSoon();
+    if (this.#waitingRunners > 0 || !this.#policy.hasAmpleRoom(this.#heldBytes)) this.#lookSoon();
   }
 
   #cut(buffers: CallerBuffers): void {
--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -1,8 +1,8 @@
 /** Takes each caller's request to its route, and has it carried out. */
 import type { CallContext } from "../../ports/call-protocol.ts";
+import { poolSelectionKey } from "../../scheduling/routing/pool-selection-key.ts";
 import { choosePool, type RouteTable } from "../../scheduling/routing/route-table.ts";
 import type { Route, RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
-import { spreadKey } from "../../scheduling/routing/spread-key.ts";
 import type { Tenant } from "../../scheduling/routing/tenant.ts";
 import type { CallerExchange } from "../ingress/caller-exchange.ts";
 import type { CallerHead } from "../ingress/caller-head.ts";
@@ -161,7 +161,7 @@
   }
 
   #poolOf(route: Route, routes: RouteTable, call: CallContext): RunnerPool | undefined {
-    const sample = this.#parts.context.hash.hash32(spreadKey(route.kind, call)) / HASH_RANGE;
+    const sample = this.#parts.context.hash.hash32(poolSelectionKey(route.kind, call)) / HASH_RANGE;
     const name = choosePool(route, sample);
     return name === undefined ? undefined : routes.pool(name);
   }
--- a/src/gateway/members/caller-directory.ts
+++ b/src/gateway/members/caller-directory.ts
@@ -1,6 +1,6 @@
 /** Names gateways to callers by what they can take, and notes when callers are sent to other zones. */
 import type { GatewayCandidate } from "../../scheduling/caller-spread/gateway-candidate.ts";
-import { spreadCallers } from "../../scheduling/caller-spread/spread-callers.ts";
+import { selectGateways } from "../../scheduling/caller-spread/select-gateways.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 
 /** Most addresses in one answer. */
@@ -31,7 +31,7 @@
   addresses(gateways: readonly NamedGateway[], zone: string | undefined): string[] {
     this.#drawAnew();
     const candidates = gateways.map((gateway) => ({ ...gateway, draw: this.#drawOf(gateway.address) }));
-    const named = this.#shuffled(spreadCallers(candidates, zone)).slice(0, MAX_ADDRESSES);
+    const named = this.#shuffled(selectGateways(candidates, zone)).slice(0, MAX_ADDRESSES);
     // Callers may say anything: only zones that have gateways are counted and remembered.
     const known = gateways.some((gateway) => gateway.zone === zone) ? zone : undefined;
     for (const gateway of named) this.#context.metrics.named(gateway.zone, known);
--- a/src/gateway/members/headroom-watch.ts
+++ b/src/gateway/members/headroom-watch.ts
@@ -2,7 +2,7 @@
 import { repeat } from "../../runtime/clock.ts";
 import type { GatewayPressure } from "../../scheduling/caller-spread/gateway-pressure.ts";
 import type { Headroom } from "../../scheduling/caller-spread/headroom.ts";
-import { HeadroomControl } from "../../scheduling/caller-spread/headroom-control.ts";
+import { HeadroomController } from "../../scheduling/caller-spread/headroom-controller.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { Standstill } from "../standstill.ts";
 import { roundedShare } from "../telemetry/rounded-share.ts";
@@ -17,7 +17,7 @@
   readonly #context: GatewayContext;
   readonly #callsInProgress: () => number;
   readonly #pressure = new ProcessPressure();
-  readonly #control = new HeadroomControl();
+  readonly #control = new HeadroomController();
   readonly #standstill = new Standstill(STANDSTILL_MS);
   #stop: () => void = () => undefined;
 
@@ -44,7 +44,7 @@
     const stoodStill = this.#standstill.look(nowMs);
     const pressure = { ...this.#pressure.look(this.#callsInProgress()), stoodStill };
     const before = this.headroom;
-    this.#control.look(pressure, nowMs);
+    this.#control.update(pressure, nowMs);
     if (this.headroom !== before) this.#note(pressure);
   }
 
--- a/src/scheduling/caller-spread/headroom-control.ts
+++ b/src/scheduling/caller-spread/headroom-controller.ts
@@ -11,22 +11,22 @@
  * work takes, at 0.85 six times as long. The marks are higher the less headroom is left, so that steps still tell gateways
  * apart when all are busy.
  */
-const FALLS_ABOVE = [1, 0.85, 0.7, 0.6, 0.5];
-const RISES_BELOW = [0.65, 0.5, 0.4, 0.3, 0];
+const LOWER_ABOVE_BUSY = [1, 0.85, 0.7, 0.6, 0.5];
+const RAISE_BELOW_BUSY = [0.65, 0.5, 0.4, 0.3, 0];
 /** The rest is for what a garbage collection frees late, and for answers to slow readers. */
-const MEMORY = { upper: 0.85, lower: 0.75 };
-const CALLS = { upper: 1, lower: 0.7 };
+const MEMORY_THRESHOLDS = { upper: 0.85, lower: 0.75 };
+const CALL_THRESHOLDS = { upper: 1, lower: 0.7 };
 /** A loop that is busy for so much of the time cannot keep up: two steps at once. */
-const CHOKED = 0.95;
+const OVERLOADED_BUSY = 0.95;
 /** Least time between two changes, in ms: callers and other gateways have followed the one before by then. */
-const CHANGE_MS = 2_000;
+const MIN_CHANGE_INTERVAL_MS = 2_000;
 /** What a gateway that stood still takes at first: its callers' requests have piled up meanwhile. */
-const AFTER_STANDSTILL: Headroom = 1;
+const HEADROOM_AFTER_STALL: Headroom = 1;
 /** Weight of the newest look in the average share of busy time. */
-const LOOK_WEIGHT = 0.4;
+const NEWEST_SAMPLE_WEIGHT = 0.4;
 
 /** See the module's comment. */
-export class HeadroomControl {
+export class HeadroomController {
   #headroom: Headroom = FULL_HEADROOM;
   #changedAtMs = Number.NEGATIVE_INFINITY;
   #busy = 0;
@@ -37,12 +37,12 @@
   }
 
   /** Takes in a look at the gateway; looks come evenly, several in the time between two changes. */
-  look(pressure: GatewayPressure, nowMs: number): void {
-    this.#busy += (pressure.busy - this.#busy) * LOOK_WEIGHT;
-    if (pressure.stoodStill) return this.#set(Math.min(this.#headroom, AFTER_STANDSTILL), nowMs);
-    if (nowMs - this.#changedAtMs < CHANGE_MS) return;
+  update(pressure: GatewayPressure, nowMs: number): void {
+    this.#busy += (pressure.busy - this.#busy) * NEWEST_SAMPLE_WEIGHT;
+    if (pressure.stoodStill) return this.#set(Math.min(this.#headroom, HEADROOM_AFTER_STALL), nowMs);
+    if (nowMs - this.#changedAtMs < MIN_CHANGE_INTERVAL_MS) return;
     const { memory, calls } = pressure;
-    this.#set(this.#headroom + changeOf(this.#headroom, this.#busy, memory, calls), nowMs);
+    this.#set(this.#headroom + headroomChange(this.#headroom, this.#busy, memory, calls), nowMs);
   }
 
   #set(headroom: Headroom, nowMs: number): void {
@@ -53,10 +53,10 @@
   }
 }
 
-function changeOf(headroom: Headroom, busy: number, memory: number, calls: number): number {
-  if (busy > CHOKED) return -2;
-  const isShort = busy > (FALLS_ABOVE[headroom] ?? 1);
-  if (isShort || memory > MEMORY.upper || calls > CALLS.upper) return -1;
-  const isIdle = busy < (RISES_BELOW[headroom] ?? 0);
-  return isIdle && memory < MEMORY.lower && calls < CALLS.lower ? 1 : 0;
+function headroomChange(headroom: Headroom, busy: number, memory: number, calls: number): number {
+  if (busy > OVERLOADED_BUSY) return -2;
+  const isOverloaded = busy > (LOWER_ABOVE_BUSY[headroom] ?? 1);
+  if (isOverloaded || memory > MEMORY_THRESHOLDS.upper || calls > CALL_THRESHOLDS.upper) return -1;
+  const isIdle = busy < (RAISE_BELOW_BUSY[headroom] ?? 0);
+  return isIdle && memory < MEMORY_THRESHOLDS.lower && calls < CALL_THRESHOLDS.lower ? 1 : 0;
 }
--- a/src/scheduling/routing/spread-key.ts
+++ b/src/scheduling/routing/pool-selection-key.ts
@@ -1,7 +1,7 @@
 import type { RouteKind } from "./routing-configuration.ts";
 
 /** What of a call decides between the pools of its route. */
-interface SpreadCall {
+interface KeyedCall {
   readonly requestId: string;
   readonly affinityKey: string | undefined;
   readonly program: { readonly id: string } | undefined;
@@ -12,7 +12,7 @@
  * about one object stay where it is known. All others are spread one by one, so that a pool gets its share also where
  * programs are few.
  */
-export function spreadKey(kind: RouteKind, { requestId, affinityKey, program }: SpreadCall): string {
-  const home = kind === "streaming" ? program?.id : undefined;
-  return home ?? affinityKey ?? requestId;
+export function poolSelectionKey(kind: RouteKind, { requestId, affinityKey, program }: KeyedCall): string {
+  const programId = kind === "streaming" ? program?.id : undefined;
+  return programId ?? affinityKey ?? requestId;
 }
--- a/src/scheduling/routing/route-table.ts
+++ b/src/scheduling/routing/route-table.ts
@@ -19,8 +19,8 @@
     for (const tenant of configuration.tenants ?? [])
       for (const key of tenant.keys) this.#tenants.set(key, tenant);
     const { routes: all, tenants = [] } = configuration;
-    this.#tenantPriorities = ascending(tenants);
-    this.#routePriorities = ascending(all.filter(({ kind }) => kind === "streaming"));
+    this.#tenantPriorities = sortedPriorities(tenants);
+    this.#routePriorities = sortedPriorities(all.filter(({ kind }) => kind === "streaming"));
     for (const routes of this.#byHost.values()) {
       routes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length);
     }
@@ -64,8 +64,8 @@
   }
 }
 
-function ascending(ranked: readonly { readonly priority: number }[]): number[] {
-  return [...new Set(ranked.map(({ priority }) => priority))].sort((left, right) => left - right);
+function sortedPriorities(items: readonly { readonly priority: number }[]): number[] {
+  return [...new Set(items.map(({ priority }) => priority))].sort((left, right) => left - right);
 }
 
 /**
@@ -76,10 +76,10 @@
  */
 export function choosePool(route: Route, sample: number): string | undefined {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
-  let rest = sample * total;
+  let remainingWeight = sample * total;
   for (const share of route.shares) {
-    rest -= share.weight;
-    if (rest < 0) return share.pool;
+    remainingWeight -= share.weight;
+    if (remainingWeight < 0) return share.pool;
   }
   return route.shares.at(-1)?.pool;
 }
--- a/test/contract/buffer-policy.test.ts
+++ b/test/contract/buffer-policy.test.ts
@@ -5,8 +5,8 @@
 import { BufferPolicy } from "../../src/scheduling/buffers/buffer-policy.ts";
 import type { WaitingCaller } from "../../src/scheduling/buffers/waiting-caller.ts";
 
-const MOST = 10_000_000;
-const policy = new BufferPolicy(MOST);
+const MAX_BYTES = 10_000_000;
+const policy = new BufferPolicy(MAX_BYTES);
 
 function caller(heldBytes: number, idleMs: number, holdsRunner = false): WaitingCaller {
   return { heldBytes, idleMs, holdsRunner };
@@ -14,13 +14,13 @@
 
 const callers = fc.array(
   fc.record({
-    heldBytes: fc.integer({ min: 0, max: MOST / 4 }),
+    heldBytes: fc.integer({ min: 0, max: MAX_BYTES / 4 }),
     idleMs: fc.integer({ min: 0, max: 10_000 }),
     holdsRunner: fc.boolean(),
   }),
 );
 
-function sum(some: readonly WaitingCaller[]): number {
+function heldBytesOf(some: readonly WaitingCaller[]): number {
   return some.reduce((bytes, { heldBytes }) => bytes + heldBytes, 0);
 }
 
@@ -43,19 +43,21 @@
     ["cuts no more than it takes", [caller(4e6, 9_000), caller(4e6, 8_000)], 8e6, [0]],
     ["counts what runners' callers free first", [caller(4e6, 9_000), caller(4e6, 2_000, true)], 8e6, [1]],
   ];
-  for (const [promise, waiting, heldBytes, cut] of cases)
-    it(promise, () => {
-      expect(policy.cuts(waiting, heldBytes)).toEqual(cut.map((index) => waiting[index] as WaitingCaller));
+  for (const [name, waiting, heldBytes, cut] of cases)
+    it(name, () => {
+      expect(policy.callersToCut(waiting, heldBytes)).toEqual(
+        cut.map((index) => waiting[index] as WaitingCaller),
+      );
     });
 
   it("cuts only who stalls, and until memory is not short or nobody else stalls", () => {
     fc.assert(
-      fc.property(callers, fc.integer({ min: 0, max: MOST }), (waiting, restBytes) => {
-        const heldBytes = sum(waiting) + restBytes;
-        const cut = new Set(policy.cuts(waiting, heldBytes));
+      fc.property(callers, fc.integer({ min: 0, max: MAX_BYTES }), (waiting, restBytes) => {
+        const heldBytes = heldBytesOf(waiting) + restBytes;
+        const cut = new Set(policy.callersToCut(waiting, heldBytes));
         for (const { idleMs } of cut) expect(idleMs >= 2_000).toEqual(true);
         const left = waiting.filter((one) => !cut.has(one) && one.idleMs >= 2_000);
-        const isShort = heldBytes - sum([...cut]) > MOST * 0.75;
+        const isShort = heldBytes - heldBytesOf([...cut]) > MAX_BYTES * 0.75;
         expect(isShort && left.length > 0).toEqual(false);
         for (const one of left) expect(one.holdsRunner).toEqual(false);
       }),
@@ -69,14 +71,14 @@
       expect(aheadBytes >= 32_768).toEqual(true);
       heldBytes += aheadBytes;
     }
-    expect(heldBytes < MOST / 2).toEqual(true);
+    expect(heldBytes < MAX_BYTES / 2).toEqual(true);
     expect(policy.refuses(heldBytes, 1_000_000)).toEqual(false);
   });
 
   it("refuses what does not fit, with an answer to it", () => {
     expect(policy.refuses(0, 0)).toEqual(false);
-    expect(policy.refuses(MOST - 100_000, 60_000)).toEqual(false);
-    expect(policy.refuses(MOST - 100_000, 80_000)).toEqual(true);
-    expect(policy.refuses(0, MOST)).toEqual(true);
+    expect(policy.refuses(MAX_BYTES - 100_000, 60_000)).toEqual(false);
+    expect(policy.refuses(MAX_BYTES - 100_000, 80_000)).toEqual(true);
+    expect(policy.refuses(0, MAX_BYTES)).toEqual(true);
   });
 });
--- a/test/contract/gateway-parts.test.ts
+++ b/test/contract/gateway-parts.test.ts
@@ -5,9 +5,9 @@
 import { OwnershipMap, preferredOwner } from "../../src/coordination/partition-ownership/index.ts";
 import { EventSplitter } from "../../src/gateway/calls/event-splitter.ts";
 import type { TenantName } from "../../src/scheduling/ids/tenant-name.ts";
+import { poolSelectionKey } from "../../src/scheduling/routing/pool-selection-key.ts";
 import { choosePool, RouteTable } from "../../src/scheduling/routing/route-table.ts";
 import type { Route } from "../../src/scheduling/routing/routing-configuration.ts";
-import { spreadKey } from "../../src/scheduling/routing/spread-key.ts";
 
 const CANDIDATES = ["a", "b", "c", "d"].map((name, index) => ({ name, hash: 0x9e3779b9 * (index + 1) }));
 
@@ -182,9 +182,13 @@
       affinityKey: undefined,
       program: { id: "program" },
     }));
-    expect(calls.map((call) => spreadKey("streaming", call))).toEqual(["program", "program", "program"]);
-    expect(calls.map((call) => spreadKey("unsafe", call))).toEqual(["1", "2", "3"]);
-    expect(calls.map((call) => spreadKey("safe", { ...call, affinityKey: "object" }))).toEqual(
+    expect(calls.map((call) => poolSelectionKey("streaming", call))).toEqual([
+      "program",
+      "program",
+      "program",
+    ]);
+    expect(calls.map((call) => poolSelectionKey("unsafe", call))).toEqual(["1", "2", "3"]);
+    expect(calls.map((call) => poolSelectionKey("safe", { ...call, affinityKey: "object" }))).toEqual(
       calls.map(() => "object"),
     );
   });
--- a/test/contract/support/caller-load.ts
+++ b/test/contract/support/caller-load.ts
@@ -1,29 +1,29 @@
 /** Callers of three zones at gateways of different size, as flows of work; the directory names gateways by headroom or all alike. */
 import { SeededRandomSource } from "../../../src/runtime/random-source.ts";
 import { FULL_HEADROOM, type Headroom } from "../../../src/scheduling/caller-spread/headroom.ts";
-import { HeadroomControl } from "../../../src/scheduling/caller-spread/headroom-control.ts";
-import { spreadCallers } from "../../../src/scheduling/caller-spread/spread-callers.ts";
+import { HeadroomController } from "../../../src/scheduling/caller-spread/headroom-controller.ts";
+import { selectGateways } from "../../../src/scheduling/caller-spread/select-gateways.ts";
 
 const ZONES = ["z0", "z1", "z2"];
 /** Work that a gateway does in a second, by size. */
 const SIZES = [1, 1, 1, 3, 3];
-const PER_ZONE = 10;
+const GATEWAYS_PER_ZONE = 10;
 const CALLERS_PER_ZONE = 36;
 const TICK_MS = 100;
-const LOOK_MS = 500;
-const TTL_MS = 1_000;
-const DRAW_MS = 10_000;
+const UPDATE_INTERVAL_MS = 500;
+const ANSWER_TTL_MS = 1_000;
+const DRAW_TTL_MS = 10_000;
 /** Work of one call. */
 const CALL_WORK = 0.005;
 
 /** What is played. */
-export interface CallerLoad {
-  readonly lengthMs: number;
+export interface CallerScenario {
+  readonly durationMs: number;
   readonly byHeadroom: boolean;
   /** Work that comes from a zone, as a share of what its gateways can do. */
   demand(zone: number, nowMs: number): number;
   /** What others know of a gateway, given what it says now. */
-  tell(gateway: number, headroom: Headroom): Headroom | undefined;
+  reportedHeadroom(gateway: number, headroom: Headroom): Headroom | undefined;
 }
 
 /** For how long calls were at gateways, in ms, and the fewest addresses in an answer. */
@@ -36,8 +36,8 @@
 class Gateway {
   readonly zone: string;
   readonly capacity: number;
-  readonly control = new HeadroomControl();
-  told: Headroom | undefined = FULL_HEADROOM;
+  readonly control = new HeadroomController();
+  reportedHeadroom: Headroom | undefined = FULL_HEADROOM;
   arriving = 0;
   backlog = 0;
   #done = 0;
@@ -48,77 +48,78 @@
   }
 
   /** One tick; returns how long the calls that came take. */
-  work(): number {
-    const most = (this.capacity * TICK_MS) / 1_000;
-    const usage = Math.min(0.95, this.arriving / most);
+  tick(): number {
+    const maxWork = (this.capacity * TICK_MS) / 1_000;
+    const usage = Math.min(0.95, this.arriving / maxWork);
     const timeMs = (1_000 * (this.backlog + CALL_WORK / (1 - usage))) / this.capacity;
-    const done = Math.min(most, this.backlog + this.arriving);
+    const done = Math.min(maxWork, this.backlog + this.arriving);
     this.backlog += this.arriving - done;
     this.#done += done;
     return timeMs;
   }
 
-  look(nowMs: number): void {
-    const busy = this.#done / ((this.capacity * LOOK_MS) / 1_000);
+  updateHeadroom(nowMs: number): void {
+    const busy = this.#done / ((this.capacity * UPDATE_INTERVAL_MS) / 1_000);
     this.#done = 0;
-    this.control.look({ busy, memory: 0.5, calls: 0, stoodStill: false }, nowMs);
+    this.control.update({ busy, memory: 0.5, calls: 0, stoodStill: false }, nowMs);
   }
 }
 
 /** Plays a load; the same each time. */
-export function playCallers(load: CallerLoad): CallerTimes {
+export function simulateCallers(scenario: CallerScenario): CallerTimes {
   const random = new SeededRandomSource(3);
   const gateways = ZONES.flatMap((zone) => {
     return Array.from(
-      { length: PER_ZONE },
+      { length: GATEWAYS_PER_ZONE },
       (_, index) => new Gateway(zone, SIZES[index % SIZES.length] ?? 1),
     );
   });
   const capacity = gateways.reduce((sum, gateway) => sum + gateway.capacity, 0) / ZONES.length;
   const callers = ZONES.flatMap((zone) =>
-    Array.from({ length: CALLERS_PER_ZONE }, () => ({ zone, names: [] as Gateway[] })),
+    Array.from({ length: CALLERS_PER_ZONE }, () => ({ zone, targets: [] as Gateway[] })),
   );
   const draws = new Map<string, number>();
   const samples: [timeMs: number, work: number][] = [];
   let fewest = gateways.length;
 
-  function ask(zone: string): Gateway[] {
-    const asked = random.below(PER_ZONE);
+  function requestGateways(zone: string): Gateway[] {
+    const answeringGateway = random.below(GATEWAYS_PER_ZONE);
     const candidates = gateways.map((gateway, index) => {
-      const draw = draws.get(`${zone} ${asked} ${index}`) ?? random.unit();
-      draws.set(`${zone} ${asked} ${index}`, draw);
-      const headroom = load.byHeadroom ? gateway.told : undefined;
+      const draw = draws.get(`${zone} ${answeringGateway} ${index}`) ?? random.unit();
+      draws.set(`${zone} ${answeringGateway} ${index}`, draw);
+      const headroom = scenario.byHeadroom ? gateway.reportedHeadroom : undefined;
       return { address: String(index), zone: gateway.zone, headroom, knownForMs: 60_000, draw };
     });
-    const named = spreadCallers(candidates, zone);
-    fewest = Math.min(fewest, named.length);
-    return named.map(({ address }) => gateways[Number(address)] as Gateway);
+    const selected = selectGateways(candidates, zone);
+    fewest = Math.min(fewest, selected.length);
+    return selected.map(({ address }) => gateways[Number(address)] as Gateway);
   }
 
-  for (let nowMs = 0; nowMs < load.lengthMs; nowMs += TICK_MS) {
-    if (nowMs % DRAW_MS === 0) draws.clear();
+  for (let nowMs = 0; nowMs < scenario.durationMs; nowMs += TICK_MS) {
+    if (nowMs % DRAW_TTL_MS === 0) draws.clear();
     for (const gateway of gateways) gateway.arriving = 0;
     for (const [index, caller] of callers.entries()) {
-      if (nowMs % TTL_MS === (index * TICK_MS) % TTL_MS || nowMs === 0) caller.names = ask(caller.zone);
-      const demand = load.demand(ZONES.indexOf(caller.zone), nowMs) * capacity;
+      if (nowMs % ANSWER_TTL_MS === (index * TICK_MS) % ANSWER_TTL_MS || nowMs === 0)
+        caller.targets = requestGateways(caller.zone);
+      const demand = scenario.demand(ZONES.indexOf(caller.zone), nowMs) * capacity;
       const work = (demand * TICK_MS) / 1_000 / CALLERS_PER_ZONE;
-      for (const gateway of caller.names) gateway.arriving += work / caller.names.length;
+      for (const gateway of caller.targets) gateway.arriving += work / caller.targets.length;
     }
     for (const gateway of gateways) {
       const { arriving } = gateway;
-      samples.push([gateway.work(), arriving]);
+      samples.push([gateway.tick(), arriving]);
     }
-    if (nowMs % LOOK_MS !== 0) continue;
+    if (nowMs % UPDATE_INTERVAL_MS !== 0) continue;
     // What a gateway said at the look before has reached the others by now.
     for (const [index, gateway] of gateways.entries()) {
-      gateway.told = load.tell(index, gateway.control.headroom);
-      gateway.look(nowMs);
+      gateway.reportedHeadroom = scenario.reportedHeadroom(index, gateway.control.headroom);
+      gateway.updateHeadroom(nowMs);
     }
   }
-  return { ...summed(samples), fewest };
+  return { ...summarize(samples), fewest };
 }
 
-function summed(samples: [timeMs: number, work: number][]): Omit<CallerTimes, "fewest"> {
+function summarize(samples: [timeMs: number, work: number][]): Omit<CallerTimes, "fewest"> {
   samples.sort(([left], [right]) => left - right);
   const all = samples.reduce((sum, [, work]) => sum + work, 0);
   const mean = samples.reduce((sum, [timeMs, work]) => sum + timeMs * work, 0) / all;
