--- a/src/scheduling/buffers/buffer-policy.ts
+++ b/src/scheduling/buffers/buffer-policy.ts
@@ -1,50 +1,58 @@
-/** Decides how far runners are read ahead of their callers, who is cut and who is refused when memory is short. */
+/**
+ * Decides how far answers are read ahead of their callers and, when memory is short, which callers are cut and which requests
+ * are refused. A caller is cut by closing its connection.
+ */
 import type { WaitingCaller } from "./waiting-caller.ts";
 
 /**
- * Part of the budget that reading ahead of callers fills at most, and below which nobody needs to be looked at. The rest is
- * for what comes however little is read ahead: requests, plain answers, and one read from each runner.
+ * Maximum fraction of the budget that is used for reading ahead. Below it, callers need not be checked. The rest is for bytes
+ * that are held however little is read ahead: requests, answers that are not streamed, and one read from each runner.
  */
 const READ_AHEAD_FRACTION = 0.25;
-/** Part of the budget from which on callers that take nothing are cut. */
+/** Fraction of the budget above which stalled callers are cut. */
 const SHORTAGE_FRACTION = 0.75;
-/** Part of the budget that is held at most once callers have been cut, so that not every new answer needs a cut. */
+/**
+ * Fraction of the budget down to which stalled callers are cut, so that not every new answer requires another cut.
+ */
 const AFTER_CUTS_FRACTION = 0.5;
-/** Part of what is free to read ahead that may wait for one caller, so that some slow ones leave room for others. */
+/** Fraction of the free read-ahead bytes that one caller may use, so that a few slow callers leave room for others. */
 const READ_AHEAD_FRACTION_PER_CALLER = 0.125;
 /**
- * Bytes that may wait for a caller however short memory is, about what a caller that reads takes at a time; and room that a
- * new request needs for its answer.
+ * Bytes that may be read ahead for a caller however short memory is, about as many as a reading caller takes at a time. Also
+ * the bytes that a new request must have available for its answer.
  */
 const MIN_READ_AHEAD_BYTES = 32_768;
-/** Longer than a lost packet and its repetition, or a short standstill, keep a caller that reads from taking anything. */
+/**
+ * Time without progress after which a caller is stalled, in ms. It is longer than the delay that a retransmitted packet or a
+ * short stall of the process causes for a caller that reads.
+ */
 const STALLED_MS = 2_000;
 
-/** See the module's comment. */
+/** Limits the bytes that a gateway holds for its callers. */
 export class BufferPolicy {
   readonly #mostBytes: number;
 
-  /** @param mostBytes what may be held for all callers together */
+  /** @param mostBytes budget: the maximum number of bytes held for all callers together */
   constructor(mostBytes: number) {
     this.#mostBytes = mostBytes;
   }
 
-  /** Whether so little is held that nobody needs to be looked at. */
+  /** Whether so few bytes are held that callers need not be checked. */
   hasAmpleRoom(heldBytes: number): boolean {
     return heldBytes < this.#mostBytes * READ_AHEAD_FRACTION;
   }
 
-  /** Whether a request that brings so many bytes is refused. */
+  /** Whether a request with a body of this size must be refused. */
   refuses(heldBytes: number, bodyBytes: number): boolean {
     return this.exceedsBudget(heldBytes + bodyBytes + MIN_READ_AHEAD_BYTES);
   }
 
-  /** Whether there is no room for so many bytes. */
+  /** Whether this number of bytes exceeds the budget. */
   exceedsBudget(heldBytes: number): boolean {
     return heldBytes > this.#mostBytes;
   }
 
-  /** Bytes that may wait for one caller before its runner has to wait as well. */
+  /** Maximum number of bytes to read ahead for one caller; beyond it, reading from the runner is paused. */
   readAheadBytes(heldBytes: number): number {
     return Math.max(
       MIN_READ_AHEAD_BYTES,
@@ -52,7 +60,10 @@
     );
   }
 
-  /** The callers that are cut now. */
+  /**
+   * Returns the callers to cut: all stalled callers that keep a runner waiting and then, if memory is still short, the other
+   * stalled callers, the longest idle first, until it is no longer short.
+   */
   callersToCut<Caller extends WaitingCaller>(callers: readonly Caller[], heldBytes: number): Caller[] {
     const stalled = callers.filter(({ idleMs }) => idleMs >= STALLED_MS);
     const cut = stalled.filter(({ holdsRunner }) => holdsRunner);
--- a/src/scheduling/buffers/buffer-reason.ts
+++ b/src/scheduling/buffers/buffer-reason.ts
@@ -1,10 +1,10 @@
-/** What a gateway holds bytes for. */
+/** What the bytes that a gateway holds are for. */
 export type BufferReason =
-  /** Answers, or parts of them, that wait for their callers. */
+  /** Answers, or parts of them, that callers have not read yet. */
   | "answers"
-  /** Answers that are handed on only once they are whole. */
+  /** Answers that are sent to the caller only when they are complete. */
   | "collected"
-  /** What requests bring, and the history that is sent before it. */
+  /** Request bodies, and the history that is sent to the runner before them. */
   | "bodies"
-  /** What turns that are to be kept have said so far. */
+  /** Output so far of turns that will be retained. */
   | "outputs";
--- a/src/scheduling/buffers/waiting-caller.ts
+++ b/src/scheduling/buffers/waiting-caller.ts
@@ -1,9 +1,9 @@
-/** What is known of a caller that a gateway waits for: to take its answer, or to send the rest of its request. */
+/** A caller that a gateway is waiting for, either to read its answer or to send the rest of its request. */
 export interface WaitingCaller {
-  /** Bytes that are held for it. */
+  /** Bytes that are held for the caller. */
   readonly heldBytes: number;
-  /** Since when it has neither taken nor sent anything, in ms. */
+  /** How long the caller has neither read nor sent anything, in ms. */
   readonly idleMs: number;
-  /** Whether a runner waits for it too. */
+  /** Whether a runner is also waiting for the caller. */
   readonly holdsRunner: boolean;
 }
--- a/src/scheduling/caller-spread/gateway-candidate.ts
+++ b/src/scheduling/caller-spread/gateway-candidate.ts
@@ -1,14 +1,17 @@
 import type { Headroom } from "./headroom.ts";
 
-/** A gateway that callers may be told of. */
+/** A gateway whose address may be returned to callers. */
 export interface GatewayCandidate {
-  /** Where callers reach it. */
+  /** Address for callers. */
   readonly address: string;
   readonly zone: string;
-  /** Undefined for builds that tell none. */
+  /** Undefined for builds that do not report it. */
   readonly headroom: Headroom | undefined;
-  /** For how long it has been heard of, in ms. */
+  /** How long the gateway has been known, in ms. */
   readonly knownForMs: number;
-  /** A number in [0, 1): a gateway that should be named in some of the answers is named where this lies below that part. */
+  /**
+   * Random number in [0, 1). A gateway that should be in a fraction of the answers is selected if this number is below that
+   * fraction.
+   */
   readonly draw: number;
 }
--- a/src/scheduling/caller-spread/gateway-pressure.ts
+++ b/src/scheduling/caller-spread/gateway-pressure.ts
@@ -1,11 +1,11 @@
-/** How near a gateway is to what it can do, over the time since the look before. */
+/** How close a gateway is to its limits, measured since the previous sample. */
 export interface GatewayPressure {
-  /** Share of the time in which its event loop was busy, 0 to 1. */
+  /** Event loop utilization, from 0 to 1. */
   readonly busy: number;
   /** Memory in use as a share of its limit. */
   readonly memory: number;
-  /** Calls in progress as a share of those that its memory holds. */
+  /** Calls in progress as a share of the number that fits into memory. */
   readonly calls: number;
-  /** Whether it stood still meanwhile. */
+  /** Whether the process stalled since the previous sample. */
   readonly stoodStill: boolean;
 }
--- a/src/scheduling/caller-spread/headroom-controller.ts
+++ b/src/scheduling/caller-spread/headroom-controller.ts
@@ -1,42 +1,46 @@
 /**
- * Moves a gateway's headroom towards what it can take. Gateways of one zone differ in cores, and nobody tells them how much:
- * each gets fewer callers while it is busy, and more while it is idle. The marks leave room in which nothing changes, since
- * each change is news for all other gateways. Pure.
+ * Adjusts a gateway's headroom to its capacity. The gateways of one zone differ in CPU cores, and their capacity is not
+ * configured: each gets fewer callers while it is busy and more while it is idle. Between the thresholds for lowering and
+ * raising, the headroom does not change, since each change is sent to all other gateways. Pure.
  */
 import type { GatewayPressure } from "./gateway-pressure.ts";
 import { FULL_HEADROOM, type Headroom } from "./headroom.ts";
 
 /**
- * Shares of busy time at which the headroom falls and rises, by step. At half a call waits for the loop as long as its own
- * work takes, at 0.85 six times as long. The marks are higher the less headroom is left, so that steps still tell gateways
- * apart when all are busy.
+ * Event loop utilization above which the headroom is lowered, and below which it is raised, indexed by the current headroom.
+ * At 0.5, a call waits for the event loop as long as its own work takes; at 0.85, six times as long. The thresholds are
+ * higher at lower headroom, so that the headroom still distinguishes gateways when all of them are busy.
  */
 const LOWER_ABOVE_BUSY = [1, 0.85, 0.7, 0.6, 0.5];
 const RAISE_BELOW_BUSY = [0.65, 0.5, 0.4, 0.3, 0];
-/** The rest is for what a garbage collection frees late, and for answers to slow readers. */
+/**
+ * Shares of the memory limit. The rest is reserved for garbage that has not been collected yet, and for answers to callers
+ * that read slowly.
+ */
 const MEMORY_THRESHOLDS = { upper: 0.85, lower: 0.75 };
+/** Calls in progress, as a share of the number that fits into memory. */
 const CALL_THRESHOLDS = { upper: 1, lower: 0.7 };
-/** A loop that is busy for so much of the time cannot keep up: two steps at once. */
+/** Event loop utilization above which the gateway is overloaded, and the headroom is lowered by two steps at once. */
 const OVERLOADED_BUSY = 0.95;
-/** Least time between two changes, in ms: callers and other gateways have followed the one before by then. */
+/** Minimum time between two changes, in ms: after it, callers and other gateways have reacted to the previous change. */
 const MIN_CHANGE_INTERVAL_MS = 2_000;
-/** What a gateway that stood still takes at first: its callers' requests have piled up meanwhile. */
+/** Maximum headroom after the process stalled, because requests have accumulated meanwhile. */
 const HEADROOM_AFTER_STALL: Headroom = 1;
-/** Weight of the newest look in the average share of busy time. */
+/** Weight of the newest sample in the average event loop utilization. */
 const NEWEST_SAMPLE_WEIGHT = 0.4;
 
-/** See the module's comment. */
+/** Raises and lowers the headroom of one gateway by its measured pressure. */
 export class HeadroomController {
   #headroom: Headroom = FULL_HEADROOM;
   #changedAtMs = Number.NEGATIVE_INFINITY;
   #busy = 0;
 
-  /** What the gateway can take. */
+  /** The current headroom. */
   get headroom(): Headroom {
     return this.#headroom;
   }
 
-  /** Takes in a look at the gateway; looks come evenly, several in the time between two changes. */
+  /** Updates the headroom with a new sample. Samples come at a regular interval, several between two changes. */
   update(pressure: GatewayPressure, nowMs: number): void {
     this.#busy += (pressure.busy - this.#busy) * NEWEST_SAMPLE_WEIGHT;
     if (pressure.stoodStill) return this.#set(Math.min(this.#headroom, HEADROOM_AFTER_STALL), nowMs);
--- a/src/scheduling/caller-spread/select-gateways.ts
+++ b/src/scheduling/caller-spread/select-gateways.ts
@@ -1,23 +1,29 @@
 /**
- * Which gateways a caller is told of. Callers pick at random among those, so a gateway that can take less than the others
- * of its zone is left out of some answers. Where a zone can't take its callers, gateways of other zones that can are named
- * as well, the more the shorter it is. Pure.
+ * Selects the gateways whose addresses are returned to a caller. Callers choose one of them at random, so a gateway with less
+ * headroom than the others of its zone is left out of some answers. If a zone is short of headroom for its callers, gateways
+ * of other zones that have headroom are added, the more, the greater the shortage. Pure.
  */
 import type { GatewayCandidate } from "./gateway-candidate.ts";
 import { FULL_HEADROOM } from "./headroom.ts";
 
-/** With fewer gateways in a caller's zone than this, it is told of all: one may be lost before the next answer. */
+/** If a caller's zone has fewer gateways, those of all zones are used: one may be lost before the caller's next request. */
 const MIN_ZONE_GATEWAYS = 2;
-/** Fewest gateways of an answer where there are so many: some may be lost before the next one, and callers keep it a while. */
+/**
+ * Minimum number of gateways in an answer, if that many exist: some may be lost before the next answer, since callers cache
+ * an answer for a while.
+ */
 const MIN_SELECTED_GATEWAYS = 4;
-/** A zone whose better half has less than this part of its full headroom is short: it sends callers on before it is full. */
+/**
+ * A zone is short of headroom if the better half of its gateways has less than this fraction of the full headroom, so that
+ * callers are sent to other zones before the zone is full.
+ */
 const SHORTAGE_THRESHOLD = 0.6;
-/** A gateway that was just heard of is named the more, the longer it is known, up to this time, in ms. */
+/** Time over which the weight of a new gateway rises to its full value, in ms. */
 const SLOW_START_MS = 3_000;
-/** Part of a gateway's share that it has at first. */
+/** Fraction of its full weight that a new gateway starts with. */
 const SLOW_START_INITIAL_FACTOR = 0.25;
 
-/** See the module's comment. Empty only where there are no candidates. */
+/** Returns the gateways for a caller of a zone. The result is empty only if there are no candidates. */
 export function selectGateways(
   candidates: readonly GatewayCandidate[],
   zone: string | undefined,
@@ -35,7 +41,10 @@
   return [...selected, ...drawByWeight(remoteGateways, factor, 0)];
 }
 
-/** Each gateway with a probability of its part against the largest one, times a factor; at least so many all the same. */
+/**
+ * Selects each gateway with the probability of its weight relative to the largest weight, times a factor, but at least
+ * `minCount` gateways.
+ */
 function drawByWeight(
   candidates: readonly GatewayCandidate[],
   factor: number,
@@ -60,7 +69,10 @@
   return ((headroom ?? defaultHeadroom) / FULL_HEADROOM) * Math.min(1, slowStartFactor);
 }
 
-/** Of the better half: a zone is not short because of its smallest machines. */
+/**
+ * The mean headroom of the better half of the gateways, as a fraction of the full headroom: the smallest machines of a zone
+ * should not make it appear short.
+ */
 function headroomFraction(candidates: readonly GatewayCandidate[]): number {
   const defaultHeadroom = meanHeadroom(candidates);
   const headrooms = candidates.map(({ headroom }) => headroom ?? defaultHeadroom);
@@ -69,7 +81,7 @@
   return mean(upperHalf) / FULL_HEADROOM;
 }
 
-/** Of those that tell one; builds that tell none are taken for alike. */
+/** The mean of the reported headrooms. It is also assumed for gateways whose builds do not report any. */
 function meanHeadroom(candidates: readonly GatewayCandidate[]): number {
   const reported = candidates.flatMap(({ headroom }) => headroom ?? []);
   return reported.length === 0 ? FULL_HEADROOM : mean(reported);
--- a/src/scheduling/routing/pool-selection-key.ts
+++ b/src/scheduling/routing/pool-selection-key.ts
@@ -1,6 +1,6 @@
 import type { RouteKind } from "./routing-configuration.ts";
 
-/** What of a call decides between the pools of its route. */
+/** The parts of a call that determine the pool among those of its route. */
 interface KeyedCall {
   readonly requestId: string;
   readonly affinityKey: string | undefined;
@@ -8,9 +8,9 @@
 }
 
 /**
- * What a call is spread over the pools of its route by: a program's turns stay where its prompts are cached, and calls
- * about one object stay where it is known. All others are spread one by one, so that a pool gets its share also where
- * programs are few.
+ * Returns the key that is hashed to choose the pool of a call. The streaming turns of a program go to the same pool, where
+ * its prompts are cached, and calls with the same affinity key go to the same pool, where their object is known. All other
+ * calls are distributed individually, so that each pool gets its share even if there are few programs.
  */
 export function poolSelectionKey(kind: RouteKind, { requestId, affinityKey, program }: KeyedCall): string {
   const programId = kind === "streaming" ? program?.id : undefined;
--- a/src/scheduling/routing/route-table.ts
+++ b/src/scheduling/routing/route-table.ts
@@ -2,13 +2,13 @@
 import type { Route, RoutingConfiguration, RunnerPool } from "./routing-configuration.ts";
 import type { Tenant } from "./tenant.ts";
 
-/** Finds the route of a request: among the routes of its host, the one with the longest matching prefix. */
+/** Finds the route of a request: the one with the longest matching path prefix among the routes of its host. */
 export class RouteTable {
   readonly configuration: RoutingConfiguration;
   readonly #byHost = new Map<string, Route[]>();
   readonly #pools: ReadonlyMap<string, RunnerPool>;
   readonly #tenants = new Map<KeyDigest, Tenant>();
-  /** Priorities that tenants and streaming routes have, the most urgent first, each once. */
+  /** The distinct priorities of tenants and of streaming routes, the most urgent first. */
   readonly #tenantPriorities: readonly number[];
   readonly #routePriorities: readonly number[];
 
@@ -27,8 +27,8 @@
   }
 
   /**
-   * How important a request is among all that may come, 0 the most: its tenant's priority comes first, then its route's.
-   * Only their order counts, not how far they lie apart.
+   * The rank of a request among all possible requests; 0 is the most important. Requests are ranked by the priority of the
+   * tenant, then by that of the route. Only the order of the priorities matters, not the distances between them.
    */
   rankOf(route: Route, tenant: Tenant | undefined): number {
     if (!tenant) return route.priority;
@@ -37,22 +37,22 @@
     return tenantRank * this.#routePriorities.length + routeRank;
   }
 
-  /** The route of a request; undefined when the configuration has none. */
+  /** Returns the route of a request; undefined if the configuration has none. */
   find(host: string, path: string): Route | undefined {
     return this.#byHost.get(host)?.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** Whether callers of a route have to show a key. */
+  /** Whether callers of a route must present an API key. */
   needsKey(route: Route): boolean {
     return this.configuration.tenants !== undefined && !route.isPublic;
   }
 
-  /** The tenant for whom a key speaks; undefined when no tenant has it. */
+  /** Returns the tenant that a key belongs to; undefined if there is none. */
   tenantOf(key: KeyDigest): Tenant | undefined {
     return this.#tenants.get(key);
   }
 
-  /** A pool by name. */
+  /** Returns the pool with a name. */
   pool(name: string): RunnerPool | undefined {
     return this.#pools.get(name);
   }
@@ -69,8 +69,8 @@
 }
 
 /**
- * The pool for a request of a route. Requests with the same sample go to the same pool, so that a program's prompts
- * stay where they were read.
+ * Chooses the pool for a request of a route, in proportion to the weights of its shares. Requests with the same sample go to
+ * the same pool, so that a program's prompts stay where they are cached.
  *
  * @param sample a number in [0, 1)
  */
--- a/src/scheduling/routing/routing-configuration.ts
+++ b/src/scheduling/routing/routing-configuration.ts
@@ -1,76 +1,79 @@
-/** What operators say of routes and pools of runners; one version holds everywhere at a time. */
+/** The operators' configuration of routes and runner pools. One version is in force everywhere at a time. */
 import type { Tenant } from "./tenant.ts";
 
-/** How often a request of a route may run. */
+/**
+ * Whether a request of a route may run more than once: a safe request may, an unsafe one may not. A streaming request is
+ * answered by a stream of events, and whether it may continue at another runner is set by the route.
+ */
 export type RouteKind = "safe" | "unsafe" | "streaming";
 
-/** One of the pools that a route's requests are spread over. */
+/** One of the pools over which the requests of a route are distributed. */
 export interface PoolShare {
   readonly pool: string;
   /** Relative to the other shares of the route. */
   readonly weight: number;
 }
 
-/** Where requests under one host and path go, and within which limits. */
+/** Destination and limits of the requests for one host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest time that a request may be held, in ms. */
+  /** Maximum time that a request may take, in ms. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to the first event, within which it has its full worth, in ms. */
+  /** Time to the answer, or to the first event, within which the answer has its full value, in ms. */
   readonly targetLatencyMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly shares: readonly PoolShare[];
-  /** Most runners that one try of a caller may run on. */
+  /** Maximum number of runners on which one attempt of a caller may run. */
   readonly maxAttempts: number;
-  /** Whether a broken stream may go on at another runner after its last event. */
+  /** Whether an interrupted stream may continue at another runner after its last event. */
   readonly resumable: boolean;
-  /** Whether turns bring only their new input, and the system keeps what was said. */
+  /** Whether turns contain only their new input, and the system stores the history. */
   readonly retainsTurns: boolean;
-  /** How long a retained turn and a program's count of tokens are kept after their last use, in ms. */
+  /** How long retained turns and a program's token count are kept after their last use, in ms. */
   readonly retentionMs: number;
-  /** Whether anybody may use it, without a key. */
+  /** Whether callers need no API key. */
   readonly isPublic: boolean;
 }
 
-/** Figures of the engines of a pool. */
+/** Capacity of the engines of a pool. */
 export interface EngineFigures {
-  /** Requests that run at once. */
+  /** Number of requests that run concurrently. */
   readonly slots: number;
-  /** Tokens that fit into the memory for prompts. */
+  /** Number of tokens that fit into the prompt cache. */
   readonly cacheTokens: number;
   readonly tokensPerEvent: number;
 }
 
-/** Runners that are alike. */
+/** A pool of runners that are alike. */
 export interface RunnerPool {
   readonly name: string;
-  /** Connections that one runner takes from all nodes together. */
+  /** Maximum number of connections that one runner accepts from all gateways together. */
   readonly maxConnections: number;
-  /** Set when the runners are model engines. */
+  /** Set if the runners are model engines. */
   readonly engine: EngineFigures | undefined;
 }
 
-/** Bounds of what a caller may send. */
+/** Limits on what a caller may send. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** Longest time for a request's head, in ms. */
+  /** Maximum time to receive the headers of a request, in ms. */
   readonly headerTimeoutMs: number;
-  /** How long a caller's connection may rest, in ms. */
+  /** Maximum time that a caller's connection may be idle, in ms. */
   readonly idleTimeoutMs: number;
 }
 
-/** Everything that operators say, under one version. */
+/** The complete configuration of the operators, under one version. */
 export interface RoutingConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly pools: readonly RunnerPool[];
   readonly limits: CallerLimits;
-  /** Undefined where callers need no key. */
+  /** Undefined if callers need no API key. */
   readonly tenants: readonly Tenant[] | undefined;
 }
--- a/test/contract/buffer-policy.test.ts
+++ b/test/contract/buffer-policy.test.ts
@@ -1,4 +1,4 @@
-/** Who is read ahead, cut and refused when callers read slowly. */
+/** Tests how far answers are read ahead, and which callers are cut or refused, when callers read slowly. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -26,22 +26,32 @@
 
 describe("buffer policy", () => {
   const cases: readonly [string, WaitingCaller[], number, number[]][] = [
-    ["cuts nobody while there is room, however late", [caller(3_000_000, 60_000)], 3_000_000, []],
-    ["cuts nobody that reads, however short memory is", [caller(9_000_000, 1_900)], 9_000_000, []],
     [
-      "cuts at once who keeps a runner waiting",
+      "cuts no caller while there is room, however long it has been idle",
+      [caller(3_000_000, 60_000)],
+      3_000_000,
+      [],
+    ],
+    ["cuts no caller that reads, however short memory is", [caller(9_000_000, 1_900)], 9_000_000, []],
+    [
+      "cuts at once a stalled caller that keeps a runner waiting",
       [caller(1_000, 2_000, true), caller(1_000, 9_000)],
       2_000,
       [0],
     ],
     [
-      "cuts who has read nothing for longest",
+      "cuts the callers that have been idle for longest",
       [caller(3e6, 3_000), caller(3e6, 9_000), caller(3e6, 5_000)],
       9e6,
       [1, 2],
     ],
-    ["cuts no more than it takes", [caller(4e6, 9_000), caller(4e6, 8_000)], 8e6, [0]],
-    ["counts what runners' callers free first", [caller(4e6, 9_000), caller(4e6, 2_000, true)], 8e6, [1]],
+    ["cuts no more callers than necessary", [caller(4e6, 9_000), caller(4e6, 8_000)], 8e6, [0]],
+    [
+      "first counts the bytes freed by callers that keep a runner waiting",
+      [caller(4e6, 9_000), caller(4e6, 2_000, true)],
+      8e6,
+      [1],
+    ],
   ];
   for (const [name, waiting, heldBytes, cut] of cases)
     it(name, () => {
@@ -50,7 +60,7 @@
       );
     });
 
-  it("cuts only who stalls, and until memory is not short or nobody else stalls", () => {
+  it("cuts only stalled callers, until memory is not short or no stalled caller is left", () => {
     fc.assert(
       fc.property(callers, fc.integer({ min: 0, max: MAX_BYTES }), (waiting, restBytes) => {
         const heldBytes = heldBytesOf(waiting) + restBytes;
@@ -64,7 +74,7 @@
     );
   });
 
-  it("reads ahead for many callers without making memory short for others", () => {
+  it("reads ahead for many callers without making memory short for new requests", () => {
     let heldBytes = 0;
     for (let index = 0; index < 50; index += 1) {
       const aheadBytes = policy.readAheadBytes(heldBytes);
@@ -75,7 +85,7 @@
     expect(policy.refuses(heldBytes, 1_000_000)).toEqual(false);
   });
 
-  it("refuses what does not fit, with an answer to it", () => {
+  it("refuses a request that does not fit together with its answer", () => {
     expect(policy.refuses(0, 0)).toEqual(false);
     expect(policy.refuses(MAX_BYTES - 100_000, 60_000)).toEqual(false);
     expect(policy.refuses(MAX_BYTES - 100_000, 80_000)).toEqual(true);
--- a/test/contract/caller-spread.test.ts
+++ b/test/contract/caller-spread.test.ts
@@ -1,4 +1,4 @@
-/** What callers get when gateways and zones are uneven: told of all gateways alike, and by headroom. */
+/** Compares response times when gateways and zones differ: with all gateways treated alike, and selected by headroom. */
 import { describe, it, type TestContext } from "node:test";
 import { expect } from "earl";
 import type { GatewayCandidate } from "../../src/scheduling/caller-spread/gateway-candidate.ts";
@@ -7,7 +7,7 @@
 import { selectGateways } from "../../src/scheduling/caller-spread/select-gateways.ts";
 import { type CallerScenario, type CallerTimes, simulateCallers } from "./support/caller-load.ts";
 
-/** What is no better by headroom must not be worse, but for the play of chance. */
+/** Where headroom brings no gain, it may be worse by this factor at most: the results vary by chance. */
 const NO_WORSE_FACTOR = 1.05;
 const PERIOD_MS = 17_000;
 
@@ -30,8 +30,8 @@
   expect(byHeadroom.mean < uniform.mean && byHeadroom.p95 < uniform.p95).toEqual(true);
 }
 
-describe("callers by headroom", () => {
-  it("wait less in waves that differ by zone", (t) => {
+describe("callers with gateways selected by headroom", () => {
+  it("wait less when the demand rises and falls at different times in each zone", (t) => {
     expectBetter(simulateBoth(t, WAVES));
   });
 
@@ -44,18 +44,18 @@
     expectBetter(simulateBoth(t, { ...WAVES, durationMs: 25_000, demand }));
   });
 
-  it("wait less where a third of the gateways are of a build that tells nothing", (t) => {
+  it("wait less if a third of the gateways are of a build that does not report headroom", (t) => {
     const reportedHeadroom = (gateway: number, headroom: number) =>
       gateway % 3 === 0 ? undefined : headroom;
     expectBetter(simulateBoth(t, { ...WAVES, reportedHeadroom }));
   });
 
-  it("wait no longer while all gateways are short at once", (t) => {
+  it("wait no longer while all gateways are overloaded at once", (t) => {
     const [uniform, byHeadroom] = simulateBoth(t, { ...WAVES, durationMs: 10_000, demand: () => 1.1 });
     expect(byHeadroom.mean <= NO_WORSE_FACTOR * uniform.mean).toEqual(true);
   });
 
-  it("wait no longer although what is known of gateways is three seconds old", (t) => {
+  it("wait no longer if the known headroom of gateways is three seconds old", (t) => {
     const headroomHistory = new Map<number, number[]>();
     const reportedHeadroom = (gateway: number, headroom: number) => {
       const history = headroomHistory.get(gateway) ?? [];
@@ -68,7 +68,7 @@
   });
 });
 
-describe("names of gateways", () => {
+describe("gateways selected for a caller", () => {
   const gateway = (zone: string, more: Partial<GatewayCandidate> = {}): GatewayCandidate => ({
     address: zone,
     zone,
@@ -80,14 +80,14 @@
   const zonesOf = (candidates: GatewayCandidate[], zone: string | undefined) =>
     selectGateways(candidates, zone).map((candidate) => candidate.zone);
 
-  it("are those of the caller's zone while these are alike, whatever their step", () => {
+  it("are those of the caller's zone while all of these have the same headroom", () => {
     for (const headroom of [undefined, FULL_HEADROOM, 3]) {
       const localGateways = Array.from({ length: 3 }, () => gateway("a", { headroom, draw: 0.99 }));
       expect(zonesOf([...localGateways, gateway("b"), gateway("b")], "a")).toEqual(["a", "a", "a"]);
     }
   });
 
-  it("are all where the zone is not known, has one gateway, or all are at their end", () => {
+  it("are all if the zone is unknown or has one gateway, and all of the zone if no gateway has headroom", () => {
     expect(zonesOf([gateway("a"), gateway("b")], undefined)).toEqual(["a", "b"]);
     expect(zonesOf([gateway("a"), gateway("b")], "a")).toEqual(["a", "b"]);
     const exhausted = [gateway("a"), gateway("a"), gateway("b")].map((one) => ({ ...one, headroom: 0 }));
@@ -95,7 +95,7 @@
     expect(selectGateways([], "a")).toEqual([]);
   });
 
-  it("leave out by part who can take less, and who has just come", () => {
+  it("include a gateway with less headroom, or a new one, in a fraction of the answers", () => {
     const slow = gateway("a", { address: "slow", headroom: 1 });
     const newcomer = gateway("a", { address: "fresh", knownForMs: 300 });
     const full = Array.from({ length: 4 }, () => gateway("a"));
@@ -106,13 +106,13 @@
     expect([selectedAt(0.2), selectedAt(0.3), selectedAt(0.4)]).toEqual([["slow", "fresh"], ["fresh"], []]);
   });
 
-  it("are four at least where there are so many, the ones that can take most", () => {
+  it("are at least four if that many exist, those with the most headroom", () => {
     const localGateways = [0, 1, 2, 3, 4, 0].map((headroom) => gateway("a", { headroom, draw: 0.9 }));
     const selected = selectGateways(localGateways, "a").map(({ headroom }) => headroom);
     expect(selected).toEqual([4, 3, 2, 1]);
   });
 
-  it("are of other zones as well before the caller's zone is full, and only of such that are not short", () => {
+  it("include other zones before the caller's zone is full, but only those that are not short", () => {
     const localGateways = [gateway("a", { headroom: 2 }), gateway("a", { headroom: 2 })];
     const remoteGateways = [gateway("b", { draw: 0.1 }), gateway("c", { draw: 0.1, headroom: 1 })];
     expect(zonesOf([...localGateways, ...remoteGateways], "a")).toEqual(["a", "a", "b"]);
@@ -133,7 +133,7 @@
   }
 
   for (const pressure of [{ busy: 0.9 }, { memory: 0.95 }, { calls: 1.5 }]) {
-    it(`falls by a step each two seconds and comes back so, ${JSON.stringify(pressure)}`, () => {
+    it(`is lowered by one step every two seconds and raised again in the same way, ${JSON.stringify(pressure)}`, () => {
       const controller = new HeadroomController();
       headroomAfter(controller, idle, 0, 5_000);
       expect(headroomAfter(controller, pressure, 5_000, 9_000) < FULL_HEADROOM).toEqual(true);
@@ -144,12 +144,12 @@
     });
   }
 
-  it("stays while the load is neither high nor low", () => {
+  it("does not change while the load is neither high nor low", () => {
     const controller = new HeadroomController();
     expect(headroomAfter(controller, { busy: 0.4 }, 0, 60_000)).toEqual(FULL_HEADROOM);
   });
 
-  it("falls at once when the process stood still", () => {
+  it("is lowered at once when the process has stalled", () => {
     const controller = new HeadroomController();
     headroomAfter(controller, idle, 0, 5_000);
     expect(headroomAfter(controller, { stoodStill: true }, 5_000, 5_500)).toEqual(1);
--- a/test/contract/support/caller-load.ts
+++ b/test/contract/support/caller-load.ts
@@ -1,11 +1,14 @@
-/** Callers of three zones at gateways of different size, as flows of work; the directory names gateways by headroom or all alike. */
+/**
+ * Simulates callers of three zones at gateways of different size. Work is modelled as a flow. Callers are given gateways
+ * either by headroom or as if all were alike.
+ */
 import { SeededRandomSource } from "../../../src/runtime/random-source.ts";
 import { FULL_HEADROOM, type Headroom } from "../../../src/scheduling/caller-spread/headroom.ts";
 import { HeadroomController } from "../../../src/scheduling/caller-spread/headroom-controller.ts";
 import { selectGateways } from "../../../src/scheduling/caller-spread/select-gateways.ts";
 
 const ZONES = ["z0", "z1", "z2"];
-/** Work that a gateway does in a second, by size. */
+/** Work per second that gateways can do; assigned in rotation. */
 const SIZES = [1, 1, 1, 3, 3];
 const GATEWAYS_PER_ZONE = 10;
 const CALLERS_PER_ZONE = 36;
@@ -13,20 +16,20 @@
 const UPDATE_INTERVAL_MS = 500;
 const ANSWER_TTL_MS = 1_000;
 const DRAW_TTL_MS = 10_000;
-/** Work of one call. */
+/** Work per call. */
 const CALL_WORK = 0.005;
 
-/** What is played. */
+/** What is simulated. */
 export interface CallerScenario {
   readonly durationMs: number;
   readonly byHeadroom: boolean;
-  /** Work that comes from a zone, as a share of what its gateways can do. */
+  /** Work that arrives from a zone, as a share of the mean capacity of a zone. */
   demand(zone: number, nowMs: number): number;
-  /** What others know of a gateway, given what it says now. */
+  /** The headroom of a gateway that others know, given its current headroom. */
   reportedHeadroom(gateway: number, headroom: Headroom): Headroom | undefined;
 }
 
-/** For how long calls were at gateways, in ms, and the fewest addresses in an answer. */
+/** Duration of calls at gateways, in ms, and the smallest number of addresses in an answer. */
 export interface CallerTimes {
   readonly mean: number;
   readonly p95: number;
@@ -47,7 +50,7 @@
     this.capacity = capacity;
   }
 
-  /** One tick; returns how long the calls that came take. */
+  /** Processes one tick. Returns the duration of the calls that arrived in it, in ms. */
   tick(): number {
     const maxWork = (this.capacity * TICK_MS) / 1_000;
     const usage = Math.min(0.95, this.arriving / maxWork);
@@ -65,7 +68,7 @@
   }
 }
 
-/** Plays a load; the same each time. */
+/** Simulates a scenario; deterministic. */
 export function simulateCallers(scenario: CallerScenario): CallerTimes {
   const random = new SeededRandomSource(3);
   const gateways = ZONES.flatMap((zone) => {
@@ -110,7 +113,7 @@
       samples.push([gateway.tick(), arriving]);
     }
     if (nowMs % UPDATE_INTERVAL_MS !== 0) continue;
-    // What a gateway said at the look before has reached the others by now.
+    // The headroom after the previous update has reached the other gateways by now.
     for (const [index, gateway] of gateways.entries()) {
       gateway.reportedHeadroom = scenario.reportedHeadroom(index, gateway.control.headroom);
       gateway.updateHeadroom(nowMs);
