--- a/src/scheduling/buffers/buffer-policy.ts
+++ b/src/scheduling/buffers/buffer-policy.ts
@@ -11,9 +11,7 @@
 const READ_AHEAD_FRACTION = 0.25;
 /** Fraction of the budget above which stalled callers are cut. */
 const SHORTAGE_FRACTION = 0.75;
-/**
- * Fraction of the budget down to which stalled callers are cut, so that not every new answer requires another cut.
- */
+/** Fraction of the budget down to which stalled callers are cut, so that not every new answer requires another cut. */
 const AFTER_CUTS_FRACTION = 0.5;
 /** Fraction of the free read-ahead bytes that one caller may use, so that a few slow callers leave room for others. */
 const READ_AHEAD_FRACTION_PER_CALLER = 0.125;
@@ -62,7 +60,7 @@
 
   /**
    * Returns the callers to cut: all stalled callers that keep a runner waiting and then, if memory is still short, the other
-   * stalled callers, the longest idle first, until it is no longer short.
+   * stalled callers, the longest idle first, until the bytes held are down to {@link AFTER_CUTS_FRACTION} of the budget.
    */
   callersToCut<Caller extends WaitingCaller>(callers: readonly Caller[], heldBytes: number): Caller[] {
     const stalled = callers.filter(({ idleMs }) => idleMs >= STALLED_MS);
--- a/src/scheduling/runner-balancing/runner-balancer.ts
+++ b/src/scheduling/runner-balancing/runner-balancer.ts
@@ -41,9 +41,7 @@
  * and are taken into account at once.
  */
 const MIN_PACE_UPDATE_INTERVAL_MS = 200;
-/**
- * Paces of at least this are reported as integers, in ms: the rounding error is smaller than their variation between calls.
- */
+/** Paces of at least this are reported as integers, in ms: the rounding error is less than calls vary by. */
 const MIN_INTEGER_PACE_MS = 10;
 /** Other reported numbers are rounded to tenths. */
 const TENTHS = 10;
@@ -202,7 +200,7 @@
     average.add(nowMs - pending.startedAtMs);
   }
 
-  /** Average duration of requests to a pool, in ms; undefined if this gateway has seen fewer than `minRequests`. */
+  /** Average duration of successful requests to a pool, in ms; undefined if this gateway made fewer than `minRequests`. */
   averageMs(pool: string, minRequests: number): number | undefined {
     const average = this.#averageMs.get(pool);
     return average && average.count >= minRequests ? average.value : undefined;
--- a/test/contract/connection-share.test.ts
+++ b/test/contract/connection-share.test.ts
@@ -17,9 +17,9 @@
     [520, 300, 2],
     [1, 74, 2],
   ];
-  for (const [most, gateways, share] of SHARES) {
-    it(`of ${most} is ${share} with ${gateways} gateways`, () =>
-      expect(connectionShare(most, gateways)).toEqual(share));
+  for (const [maxConnections, gateways, share] of SHARES) {
+    it(`of ${maxConnections} is ${share} with ${gateways} gateways`, () =>
+      expect(connectionShare(maxConnections, gateways)).toEqual(share));
   }
 
   const USES: [what: string, own: number, total: number, may: boolean][] = [
@@ -36,29 +36,34 @@
 
   it("keeps the connections of all gateways within the runner's limit, if each knows the total", () => {
     const gateways = fc.integer({ min: 1, max: 40 });
-    const asks = fc.array(fc.nat(39), { maxLength: 600 });
+    const requests = fc.array(fc.nat(39), { maxLength: 600 });
     fc.assert(
-      fc.property(gateways, fc.integer({ min: 160, max: 300 }), asks, (count, most, askers) => {
-        const own = Array.from({ length: count }, () => 0);
-        let total = 0;
-        for (const asker of askers) {
-          const gateway = asker % count;
-          const used = own[gateway] ?? 0;
-          if (!mayUseConnection({ own: used, total }, most, count)) continue;
-          own[gateway] = used + 1;
-          total += 1;
-        }
-        expect(total <= most).toEqual(true);
-      }),
+      fc.property(
+        gateways,
+        fc.integer({ min: 160, max: 300 }),
+        requests,
+        (count, maxConnections, requesters) => {
+          const own = Array.from({ length: count }, () => 0);
+          let total = 0;
+          for (const requester of requesters) {
+            const gateway = requester % count;
+            const used = own[gateway] ?? 0;
+            if (!mayUseConnection({ own: used, total }, maxConnections, count)) continue;
+            own[gateway] = used + 1;
+            total += 1;
+          }
+          expect(total <= maxConnections).toEqual(true);
+        },
+      ),
     );
   });
 
   it("lets a call exceed the share if no other runner has a free connection, within the runner's limit", () => {
-    const most = 100;
+    const maxConnections = 100;
     const use = { own: 40, total: 60 };
-    expect(mayUseConnection(use, most, 2)).toEqual(false);
-    expect(mayExceedShare(use, most)).toEqual(true);
-    expect(mayExceedShare({ own: 40, total: 100 }, most)).toEqual(false);
-    expect(mayExceedShare({ own: 64, total: 80 }, most)).toEqual(false);
+    expect(mayUseConnection(use, maxConnections, 2)).toEqual(false);
+    expect(mayExceedShare(use, maxConnections)).toEqual(true);
+    expect(mayExceedShare({ own: 40, total: 100 }, maxConnections)).toEqual(false);
+    expect(mayExceedShare({ own: 64, total: 80 }, maxConnections)).toEqual(false);
   });
 });
--- a/test/contract/report-totals.test.ts
+++ b/test/contract/report-totals.test.ts
@@ -8,7 +8,7 @@
 
 const TTL_MS = 3_000;
 const RUNNERS = ["r1", "r2", "r3"] as RunnerId[];
-const NODES = ["a", "b", "c", "d"];
+const GATEWAYS = ["a", "b", "c", "d"];
 
 const runners = fc.subarray(RUNNERS);
 const tenths = fc.integer({ min: 0, max: 50 }).map((count) => count / 10);
@@ -31,7 +31,7 @@
   ),
 });
 const step = fc.record({
-  node: fc.constantFrom(...NODES),
+  gateway: fc.constantFrom(...GATEWAYS),
   report: fc.option(report, { nil: undefined }),
   passMs: fc.integer({ min: 0, max: TTL_MS }),
 });
@@ -61,14 +61,14 @@
         const totals = new ReportTotals(TTL_MS);
         const last = new Map<string, { report: LoadReport; atMs: number }>();
         let nowMs = 0;
-        for (const { node, report, passMs } of steps) {
+        for (const { gateway, report, passMs } of steps) {
           nowMs += passMs;
           if (report) {
-            totals.set(node, report, nowMs);
-            last.set(node, { report, atMs: nowMs });
+            totals.set(gateway, report, nowMs);
+            last.set(gateway, { report, atMs: nowMs });
           } else {
-            totals.delete(node);
-            last.delete(node);
+            totals.delete(gateway);
+            last.delete(gateway);
           }
           totals.dropStale(nowMs);
           for (const [name, { atMs }] of last) if (nowMs - atMs > TTL_MS) last.delete(name);
@@ -87,8 +87,8 @@
     fc.assert(
       fc.property(report, report, report, (first, second, third) => {
         const totals = new ReportTotals(TTL_MS);
-        for (const [index, told] of [first, second, third].entries())
-          totals.set(NODES[index] as string, told, 0);
+        for (const [index, gatewayReport] of [first, second, third].entries())
+          totals.set(GATEWAYS[index] as string, gatewayReport, 0);
         const others = ReportTotals.difference(totals.sum(["a", "b", "c"]), totals.sum(["b"]));
         const wanted = totals.sum(["a", "c"]);
         for (const runner of RUNNERS) {
@@ -108,7 +108,7 @@
       paces: [[RUNNERS[0] as RunnerId, paceMs] as const],
     });
     for (const [index, paceMs] of [20, 400, 30].entries())
-      totals.set(NODES[index] as string, paced(paceMs), 0);
+      totals.set(GATEWAYS[index] as string, paced(paceMs), 0);
     expect(totals.sum(["a", "b", "c"])).toEqual(paced(30));
     expect(ReportTotals.difference(totals.sum(["a", "b", "c"]), paced(30))).toEqual(paced(30));
     totals.delete("c");
--- a/test/contract/runner-balance.test.ts
+++ b/test/contract/runner-balance.test.ts
@@ -37,13 +37,13 @@
   programsPerS: 60,
   durationMs: DURATION_MS,
   newCall: newTurn,
-  slowness: (runner, nowMs) => (runner % 3 === 2 ? 1.7 : 0.7) * slowMomentFactor(runner, nowMs),
+  slowness: (runner, nowMs) => (runner % 3 === 2 ? 1.7 : 0.7) * slowIntervalFactor(runner, nowMs),
   deliveredReport: (_, report) => report,
   newCostModel: () => new CostByLoad(),
 };
 
 /** Slows a runner down in 15 of 100 intervals of half a second. */
-function slowMomentFactor(runner: number, nowMs: number): number {
+function slowIntervalFactor(runner: number, nowMs: number): number {
   const random = new SeededRandomSource(1_000 * runner + Math.floor(nowMs / SLOW_INTERVAL_MS));
   random.unit();
   return random.unit() < 0.15 ? 2.5 : 1;
@@ -79,7 +79,7 @@
 
   it("that differ only by short slowdowns answer calls without streaming sooner under heavy load", (t) => {
     expectBetter(
-      simulateBoth(t, { ...UNEVEN, newCall: newPlainCall, programsPerS: 350, slowness: slowMomentFactor }),
+      simulateBoth(t, { ...UNEVEN, newCall: newPlainCall, programsPerS: 350, slowness: slowIntervalFactor }),
     );
   });
 
