--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -20,8 +20,8 @@
     name: "runner: an entry of an earlier start replaces the known one",
     edits: [
       {
-        file: "src/scheduling/runner-board/start-order.ts",
-        from: 'return entry.bornMs > known.bornMs ? "later" : "earlier";',
+        file: "src/scheduling/runner-balancing/start-order.ts",
+        from: 'return entry.startedAtMs > known.startedAtMs ? "later" : "earlier";',
         to: 'return "later";',
       },
     ],
@@ -59,8 +59,8 @@
     name: "runner: gateways use all connections that they may",
     edits: [
       {
-        file: "src/scheduling/runner-board/connection-share.ts",
-        from: "if (use.own < connectionShare(maxConnections - lent, gateways)) return true;",
+        file: "src/scheduling/runner-balancing/connection-share.ts",
+        from: "if (use.own < connectionShare(maxConnections - unreserved, gateways)) return true;",
         to: "if (gateways > 0 && use.own < MAX_SHARE) return true;",
       },
     ],
--- a/src/gateway/buffers/buffer-limiter.ts
+++ b/src/gateway/buffers/buffer-limiter.ts
@@ -47,7 +47,7 @@
 
   /** Whether the limit is exceeded. */
   get exhausted(): boolean {
-    return this.#policy.exceeds(this.#heldBytes);
+    return this.#policy.exceedsBudget(this.#heldBytes);
   }
 
   /** Bytes that may be buffered for one caller before its runner has to wait. */
@@ -74,7 +74,7 @@
   add(reason: BufferReason, bytes: number): void {
     this.#held[reason] += bytes;
     this.#heldBytes += bytes;
-    if (this.#timer === undefined && !this.#policy.isCalm(this.#heldBytes)) this.#scheduleCheck();
+    if (this.#timer === undefined && !this.#policy.hasAmpleRoom(this.#heldBytes)) this.#scheduleCheck();
   }
 
   /** Counts a runner that begins to wait for a caller, or that stops waiting. */
@@ -92,9 +92,9 @@
   #check(): void {
     const elapsedMs = Math.min(MAX_ELAPSED_MS, this.#context.clock.monotonicMs() - this.#checkedAtMs);
     const waiting = [...this.#open].filter((buffers) => buffers.update(elapsedMs));
-    for (const buffers of this.#policy.cuts(waiting, this.#heldBytes)) this.#cut(buffers);
+    for (const buffers of this.#policy.callersToCut(waiting, this.#heldBytes)) this.#cut(buffers);
     this.#timer = undefined;
-    if (this.#waitingRunners > 0 || !this.#policy.isCalm(this.#heldBytes)) this.#scheduleCheck();
+    if (this.#waitingRunners > 0 || !this.#policy.hasAmpleRoom(this.#heldBytes)) this.#scheduleCheck();
   }
 
   #cut(buffers: CallerBuffers): void {
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -7,7 +7,7 @@
 import { mayStartProgram } from "../../scheduling/admission/program-admission.ts";
 import type { ProgramId } from "../../scheduling/ids/program-id.ts";
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import { turnUrgency } from "../../scheduling/urgency/turn-urgency.ts";
 import type { Urgency } from "../../scheduling/urgency/urgency.ts";
 import type { AdmitTurnResponse, EndTurnRequest } from "../gateway-messages.ts";
@@ -202,7 +202,7 @@
   /** How many runners more may run the turn; those that are gone do not count. */
   get #runnersLeft(): number {
     const { board } = this.parts;
-    const there = [...this.mayHaveRun].filter((id) => board.listed(id) && !this.excluded.has(id));
+    const there = [...this.mayHaveRun].filter((id) => board.isListed(id) && !this.excluded.has(id));
     return this.route.maxAttempts - there.length;
   }
 
--- a/src/gateway/places/board-runner-group.ts
+++ b/src/gateway/places/board-runner-group.ts
@@ -1,7 +1,7 @@
 /** A group of runners whose state is read from the dispatcher's own runner board. */
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
 import { type PlaceCall, RunnerGroup } from "../../scheduling/place-queue/index.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { BoardRunnerGroupParts } from "./board-runner-group-parts.ts";
 
 const NO_RUNNERS: ReadonlySet<RunnerId> = new Set();
@@ -31,7 +31,7 @@
   }
 
   override averageCallMs(minCalls: number): number | undefined {
-    return this.#parts.board.usualMs(this.#pool, minCalls);
+    return this.#parts.board.averageMs(this.#pool, minCalls);
   }
 
   override get memoryTokens(): number | undefined {
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -292,7 +292,10 @@
   #localRefusal(requester: PlaceRequester): PlaceRefused | undefined {
     const { board, context } = this.#parts;
     const pool = requester.pool.name;
-    const forecast = forecastFromLocalLoad(board.poolLoad(pool), board.usualMs(pool, MIN_CALLS_FOR_AVERAGE));
+    const forecast = forecastFromLocalLoad(
+      board.poolLoad(pool),
+      board.averageMs(pool, MIN_CALLS_FOR_AVERAGE),
+    );
     const excessMs = forecast.expectedMs - longestWaitMs(requester.describe(), forecast.holdingMs);
     if (forecast.expectedMs === 0 || excessMs <= 0) return undefined;
     const minDelayMs = Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, excessMs));
--- a/src/gateway/places/place-verdict.ts
+++ b/src/gateway/places/place-verdict.ts
@@ -1,5 +1,5 @@
 import type { PlaceRefusalReason } from "../../scheduling/place-queue/index.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { HeldPlace } from "./held-place.ts";
 
 /** The outcome of a call's request for a place. */
--- a/src/gateway/places/pool-scarcity.ts
+++ b/src/gateway/places/pool-scarcity.ts
@@ -3,7 +3,7 @@
  * gateway, and most are taken. Otherwise, a request before each call would cost more than it saves.
  */
 import type { RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { RunnerGroups } from "./runner-groups.ts";
 
@@ -31,7 +31,7 @@
 
 export class PoolScarcity {
   readonly #context: GatewayContext;
-  readonly #board: RunnerBoard;
+  readonly #board: RunnerBalancer;
   readonly #groups: RunnerGroups;
   readonly #countLiveGateways: () => number;
   readonly #cache = new Map<string, CachedScarcity>();
@@ -39,7 +39,7 @@
   /** @param countLiveGateways counts the gateways that are alive, including this one */
   constructor(
     context: GatewayContext,
-    board: RunnerBoard,
+    board: RunnerBalancer,
     groups: RunnerGroups,
     countLiveGateways: () => number,
   ) {
--- a/src/gateway/places/runner-groups.ts
+++ b/src/gateway/places/runner-groups.ts
@@ -3,8 +3,8 @@
  * groups, and an additional runner or group moves few of the other runners.
  */
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
-import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
-import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
+import type { RunnerBalancer } from "../../scheduling/runner-balancing/runner-balancer.ts";
+import type { RunnerEntry } from "../../scheduling/runner-balancing/runner-entry.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { jumpHash } from "./jump-hash.ts";
 import type { PlaceGroup } from "./place-group.ts";
@@ -22,10 +22,10 @@
 
 export class RunnerGroups {
   readonly #context: GatewayContext;
-  readonly #board: RunnerBoard;
+  readonly #board: RunnerBalancer;
   readonly #cache = new Map<string, PoolGroups>();
 
-  constructor(context: GatewayContext, board: RunnerBoard) {
+  constructor(context: GatewayContext, board: RunnerBalancer) {
     this.#context = context;
     this.#board = board;
   }
--- a/src/scheduling/place-queue/capacity-tracker.ts
+++ b/src/scheduling/place-queue/capacity-tracker.ts
@@ -1,6 +1,6 @@
 /** Tracks which runners of a group have capacity for a call: free places, and memory for its tokens. No I/O. */
 import type { RunnerId } from "../ids/runner-id.ts";
-import type { RunnerEntry } from "../runner-board/runner-entry.ts";
+import type { RunnerEntry } from "../runner-balancing/runner-entry.ts";
 import type { GroupCapacity } from "./group-capacity.ts";
 import type { LeaseTable } from "./lease-table.ts";
 import { MIN_CALLS_FOR_AVERAGE } from "./min-calls-for-average.ts";
@@ -69,7 +69,7 @@
       // The age of the leases reveals a runner that is slow or hangs before any of its calls ends.
       placesFreedPerMs += runnerPlaces / Math.max(1, holdingMs, this.#leases.meanAgeMs(runner.id, nowMs));
     }
-    return { places, free, placedByOthers, paused, placesFreedPerMs: placesFreedPerMs };
+    return { places, free, placedByOthers, paused, placesFreedPerMs };
   }
 
   /** The runner that takes a call now; undefined if none has capacity for it. */
--- a/src/scheduling/place-queue/holding-times.ts
+++ b/src/scheduling/place-queue/holding-times.ts
@@ -1,5 +1,5 @@
 /** Measures how long calls hold their places, by route, from the places that were released. No I/O. */
-import { MovingAverage } from "../runner-board/moving-average.ts";
+import { MovingAverage } from "../runner-balancing/moving-average.ts";
 import { DEFAULT_HOLDING_MS } from "./default-holding-ms.ts";
 import { MIN_CALLS_FOR_AVERAGE } from "./min-calls-for-average.ts";
 
--- a/src/scheduling/runner-board/empty-report.ts
+++ /dev/null
@@ -1,4 +0,0 @@
-import type { NodeReport } from "./node-report.ts";
-
-/** Of a node that has no requests at runners. */
-export const EMPTY_REPORT: NodeReport = { inFlight: [], failing: [] };
--- a/test/contract/connection-share.test.ts
+++ b/test/contract/connection-share.test.ts
@@ -1,4 +1,4 @@
-/** Which part of a runner's connections each gateway uses. */
+/** Tests how many of a runner's connections each gateway may use. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -6,7 +6,7 @@
   connectionShare,
   mayExceedShare,
   mayUseConnection,
-} from "../../src/scheduling/runner-board/connection-share.ts";
+} from "../../src/scheduling/runner-balancing/connection-share.ts";
 
 describe("share of a runner's connections", () => {
   const SHARES: [maxConnections: number, gateways: number, share: number][] = [
@@ -17,48 +17,53 @@
     [520, 300, 2],
     [1, 74, 2],
   ];
-  for (const [most, gateways, share] of SHARES) {
-    it(`of ${most} is ${share} with ${gateways} gateways`, () =>
-      expect(connectionShare(most, gateways)).toEqual(share));
+  for (const [maxConnections, gateways, share] of SHARES) {
+    it(`of ${maxConnections} is ${share} with ${gateways} gateways`, () =>
+      expect(connectionShare(maxConnections, gateways)).toEqual(share));
   }
 
   const USES: [what: string, own: number, total: number, may: boolean][] = [
-    ["below the share, however full the runner is", 2, 480, true],
-    ["at the share, while less than half is in use", 3, 239, true],
-    ["at the share, while half is in use", 3, 240, false],
-    ["beyond the share, while less than half is in use", 63, 100, true],
-    ["at the most of one gateway", 64, 64, false],
+    ["below its share, however full the runner is", 2, 480, true],
+    ["at its share, while less than half is in use", 3, 239, true],
+    ["at its share, while half is in use", 3, 240, false],
+    ["above its share, while less than half is in use", 63, 100, true],
+    ["at the maximum of one gateway", 64, 64, false],
   ];
   for (const [what, own, total, may] of USES) {
-    it(`${may ? "allows" : "denies"} one request more ${what}`, () =>
+    it(`${may ? "allows" : "denies"} one more request to a gateway ${what}`, () =>
       expect(mayUseConnection({ own, total }, 480, 74)).toEqual(may));
   }
 
-  it("keeps what all gateways use within what the runner takes, when each knows what the others do", () => {
+  it("keeps the connections of all gateways within the runner's limit, if each knows the total", () => {
     const gateways = fc.integer({ min: 1, max: 40 });
-    const asks = fc.array(fc.nat(39), { maxLength: 600 });
+    const requests = fc.array(fc.nat(39), { maxLength: 600 });
     fc.assert(
-      fc.property(gateways, fc.integer({ min: 160, max: 300 }), asks, (count, most, askers) => {
-        const own = Array.from({ length: count }, () => 0);
-        let total = 0;
-        for (const asker of askers) {
-          const gateway = asker % count;
-          const used = own[gateway] ?? 0;
-          if (!mayUseConnection({ own: used, total }, most, count)) continue;
-          own[gateway] = used + 1;
-          total += 1;
-        }
-        expect(total <= most).toEqual(true);
-      }),
+      fc.property(
+        gateways,
+        fc.integer({ min: 160, max: 300 }),
+        requests,
+        (count, maxConnections, requesters) => {
+          const own = Array.from({ length: count }, () => 0);
+          let total = 0;
+          for (const requester of requesters) {
+            const gateway = requester % count;
+            const used = own[gateway] ?? 0;
+            if (!mayUseConnection({ own: used, total }, maxConnections, count)) continue;
+            own[gateway] = used + 1;
+            total += 1;
+          }
+          expect(total <= maxConnections).toEqual(true);
+        },
+      ),
     );
   });
 
-  it("lets a call that no other runner has a connection for go beyond the share, within what the runner takes", () => {
-    const most = 100;
+  it("lets a call exceed the share if no other runner has a free connection, within the runner's limit", () => {
+    const maxConnections = 100;
     const use = { own: 40, total: 60 };
-    expect(mayUseConnection(use, most, 2)).toEqual(false);
-    expect(mayExceedShare(use, most)).toEqual(true);
-    expect(mayExceedShare({ own: 40, total: 100 }, most)).toEqual(false);
-    expect(mayExceedShare({ own: 64, total: 80 }, most)).toEqual(false);
+    expect(mayUseConnection(use, maxConnections, 2)).toEqual(false);
+    expect(mayExceedShare(use, maxConnections)).toEqual(true);
+    expect(mayExceedShare({ own: 40, total: 100 }, maxConnections)).toEqual(false);
+    expect(mayExceedShare({ own: 64, total: 80 }, maxConnections)).toEqual(false);
   });
 });
--- a/test/contract/report-totals.test.ts
+++ b/test/contract/report-totals.test.ts
@@ -1,21 +1,21 @@
-/** The sums of what nodes tell of their requests at runners, against sums made anew from all reports. */
+/** Compares the running totals of load reports with sums that are computed from all reports. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import * as fc from "fast-check";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
-import type { NodeReport } from "../../src/scheduling/runner-board/node-report.ts";
-import { ReportTotals } from "../../src/scheduling/runner-board/report-totals.ts";
+import type { LoadReport } from "../../src/scheduling/runner-balancing/load-report.ts";
+import { ReportTotals } from "../../src/scheduling/runner-balancing/report-totals.ts";
 
 const TTL_MS = 3_000;
 const RUNNERS = ["r1", "r2", "r3"] as RunnerId[];
-const NODES = ["a", "b", "c", "d"];
+const GATEWAYS = ["a", "b", "c", "d"];
 
 const runners = fc.subarray(RUNNERS);
 const tenths = fc.integer({ min: 0, max: 50 }).map((count) => count / 10);
 const counts = runners.chain((ids) =>
   fc.tuple(...ids.map((id) => fc.tuple(fc.constant(id), fc.integer({ min: 1, max: 9 })))),
 );
-const report: fc.Arbitrary<NodeReport> = fc.record({
+const report: fc.Arbitrary<LoadReport> = fc.record({
   inFlight: counts,
   leased: counts,
   failing: runners.chain((ids) =>
@@ -31,44 +31,44 @@
   ),
 });
 const step = fc.record({
-  node: fc.constantFrom(...NODES),
+  gateway: fc.constantFrom(...GATEWAYS),
   report: fc.option(report, { nil: undefined }),
   passMs: fc.integer({ min: 0, max: TTL_MS }),
 });
 
-function inFlightOf(reports: Iterable<NodeReport>, runner: RunnerId): number {
+function inFlightOf(reports: Iterable<LoadReport>, runner: RunnerId): number {
   let sum = 0;
   for (const { inFlight } of reports) for (const [id, count] of inFlight) if (id === runner) sum += count;
   return sum;
 }
 
-function leasedOf(reports: Iterable<NodeReport>, runner: RunnerId): number {
+function leasedOf(reports: Iterable<LoadReport>, runner: RunnerId): number {
   let sum = 0;
   for (const { leased = [] } of reports) for (const [id, count] of leased) if (id === runner) sum += count;
   return sum;
 }
 
-function failuresOf(reports: Iterable<NodeReport>, runner: RunnerId): number {
+function failuresOf(reports: Iterable<LoadReport>, runner: RunnerId): number {
   let sum = 0;
   for (const { failing } of reports) for (const [id, , count] of failing) if (id === runner) sum += count;
   return Math.round(10 * sum) / 10;
 }
 
 describe("report totals", () => {
-  it("add up what all nodes that were heard lately have told last", () => {
+  it("add up the latest reports of all gateways that reported recently", () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
         const totals = new ReportTotals(TTL_MS);
-        const last = new Map<string, { report: NodeReport; atMs: number }>();
+        const last = new Map<string, { report: LoadReport; atMs: number }>();
         let nowMs = 0;
-        for (const { node, report: told, passMs } of steps) {
+        for (const { gateway, report, passMs } of steps) {
           nowMs += passMs;
-          if (told) {
-            totals.set(node, told, nowMs);
-            last.set(node, { report: told, atMs: nowMs });
+          if (report) {
+            totals.set(gateway, report, nowMs);
+            last.set(gateway, { report, atMs: nowMs });
           } else {
-            totals.delete(node);
-            last.delete(node);
+            totals.delete(gateway);
+            last.delete(gateway);
           }
           totals.dropStale(nowMs);
           for (const [name, { atMs }] of last) if (nowMs - atMs > TTL_MS) last.delete(name);
@@ -83,12 +83,12 @@
     );
   });
 
-  it("are without one node's part what the others have told", () => {
+  it("minus the report of one gateway equal the sum of the others", () => {
     fc.assert(
       fc.property(report, report, report, (first, second, third) => {
         const totals = new ReportTotals(TTL_MS);
-        for (const [index, told] of [first, second, third].entries())
-          totals.set(NODES[index] as string, told, 0);
+        for (const [index, gatewayReport] of [first, second, third].entries())
+          totals.set(GATEWAYS[index] as string, gatewayReport, 0);
         const others = ReportTotals.difference(totals.sum(["a", "b", "c"]), totals.sum(["b"]));
         const wanted = totals.sum(["a", "c"]);
         for (const runner of RUNNERS) {
@@ -100,7 +100,7 @@
     );
   });
 
-  it("tell the median of what several nodes say of a runner's pace", () => {
+  it("contain the median of the paces that several gateways report for a runner", () => {
     const totals = new ReportTotals(TTL_MS);
     const paced = (paceMs: number) => ({
       inFlight: [],
@@ -108,7 +108,7 @@
       paces: [[RUNNERS[0] as RunnerId, paceMs] as const],
     });
     for (const [index, paceMs] of [20, 400, 30].entries())
-      totals.set(NODES[index] as string, paced(paceMs), 0);
+      totals.set(GATEWAYS[index] as string, paced(paceMs), 0);
     expect(totals.sum(["a", "b", "c"])).toEqual(paced(30));
     expect(ReportTotals.difference(totals.sum(["a", "b", "c"]), paced(30))).toEqual(paced(30));
     totals.delete("c");
