--- a/bench/mutations/gateway-mutations.ts
+++ b/bench/mutations/gateway-mutations.ts
@@ -140,13 +140,13 @@
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
-        from: "sameList(this.#firsthandMembers, this.#view.firsthand())",
-        to: "sameList(this.#firsthandMembers, this.#view.alive())",
+        from: "reuseIfEqual(this.#relayableMembers, this.#view.relayable())",
+        to: "reuseIfEqual(this.#relayableMembers, this.#view.alive())",
       },
       {
-        file: "src/gateway/members/vouchers.ts",
-        from: "if (nowMs < untilMs) current.push({ relay, instances, untilMs });",
-        to: "current.push({ relay, instances, untilMs });",
+        file: "src/gateway/members/relayed-liveness.ts",
+        from: "if (nowMs < untilMs) evidence.push({ relay, instances, untilMs });",
+        to: "evidence.push({ relay, instances, untilMs });",
       },
     ],
     script,
@@ -158,7 +158,7 @@
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
-        from: "    this.#repeatRelayed();\n",
+        from: "    this.#notifyRelayedMembers();\n",
         to: "",
       },
     ],
--- a/src/cli/logs/tell-story.ts
+++ b/src/cli/logs/tell-story.ts
@@ -1,6 +1,6 @@
 /** Puts the story of a request or a program together from the collected logs of all gateways. Pure. */
 
-import { nameOf } from "../../gateway/members/instance-name.ts";
+import { gatewayNameOf } from "../../gateway/members/instance-name.ts";
 import type { AdmissionRecord } from "../../gateway/telemetry/admission-record.ts";
 import type { PlacedRecord } from "../../gateway/telemetry/placed-record.ts";
 import type { RateRecord } from "../../gateway/telemetry/rate-record.ts";
@@ -38,7 +38,7 @@
   const asked = calls.flatMap(({ admission, rate }) => [admission ?? [], rate ?? []].flat());
   const partitions = new Set(asked.map(({ partition }) => partition));
   const owners = new Set(asked.flatMap(({ owner }) => owner ?? []));
-  const nodes = new Set([...calls.map(({ node }) => node), ...[...owners].map(nameOf)]);
+  const nodes = new Set([...calls.map(({ node }) => node), ...[...owners].map(gatewayNameOf)]);
   const beliefs = entries.filter((entry) => {
     if (entry.time < fromMs || entry.time > untilMs) return false;
     if (OF_PARTITION.includes(entry.msg)) return partitions.has(entry.partition as number);
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -16,7 +16,7 @@
 import type { GatewaySettings } from "./gateway-settings.ts";
 import { EntryServer } from "./ingress/entry-server.ts";
 import { IngressServer } from "./ingress/ingress-server.ts";
-import { HeadroomWatch } from "./members/headroom-watch.ts";
+import { HeadroomMonitor } from "./members/headroom-monitor.ts";
 import { MemberDirectory } from "./members/member-directory.ts";
 import { MemberRegistry } from "./members/member-registry.ts";
 import { PartitionClient } from "./partitions/partition-client.ts";
@@ -57,7 +57,7 @@
   readonly #buffers: BufferPool;
   readonly #ingress: IngressServer;
   /** Undefined where callers are told of all gateways alike. */
-  readonly #headroom: HeadroomWatch | undefined;
+  readonly #headroom: HeadroomMonitor | undefined;
   readonly #entry: EntryServer;
   readonly #callLog: CallLog;
   readonly #health: StoreHealth;
@@ -96,7 +96,7 @@
     this.#buffers = new BufferPool(context);
     this.#ingress = new IngressServer(context, this.#buffers);
     const { byHeadroom } = context.settings.balance;
-    if (byHeadroom) this.#headroom = new HeadroomWatch(context, () => this.#ingress.active);
+    if (byHeadroom) this.#headroom = new HeadroomMonitor(context, () => this.#ingress.active);
     this.#entry = new EntryServer(context, this.#members, () => this.state === "ready");
     const client = new PartitionClient(context, this.#members, this.#partitions, this.#rpc, health);
     this.#callLog = new CallLog(context.log, context.clock);
@@ -171,7 +171,7 @@
 
   /** Takes what may change while the process runs: the seeds. */
   reload(settings: GatewaySettings): void {
-    this.#members.knowAll(settings.seeds);
+    this.#members.addKnownAddresses(settings.seeds);
     this.#context.log.info({ seeds: settings.seeds }, "settings read again");
   }
 
--- a/src/gateway/members/caller-directory.ts
+++ b/src/gateway/members/caller-directory.ts
@@ -9,10 +9,10 @@
  * How long a draw holds, in ms. Callers leave connections to gateways that the next answer does not name: were the draws new
  * each time, they would open others all the time. Over many gateways that answer, the shares are right all the same.
  */
-const DRAW_MS = 10_000;
+const DRAW_LIFETIME_MS = 10_000;
 
 /** A gateway that may be named. */
-export type NamedGateway = Omit<GatewayCandidate, "draw">;
+export type ReadyGateway = Omit<GatewayCandidate, "draw">;
 
 /** See the module's comment. */
 export class CallerDirectory {
@@ -21,27 +21,27 @@
   readonly #draws = new Map<string, number>();
   #drawnAtMs = Number.NEGATIVE_INFINITY;
   /** Zones whose callers were last told of gateways of other zones. */
-  readonly #shortZones = new Set<string>();
+  readonly #overflowZones = new Set<string>();
 
   constructor(context: GatewayContext) {
     this.#context = context;
   }
 
   /** Addresses for a caller, in random order. */
-  addresses(gateways: readonly NamedGateway[], zone: string | undefined): string[] {
-    this.#drawAnew();
+  addresses(gateways: readonly ReadyGateway[], zone: string | undefined): string[] {
+    this.#expireDraws();
     const candidates = gateways.map((gateway) => ({ ...gateway, draw: this.#drawOf(gateway.address) }));
-    const named = this.#shuffled(spreadCallers(candidates, zone)).slice(0, MAX_ADDRESSES);
+    const named = this.#shuffle(spreadCallers(candidates, zone)).slice(0, MAX_ADDRESSES);
     // Callers may say anything: only zones that have gateways are counted and remembered.
-    const known = gateways.some((gateway) => gateway.zone === zone) ? zone : undefined;
-    for (const gateway of named) this.#context.metrics.named(gateway.zone, known);
-    if (known !== undefined) this.#noteShortage(known, named);
+    const knownZone = gateways.some((gateway) => gateway.zone === zone) ? zone : undefined;
+    for (const gateway of named) this.#context.metrics.named(gateway.zone, knownZone);
+    if (knownZone !== undefined) this.#logOverflow(knownZone, named);
     return named.map(({ address }) => address);
   }
 
-  #drawAnew(): void {
+  #expireDraws(): void {
     const nowMs = this.#context.clock.monotonicMs();
-    if (nowMs - this.#drawnAtMs < DRAW_MS) return;
+    if (nowMs - this.#drawnAtMs < DRAW_LIFETIME_MS) return;
     this.#drawnAtMs = nowMs;
     this.#draws.clear();
   }
@@ -52,7 +52,7 @@
     return known;
   }
 
-  #shuffled(candidates: GatewayCandidate[]): GatewayCandidate[] {
+  #shuffle(candidates: GatewayCandidate[]): GatewayCandidate[] {
     for (let index = candidates.length - 1; index > 0; index -= 1) {
       const other = this.#context.random.below(index + 1);
       const moved = candidates[index] as GatewayCandidate;
@@ -62,15 +62,15 @@
     return candidates;
   }
 
-  #noteShortage(zone: string, named: readonly GatewayCandidate[]): void {
-    const guests = named.filter((gateway) => gateway.zone !== zone).length;
-    const isShort = guests > 0;
-    if (isShort === this.#shortZones.has(zone)) return;
-    if (isShort) this.#shortZones.add(zone);
-    else this.#shortZones.delete(zone);
-    const text = isShort
+  #logOverflow(zone: string, named: readonly GatewayCandidate[]): void {
+    const otherZoneCount = named.filter((gateway) => gateway.zone !== zone).length;
+    const isOverflowing = otherZoneCount > 0;
+    if (isOverflowing === this.#overflowZones.has(zone)) return;
+    if (isOverflowing) this.#overflowZones.add(zone);
+    else this.#overflowZones.delete(zone);
+    const text = isOverflowing
       ? "callers are told of gateways of other zones"
       : "callers are told of their own zone";
-    this.#context.log.info({ zone, named: named.length, ofOtherZones: guests }, text);
+    this.#context.log.info({ zone, named: named.length, ofOtherZones: otherZoneCount }, text);
   }
 }
--- a/src/gateway/members/digest-sender.ts
+++ b/src/gateway/members/digest-sender.ts
@@ -8,16 +8,16 @@
 import { ReportTotals } from "../../scheduling/runner-board/report-totals.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { GatewayMessage, MemberDigest } from "../gateway-messages.ts";
-import { DigestLog } from "./digest-log.ts";
 import type { HeartbeatPlan } from "./heartbeat-targets.ts";
-import { loadSourceOf } from "./load-source.ts";
 import type { Member } from "./member.ts";
+import { MemberDeltaTracker } from "./member-delta-tracker.ts";
 import type { MemberView } from "./member-view.ts";
+import { zoneLoadSource } from "./zone-load-source.ts";
 
 /** A relay passes changes on after this time, in ms, together with those that come meanwhile. */
-const FORWARD_MS = 20;
+const FORWARD_DELAY_MS = 20;
 /** The same by the number of receivers, in ms, so that many changes at once do not keep a relay busy. */
-const FORWARD_MS_PER_RECEIVER = 1;
+const FORWARD_DELAY_PER_RECEIVER_MS = 1;
 
 /** See the module's comment. */
 export class DigestSender {
@@ -26,13 +26,13 @@
   readonly #view: MemberView;
   readonly #sumLoads: (sources: readonly string[]) => NodeReport;
   /** What each receiver was told. */
-  readonly #log = new DigestLog();
+  readonly #deltas = new MemberDeltaTracker();
   /** The members of this zone, and all that may be named in it, as digests last told of them. */
   #zoneMembers: readonly Member[] = [];
-  #firsthandMembers: readonly Member[] = [];
-  #isForwarding = false;
+  #relayableMembers: readonly Member[] = [];
+  #isForwardingScheduled = false;
   /** How many gateways the last digests went to. */
-  #receivers = 0;
+  #receiverCount = 0;
 
   /** @param sumLoads sums the loads that were last given for some sources */
   constructor(
@@ -49,36 +49,36 @@
 
   /** A receiver has to be told everything again. */
   reset(address: string): void {
-    this.#log.reset(address);
+    this.#deltas.reset(address);
   }
 
   /** Sends what is news to each receiver, and the loads. */
   send(plan: HeartbeatPlan): void {
     const { zoneDigestsTo, fullDigestsTo } = plan;
-    this.#receivers = zoneDigestsTo.length + fullDigestsTo.length;
-    if (this.#receivers === 0) return;
+    this.#receiverCount = zoneDigestsTo.length + fullDigestsTo.length;
+    if (this.#receiverCount === 0) return;
     const { zone } = this.#context.settings;
-    const heard = this.#heard();
-    const ofZone = this.#ofZone(heard);
-    const zoneLoad = this.#zoneLoad(ofZone, plan);
-    this.#lookForNews(ofZone);
+    const heard = this.#heardMembers();
+    const zoneMembers = this.#inOwnZone(heard);
+    const zoneLoad = this.#zoneLoad(zoneMembers, plan);
+    this.#refreshMemberLists(zoneMembers);
     for (const address of zoneDigestsTo) this.#sendDigest(address, this.#zoneMembers, [[zone, zoneLoad]]);
     if (fullDigestsTo.length === 0) return;
     const otherLoads = this.#otherZoneLoads(heard);
     for (const address of fullDigestsTo) {
       const load = ReportTotals.difference(zoneLoad, this.#loadOf(address));
-      this.#sendDigest(address, this.#firsthandMembers, [[zone, load], ...otherLoads]);
+      this.#sendDigest(address, this.#relayableMembers, [[zone, load], ...otherLoads]);
     }
   }
 
   /** Tells others of a change before the next heartbeat. */
-  sendNewsSoon(plan: () => HeartbeatPlan): void {
-    if (this.#isForwarding) return;
-    this.#isForwarding = true;
-    const forwardMs = Math.max(FORWARD_MS, this.#receivers * FORWARD_MS_PER_RECEIVER);
-    this.#context.clock.schedule(forwardMs, () => {
-      this.#isForwarding = false;
-      this.#sendNews(plan());
+  scheduleChanges(plan: () => HeartbeatPlan): void {
+    if (this.#isForwardingScheduled) return;
+    this.#isForwardingScheduled = true;
+    const delayMs = Math.max(FORWARD_DELAY_MS, this.#receiverCount * FORWARD_DELAY_PER_RECEIVER_MS);
+    this.#context.clock.schedule(delayMs, () => {
+      this.#isForwardingScheduled = false;
+      this.#sendChanges(plan());
     });
   }
 
@@ -87,47 +87,49 @@
    * heartbeat. While 64 gateways with 116 runners restart one after the other, each receives 46 KB a second in place of 85
    * (measured in the test of rolling restarts).
    */
-  #sendNews({ zoneDigestsTo, fullDigestsTo }: HeartbeatPlan): void {
-    this.#receivers = zoneDigestsTo.length + fullDigestsTo.length;
-    if (this.#receivers === 0) return;
-    this.#lookForNews(this.#ofZone(this.#heard()));
-    for (const address of zoneDigestsTo) this.#sendNewsTo(address, this.#zoneMembers);
-    for (const address of fullDigestsTo) this.#sendNewsTo(address, this.#firsthandMembers);
+  #sendChanges({ zoneDigestsTo, fullDigestsTo }: HeartbeatPlan): void {
+    this.#receiverCount = zoneDigestsTo.length + fullDigestsTo.length;
+    if (this.#receiverCount === 0) return;
+    this.#refreshMemberLists(this.#inOwnZone(this.#heardMembers()));
+    for (const address of zoneDigestsTo) this.#sendChangesTo(address, this.#zoneMembers);
+    for (const address of fullDigestsTo) this.#sendChangesTo(address, this.#relayableMembers);
   }
 
-  #heard(): Member[] {
+  #heardMembers(): Member[] {
     return this.#view.alive().filter(({ address }) => this.#view.isHeard(address));
   }
 
-  #ofZone(members: readonly Member[]): Member[] {
+  #inOwnZone(members: readonly Member[]): Member[] {
     const { zone } = this.#context.settings;
     return members.filter(({ status }) => status.zone === zone);
   }
 
   /** The lists that digests tell of: the same arrays as before, unless something has changed. */
-  #lookForNews(ofZone: readonly Member[]): void {
-    this.#zoneMembers = sameList(this.#zoneMembers, ofZone);
-    this.#firsthandMembers = sameList(this.#firsthandMembers, this.#view.firsthand());
+  #refreshMemberLists(zoneMembers: readonly Member[]): void {
+    this.#zoneMembers = reuseIfEqual(this.#zoneMembers, zoneMembers);
+    this.#relayableMembers = reuseIfEqual(this.#relayableMembers, this.#view.relayable());
   }
 
-  #sendNewsTo(address: string, heard: readonly Member[]): void {
-    if (!this.#log.knows(address, heard)) this.#sendDigest(address, heard, []);
+  #sendChangesTo(address: string, heard: readonly Member[]): void {
+    if (!this.#deltas.isUpToDate(address, heard)) this.#sendDigest(address, heard, []);
   }
 
   #sendDigest(address: string, heard: readonly Member[], loads: MemberDigest["loads"]): void {
-    this.#transport.send(address, { type: "memberDigest", ...this.#log.news(address, heard), loads });
+    this.#transport.send(address, { type: "memberDigest", ...this.#deltas.nextDelta(address, heard), loads });
   }
 
   /** Loads of this zone but of those that tell theirs to the receivers of digests themselves: relays. */
-  #zoneLoad(ofZone: readonly Member[], plan: HeartbeatPlan): NodeReport {
-    const digested = new Set(plan.fullDigestsTo);
-    const told = new Set(plan.heartbeatsTo.filter((address) => !digested.has(address)));
-    const sources = ofZone.filter(({ address }) => !told.has(address)).map(({ instance }) => instance);
+  #zoneLoad(zoneMembers: readonly Member[], plan: HeartbeatPlan): NodeReport {
+    const digestReceivers = new Set(plan.fullDigestsTo);
+    const heartbeatReceivers = new Set(plan.heartbeatsTo.filter((address) => !digestReceivers.has(address)));
+    const sources = zoneMembers
+      .filter(({ address }) => !heartbeatReceivers.has(address))
+      .map(({ instance }) => instance);
     return this.#sumLoads(sources);
   }
 
   #loadOf(address: string): NodeReport {
-    const member = this.#view.at(address);
+    const member = this.#view.memberAt(address);
     return member ? this.#sumLoads([member.instance]) : EMPTY_REPORT;
   }
 
@@ -137,13 +139,13 @@
     zones.delete(this.#context.settings.zone);
     return [...zones].map((zone) => {
       const relays = heard.filter(({ status }) => status.zone === zone);
-      return [zone, this.#sumLoads([loadSourceOf(zone), ...relays.map(({ instance }) => instance)])];
+      return [zone, this.#sumLoads([zoneLoadSource(zone), ...relays.map(({ instance }) => instance)])];
     });
   }
 }
 
 /** The earlier list, if it names the same members: whoever was told of it need not be told again. */
-function sameList(earlier: readonly Member[], now: readonly Member[]): readonly Member[] {
+function reuseIfEqual(earlier: readonly Member[], now: readonly Member[]): readonly Member[] {
   const isSame = earlier.length === now.length && now.every((member, index) => member === earlier[index]);
   return isSame ? earlier : now;
 }
--- a/src/gateway/members/headroom-watch.ts
+++ b/src/gateway/members/headroom-monitor.ts
@@ -8,17 +8,17 @@
 import { roundedShare } from "../telemetry/rounded-share.ts";
 import { ProcessPressure } from "./process-pressure.ts";
 
-const LOOK_MS = 500;
+const SAMPLE_INTERVAL_MS = 500;
 /** Longest time between two looks of a process that runs, if slowly, in ms. */
-const STANDSTILL_MS = 1_500;
+const MAX_SAMPLE_GAP_MS = 1_500;
 
 /** See the module's comment. */
-export class HeadroomWatch {
+export class HeadroomMonitor {
   readonly #context: GatewayContext;
   readonly #callsInProgress: () => number;
   readonly #pressure = new ProcessPressure();
   readonly #control = new HeadroomControl();
-  readonly #standstill = new Standstill(STANDSTILL_MS);
+  readonly #pauseDetector = new Standstill(MAX_SAMPLE_GAP_MS);
   #stop: () => void = () => undefined;
 
   constructor(context: GatewayContext, callsInProgress: () => number) {
@@ -32,23 +32,23 @@
   }
 
   start(): void {
-    this.#stop = repeat(this.#context.clock, LOOK_MS, () => this.#look());
+    this.#stop = repeat(this.#context.clock, SAMPLE_INTERVAL_MS, () => this.#sample());
   }
 
   stop(): void {
     this.#stop();
   }
 
-  #look(): void {
+  #sample(): void {
     const nowMs = this.#context.clock.monotonicMs();
-    const stoodStill = this.#standstill.look(nowMs);
-    const pressure = { ...this.#pressure.look(this.#callsInProgress()), stoodStill };
+    const stoodStill = this.#pauseDetector.look(nowMs);
+    const pressure = { ...this.#pressure.sample(this.#callsInProgress()), stoodStill };
     const before = this.headroom;
     this.#control.look(pressure, nowMs);
-    if (this.headroom !== before) this.#note(pressure);
+    if (this.headroom !== before) this.#logChange(pressure);
   }
 
-  #note({ busy, memory, calls, stoodStill }: GatewayPressure): void {
+  #logChange({ busy, memory, calls, stoodStill }: GatewayPressure): void {
     const shares = { busy: roundedShare(busy), memory: roundedShare(memory), calls: roundedShare(calls) };
     this.#context.log.info({ headroom: this.headroom, ...shares, stoodStill }, "headroom changed");
   }
--- a/src/gateway/members/heartbeat-plan.ts
+++ b/src/gateway/members/heartbeat-plan.ts
@@ -14,23 +14,23 @@
 export function planHeartbeats({ self, others, isHeard, directMost }: HeartbeatPlanInput): HeartbeatPlan {
   if (others.length + 1 <= directMost) {
     const heartbeatsTo = others.map(({ address }) => address);
-    return { relayed: false, relay: false, heartbeatsTo, zoneDigestsTo: [], fullDigestsTo: [] };
+    return { usesRelays: false, isRelay: false, heartbeatsTo, zoneDigestsTo: [], fullDigestsTo: [] };
   }
   const relays = selectRelays([self, ...others], RELAYS_PER_ZONE);
   const zoneRelays = new Set(relays.get(self.zone) ?? []);
-  const relay = zoneRelays.delete(self.address);
+  const isRelay = zoneRelays.delete(self.address);
   const zonePeers = others.filter(({ zone, address }) => zone === self.zone && !zoneRelays.has(address));
   const allRelays = new Set([...relays.values()].flat());
   // A relay of another zone that speaks to one that is none has just started, and does not know the other relays yet.
-  const isToldElsewhere = ({ address, zone }: RelayCandidate) =>
-    allRelays.has(address) && (relay || zone === self.zone);
+  const needsNoFullDigest = ({ address, zone }: RelayCandidate) =>
+    allRelays.has(address) && (isRelay || zone === self.zone);
   const fullDigestsTo = others
-    .filter((other) => isHeard(other.address) && !isToldElsewhere(other))
+    .filter((other) => isHeard(other.address) && !needsNoFullDigest(other))
     .map(({ address }) => address);
-  if (!relay) {
-    return { relayed: true, relay, heartbeatsTo: [...zoneRelays], zoneDigestsTo: [], fullDigestsTo };
+  if (!isRelay) {
+    return { usesRelays: true, isRelay, heartbeatsTo: [...zoneRelays], zoneDigestsTo: [], fullDigestsTo };
   }
   const zoneDigestsTo = [...relays].flatMap(([zone, addresses]) => (zone === self.zone ? [] : addresses));
   const heartbeatsTo = [...zoneRelays, ...zonePeers.map(({ address }) => address), ...zoneDigestsTo];
-  return { relayed: true, relay, heartbeatsTo, zoneDigestsTo, fullDigestsTo };
+  return { usesRelays: true, isRelay, heartbeatsTo, zoneDigestsTo, fullDigestsTo };
 }
--- a/src/gateway/members/heartbeat-targets.ts
+++ b/src/gateway/members/heartbeat-targets.ts
@@ -1,9 +1,9 @@
 /** Where heartbeats and digests go; addresses. */
 export interface HeartbeatPlan {
   /** Whether heartbeats travel by relays. */
-  readonly relayed: boolean;
+  readonly usesRelays: boolean;
   /** Whether this gateway is a relay. */
-  readonly relay: boolean;
+  readonly isRelay: boolean;
   readonly heartbeatsTo: readonly string[];
   /** Relays of other zones: they are told of this zone. */
   readonly zoneDigestsTo: readonly string[];
--- a/src/gateway/members/instance-name.ts
+++ b/src/gateway/members/instance-name.ts
@@ -2,6 +2,6 @@
 const SEPARATOR = "#";
 
 /** The machine of an incarnation. */
-export function nameOf(instance: string): string {
+export function gatewayNameOf(instance: string): string {
   return instance.split(SEPARATOR, 1)[0] ?? instance;
 }
--- a/src/gateway/members/member-directory.ts
+++ b/src/gateway/members/member-directory.ts
@@ -20,33 +20,33 @@
 } from "../gateway-messages.ts";
 import type { StoreRelay } from "../store/relayed-row-store.ts";
 import type { StoreHealth } from "../store-health.ts";
-import { CallerDirectory, type NamedGateway } from "./caller-directory.ts";
+import { CallerDirectory, type ReadyGateway } from "./caller-directory.ts";
 import { DigestSender } from "./digest-sender.ts";
 import { DigestSequences } from "./digest-sequences.ts";
 import type { DispatcherCandidate } from "./dispatcher-candidate.ts";
 import { planHeartbeats } from "./heartbeat-plan.ts";
 import type { HeartbeatPlan } from "./heartbeat-targets.ts";
-import { nameOf } from "./instance-name.ts";
-import { loadSourceOf } from "./load-source.ts";
+import { gatewayNameOf } from "./instance-name.ts";
+import { isSameStatus } from "./is-same-status.ts";
 import type { Member } from "./member.ts";
 import { MemberView } from "./member-view.ts";
-import { knowsPart } from "./protocol-part.ts";
+import { supportsFeature } from "./protocol-feature.ts";
 import { PROTOCOL_VERSION } from "./protocol-version.ts";
-import { sameStatus } from "./same-status.ts";
+import { zoneLoadSource } from "./zone-load-source.ts";
 
 /** Heartbeats to addresses where nobody is alive are sent only every so many times. */
-const PROBE_EVERY = 4;
+const TICKS_PER_PROBE = 4;
 /** Known addresses travel with every so many heartbeats. */
-const PEERS_EVERY = 8;
+const TICKS_PER_PEER_LIST = 8;
 /**
  * So often after its start a gateway sends heartbeats to the seeds as well: they hear of every start, and tell it of all
  * others before it knows the relays of its zone.
  */
-const SEEDED_TICKS = 6;
+const SEED_CONTACT_TICKS = 6;
 /** Most addresses in one answer of the directory. */
 const MAX_ADDRESSES = 64;
 /** With fewer live gateways in a caller's zone than this, it is given all. */
-const MIN_IN_ZONE = 2;
+const MIN_ZONE_GATEWAYS = 2;
 
 /** What a gateway says of itself. */
 export interface SelfReport {
@@ -65,17 +65,17 @@
 export class MemberDirectory {
   readonly #context: GatewayContext;
   readonly #transport: MemberTransport;
-  readonly #health: StoreHealth;
+  readonly #storeHealth: StoreHealth;
   readonly #selfHash: number;
   readonly #startedMs: number;
   readonly #view: MemberView;
-  readonly #digests: DigestSender;
-  readonly #callers: CallerDirectory;
-  readonly #sequences = new DigestSequences();
-  readonly #known = new Set<string>();
+  readonly #digestSender: DigestSender;
+  readonly #callerDirectory: CallerDirectory;
+  readonly #digestSequences = new DigestSequences();
+  readonly #knownAddresses = new Set<string>();
   readonly #seeds: readonly string[];
   /** Addresses where nothing listens. */
-  readonly #refusing = new Set<string>();
+  readonly #refusingAddresses = new Set<string>();
   #lastStatus: MemberStatus | undefined;
   #ticks = 0;
   #stop: () => void = () => undefined;
@@ -98,10 +98,10 @@
   constructor(context: GatewayContext, transport: MemberTransport, health: StoreHealth) {
     this.#context = context;
     this.#transport = transport;
-    this.#health = health;
+    this.#storeHealth = health;
     this.#view = new MemberView(context, {
       onChanged: () => {
-        if (this.#ticks > 0) this.#digests.sendNewsSoon(() => this.#plan());
+        if (this.#ticks > 0) this.#digestSender.scheduleChanges(() => this.#plan());
       },
       onLost: (member) => {
         this.#transport.disconnect(member.address);
@@ -109,16 +109,18 @@
       },
     });
     this.#startedMs = context.clock.monotonicMs();
-    this.#callers = new CallerDirectory(context);
-    this.#digests = new DigestSender(context, transport, this.#view, (sources) => this.sumLoads(sources));
+    this.#callerDirectory = new CallerDirectory(context);
+    this.#digestSender = new DigestSender(context, transport, this.#view, (sources) =>
+      this.sumLoads(sources),
+    );
     this.#selfHash = context.hash.hash32(context.settings.name);
     this.#seeds = context.settings.seeds.filter((seed) => seed !== transport.self.address);
-    this.knowAll(this.#seeds);
+    this.addKnownAddresses(this.#seeds);
   }
 
   /** Addresses of gateways that were heard of. */
-  get known(): readonly string[] {
-    return [...this.#known];
+  get knownAddresses(): readonly string[] {
+    return [...this.#knownAddresses];
   }
 
   start(): void {
@@ -134,10 +136,10 @@
    * Remembers addresses. While few gateways are known, this one makes itself known there at once; where they are many,
    * digests say more about them in fewer messages.
    */
-  knowAll(addresses: readonly string[]): void {
+  addKnownAddresses(addresses: readonly string[]): void {
     const added = addresses.filter((address) => this.#remember(address));
     const { directMost } = this.#context.settings.membership;
-    if (this.#ticks === 0 || this.#known.size >= directMost) return;
+    if (this.#ticks === 0 || this.#knownAddresses.size >= directMost) return;
     for (const address of added)
       this.#transport.send(address, this.#heartbeat(address, this.selfReport(), true));
   }
@@ -145,27 +147,27 @@
   /** Sends heartbeats and digests now, and detects peers that have timed out. */
   tick(): void {
     this.#ticks += 1;
-    for (const address of this.#view.look()) this.#forget(address);
+    for (const address of this.#view.detectTimeouts()) this.#forget(address);
     const plan = this.#plan();
     const targets = new Set(plan.heartbeatsTo);
-    if (this.#looksForSeeds) for (const seed of this.#seeds) targets.add(seed);
-    if (this.#ticks % PROBE_EVERY === 1)
+    if (this.#contactsSeeds) for (const seed of this.#seeds) targets.add(seed);
+    if (this.#ticks % TICKS_PER_PROBE === 1)
       for (const address of this.#addressesToProbe(plan)) targets.add(address);
     const report = this.selfReport();
     for (const address of targets) this.#transport.send(address, this.#heartbeat(address, report));
-    this.#digests.send(plan);
-    this.#repeatRelayed();
+    this.#digestSender.send(plan);
+    this.#notifyRelayedMembers();
   }
 
   /** Handles a heartbeat. */
   onHeartbeat(heartbeat: Heartbeat, from: Sender): void {
     const { address, instance } = from;
     if (address === this.#transport.self.address) return;
-    this.#refusing.delete(address);
-    const isNew = this.#view.at(address)?.instance !== instance;
-    const member = this.#view.heard(address, instance, statusOf(heartbeat));
-    this.knowAll([address, ...heartbeat.peers]);
-    if (isNew || heartbeat.missedDigest) this.#digests.reset(address);
+    this.#refusingAddresses.delete(address);
+    const isNew = this.#view.memberAt(address)?.instance !== instance;
+    const member = this.#view.recordHeartbeat(address, instance, statusOf(heartbeat));
+    this.addKnownAddresses([address, ...heartbeat.peers]);
+    if (isNew || heartbeat.missedDigest) this.#digestSender.reset(address);
     if (isNew) {
       this.#transport.send(address, this.#heartbeat(address, this.selfReport(), true));
     }
@@ -175,29 +177,29 @@
 
   /** Handles a relay's digest. */
   onDigest(digest: MemberDigest, from: Sender): void {
-    if (!this.#sequences.accept(from.address, digest)) return;
+    if (!this.#digestSequences.accept(from.address, digest)) return;
     const self = this.#transport.self.address;
     const changed = digest.changed.filter(({ address }) => address !== self);
     for (const { address } of changed) this.#remember(address);
-    for (const member of this.#view.relayed(from.address, { ...digest, changed })) this.onHeard(member);
-    for (const [zone, report] of digest.loads) this.onLoads(loadSourceOf(zone), report);
+    for (const member of this.#view.applyDigest(from.address, { ...digest, changed })) this.onHeard(member);
+    for (const [zone, report] of digest.loads) this.onLoads(zoneLoadSource(zone), report);
   }
 
   /** The connection to an address has ended. */
   onDisconnected(address: string, reason: DisconnectReason): void {
-    this.#digests.reset(address);
+    this.#digestSender.reset(address);
     if (reason === "refused") {
-      this.#refusing.add(address);
-      this.#view.refused(address);
-    } else if (reason === "unanswered" && this.#looksForSeeds && this.#seeds.includes(address)) {
+      this.#refusingAddresses.add(address);
+      this.#view.recordRefusedConnection(address);
+    } else if (reason === "unanswered" && this.#contactsSeeds && this.#seeds.includes(address)) {
       // Its machine may be starting like this one: what it tells of all others is worth asking again before the next tick.
       this.#transport.send(address, this.#heartbeat(address, this.selfReport()));
     }
   }
 
   /** Whether connections to an address were refused, and nobody was heard from there since. */
-  refuses(address: string): boolean {
-    return this.#refusing.has(address);
+  refusesConnections(address: string): boolean {
+    return this.#refusingAddresses.has(address);
   }
 
   /** Addresses of the gateways that are alive. */
@@ -210,17 +212,17 @@
    * more is to be learned by waiting for others.
    */
   get hasSettled(): boolean {
-    if (this.#known.size === 0) return false;
-    return [...this.#known].every((address) => {
-      if (this.refuses(address)) return true;
-      const member = this.#view.at(address);
+    if (this.#knownAddresses.size === 0) return false;
+    return [...this.#knownAddresses].every((address) => {
+      if (this.refusesConnections(address)) return true;
+      const member = this.#view.memberAt(address);
       return member !== undefined && this.#view.isAlive(member) && member.status.state !== "starting";
     });
   }
 
   /** Whether at least half of the gateways that were heard of, this one included, are alive. */
   get hearsMost(): boolean {
-    return 2 * (this.#view.alive().length + 1) >= this.#known.size + 1;
+    return 2 * (this.#view.alive().length + 1) >= this.#knownAddresses.size + 1;
   }
 
   /**
@@ -228,8 +230,8 @@
    * address refuses connections, so that nothing runs there.
    */
   get reachedShare(): number {
-    const there = this.#known.size - this.#refusing.size + 1;
-    return Math.min(1, (this.#view.alive().length + 1) / Math.max(1, there));
+    const reachableCount = this.#knownAddresses.size - this.#refusingAddresses.size + 1;
+    return Math.min(1, (this.#view.alive().length + 1) / Math.max(1, reachableCount));
   }
 
   /**
@@ -237,10 +239,10 @@
    * undefined where that is not known.
    */
   endedByMs(instance: string): number | undefined {
-    const name = nameOf(instance);
+    const name = gatewayNameOf(instance);
     if (name === this.#context.settings.name)
       return instance === this.#context.instance ? undefined : this.#startedMs;
-    const successor = this.#view.named(name);
+    const successor = this.#view.aliveByName(name);
     return successor && successor.instance !== instance ? successor.heardSinceMs : undefined;
   }
 
@@ -252,7 +254,7 @@
   /** The address of a live incarnation. */
   addressOf(instance: string): string | undefined {
     if (instance === this.#context.instance) return this.#transport.self.address;
-    return this.#view.live(instance)?.address;
+    return this.#view.aliveIncarnation(instance)?.address;
   }
 
   /**
@@ -261,9 +263,11 @@
    * gateway has reached it for long enough: after an outage the others have not all noticed yet, or not yet said so.
    */
   mayOwn(instance: string): boolean {
-    const status = this.#view.live(instance)?.status;
+    const status = this.#view.aliveIncarnation(instance)?.status;
     if (status === undefined || status.state === "starting") return false;
-    return status.storeReachable || this.#health.reachableForMs < this.#context.settings.timing.storeSettleMs;
+    return (
+      status.storeReachable || this.#storeHealth.reachableForMs < this.#context.settings.timing.storeSettleMs
+    );
   }
 
   /** Live gateways whose own connections to the store work: those of this zone first, in an order that varies. */
@@ -292,7 +296,7 @@
   dispatcherCandidates(): DispatcherCandidate[] {
     const candidates = this.#view
       .alive()
-      .filter(({ status }) => status.state === "ready" && knowsPart(status, "places"))
+      .filter(({ status }) => status.state === "ready" && supportsFeature(status, "places"))
       .map(({ status, hash, instance, address }) => ({ name: status.name, hash, instance, address }));
     if (this.selfReport().state === "ready") candidates.push(this.#ownCandidate);
     return candidates;
@@ -306,13 +310,13 @@
   /** Addresses for a caller: live and ready gateways, those of its zone first, as the settings say. */
   callerAddresses(zone: string | undefined): string[] {
     const ready = this.#readyGateways();
-    if (this.#context.settings.balance.byHeadroom) return this.#callers.addresses(ready, zone);
+    if (this.#context.settings.balance.byHeadroom) return this.#callerDirectory.addresses(ready, zone);
     const near = ready.filter((gateway) => gateway.zone === zone);
-    const chosen = near.length >= MIN_IN_ZONE ? near : ready;
+    const chosen = near.length >= MIN_ZONE_GATEWAYS ? near : ready;
     return chosen.slice(0, MAX_ADDRESSES).map((gateway) => gateway.address);
   }
 
-  #readyGateways(): NamedGateway[] {
+  #readyGateways(): ReadyGateway[] {
     const { settings, clock } = this.#context;
     const nowMs = clock.monotonicMs();
     const ready = this.#view
@@ -329,27 +333,27 @@
     return ready;
   }
 
-  get #looksForSeeds(): boolean {
-    return this.#ticks <= SEEDED_TICKS;
+  get #contactsSeeds(): boolean {
+    return this.#ticks <= SEED_CONTACT_TICKS;
   }
 
   /** Returns whether the address is another gateway's and was not known. */
   #remember(address: string): boolean {
-    if (address === this.#transport.self.address || this.#known.has(address)) return false;
-    this.#known.add(address);
+    if (address === this.#transport.self.address || this.#knownAddresses.has(address)) return false;
+    this.#knownAddresses.add(address);
     return true;
   }
 
   /** Digests name only what has changed; listeners hear of every gateway again and again, as with heartbeats. */
-  #repeatRelayed(): void {
+  #notifyRelayedMembers(): void {
     for (const member of this.#view.alive()) if (!this.#view.isHeard(member.address)) this.onHeard(member);
   }
 
   #forget(address: string): void {
-    this.#refusing.delete(address);
-    this.#known.delete(address);
-    this.#sequences.forget(address);
-    this.#digests.reset(address);
+    this.#refusingAddresses.delete(address);
+    this.#knownAddresses.delete(address);
+    this.#digestSequences.forget(address);
+    this.#digestSender.reset(address);
   }
 
   #plan(): HeartbeatPlan {
@@ -372,33 +376,37 @@
 
   #looksForOthers(plan: HeartbeatPlan): boolean {
     const isIsolated = !plan.heartbeatsTo.some((address) => this.#view.isHeard(address));
-    return !plan.relayed || plan.relay || isIsolated;
+    return !plan.usesRelays || plan.isRelay || isIsolated;
   }
 
   #addressesToProbe(plan: HeartbeatPlan): string[] {
     if (!this.#looksForOthers(plan)) return [];
-    return [...this.#known].filter((address) => {
-      const member = this.#view.at(address);
+    return [...this.#knownAddresses].filter((address) => {
+      const member = this.#view.memberAt(address);
       return !member || !this.#view.isAlive(member);
     });
   }
 
   #status({ state, storeDirect, owned, headroom }: SelfReport): MemberStatus {
     const { name, zone, listen } = this.#context.settings;
-    const changing = { state, storeReachable: this.#health.reachable, storeDirect, owned };
+    const changing = { state, storeReachable: this.#storeHealth.reachable, storeDirect, owned };
     const last = this.#lastStatus;
-    if (last && sameStatus(last, changing) && last.headroom === headroom) return last;
+    if (last && isSameStatus(last, changing) && last.headroom === headroom) return last;
     const revision = (last?.revision ?? 0) + 1;
     const fixed = { name, zone, callerAddress: listen.callers, protocol: PROTOCOL_VERSION };
-    const told = headroom === undefined ? {} : { headroom };
-    this.#lastStatus = { revision, ...fixed, ...changing, ...told };
+    const headroomField = headroom === undefined ? {} : { headroom };
+    this.#lastStatus = { revision, ...fixed, ...changing, ...headroomField };
     return this.#lastStatus;
   }
 
-  #heartbeat(receiver: string, report: SelfReport, withPeers = this.#ticks % PEERS_EVERY === 1): Heartbeat {
+  #heartbeat(
+    receiver: string,
+    report: SelfReport,
+    withPeers = this.#ticks % TICKS_PER_PEER_LIST === 1,
+  ): Heartbeat {
     const { runners } = report;
-    const peers = withPeers ? [...this.#known] : [];
-    const missedDigest = this.#sequences.missed(receiver);
+    const peers = withPeers ? [...this.#knownAddresses] : [];
+    const missedDigest = this.#digestSequences.hasMissedDigest(receiver);
     return { type: "heartbeat", ...this.#status(report), runners, peers, missedDigest };
   }
 }
--- a/src/gateway/members/member-registry.ts
+++ b/src/gateway/members/member-registry.ts
@@ -11,12 +11,12 @@
 import type { MemberDirectory } from "./member-directory.ts";
 
 const TABLE = "gateways";
-const RETRY_MS = 250;
-const READ_MS = 5_000;
+const RETRY_DELAY_MS = 250;
+const READ_INTERVAL_MS = 5_000;
 /** A live gateway writes its row again this often, in ms. */
-const REFRESH_MS = 60_000;
+const REFRESH_INTERVAL_MS = 60_000;
 /** Rows older than this are of machines that are gone. */
-const STALE_MS = 3 * REFRESH_MS;
+const STALE_AFTER_MS = 3 * REFRESH_INTERVAL_MS;
 
 interface GatewayRow {
   readonly address: string;
@@ -28,14 +28,14 @@
   readonly #context: GatewayContext;
   readonly #members: MemberDirectory;
   readonly #address: string;
-  readonly #unreadable: UnreadableRows;
+  readonly #unreadableRows: UnreadableRows;
   #stopped = false;
 
   constructor(context: GatewayContext, members: MemberDirectory, address: string) {
     this.#context = context;
     this.#members = members;
     this.#address = address;
-    this.#unreadable = new UnreadableRows(context, TABLE);
+    this.#unreadableRows = new UnreadableRows(context, TABLE);
   }
 
   start(): void {
@@ -51,10 +51,10 @@
     let registeredMs = Number.NEGATIVE_INFINITY;
     while (!this.#stopped) {
       const nowMs = clock.monotonicMs();
-      if (nowMs - registeredMs >= REFRESH_MS && (await this.#register())) registeredMs = nowMs;
+      if (nowMs - registeredMs >= REFRESH_INTERVAL_MS && (await this.#register())) registeredMs = nowMs;
       // The rows grow with the gateways: were all to read them all the time, the store's traffic would with their square.
       const read = this.#members.looksForOthers ? await this.#readOthers() : true;
-      await delay(clock, read ? READ_MS : RETRY_MS);
+      await delay(clock, read ? READ_INTERVAL_MS : RETRY_DELAY_MS);
     }
   }
 
@@ -75,15 +75,15 @@
     const rows = outcome.rows.map(({ key, value }) => this.#decode(key, value));
     const live = rows
       .filter((row) => row !== undefined)
-      .filter(({ writtenWallMs }) => nowMs - writtenWallMs < STALE_MS);
-    this.#members.knowAll(live.map(({ address }) => address));
+      .filter(({ writtenWallMs }) => nowMs - writtenWallMs < STALE_AFTER_MS);
+    this.#members.addKnownAddresses(live.map(({ address }) => address));
     return true;
   }
 
   #decode(key: string, value: Buffer): GatewayRow | undefined {
     const { address, writtenWallMs } = decodeRecord(value) ?? {};
     if (isAddress(address) && typeof writtenWallMs === "number") return { address, writtenWallMs };
-    this.#unreadable.note(key);
+    this.#unreadableRows.note(key);
     return undefined;
   }
 }
--- a/src/gateway/members/member-view.ts
+++ b/src/gateway/members/member-view.ts
@@ -6,9 +6,9 @@
 import type { GatewayContext } from "../gateway-context.ts";
 import type { MemberDigest, MemberStatus } from "../gateway-messages.ts";
 import { Standstill } from "../standstill.ts";
+import { isSameStatus } from "./is-same-status.ts";
 import type { Member } from "./member.ts";
-import { sameStatus } from "./same-status.ts";
-import { type RelayVouchers, Vouchers } from "./vouchers.ts";
+import { type RelayEvidence, RelayedLiveness } from "./relayed-liveness.ts";
 
 /** Told of what changes. */
 export interface MemberViewListener {
@@ -31,22 +31,22 @@
   readonly #context: GatewayContext;
   readonly #listener: MemberViewListener;
   readonly #liveness: PeerLiveness;
-  readonly #vouchers: Vouchers;
+  readonly #relayedLiveness: RelayedLiveness;
   /** By address. */
   readonly #members = new Map<string, Member>();
   /** Incarnations that are no longer alive, and since when (monotonic clock, ms). */
-  readonly #lost = new Map<string, number>();
-  readonly #standstill: Standstill;
+  readonly #lostAtMs = new Map<string, number>();
+  readonly #pauseDetector: Standstill;
   /** Who is alive, until something withdraws or adds evidence of a life, or a piece of evidence grows old. */
-  #aliveNow: AliveMembers | undefined;
+  #aliveCache: AliveMembers | undefined;
 
   constructor(context: GatewayContext, listener: MemberViewListener) {
     const { suspectMs } = context.settings.timing;
     this.#context = context;
     this.#listener = listener;
-    this.#standstill = new Standstill(suspectMs);
+    this.#pauseDetector = new Standstill(suspectMs);
     this.#liveness = new PeerLiveness(suspectMs);
-    this.#vouchers = new Vouchers(suspectMs);
+    this.#relayedLiveness = new RelayedLiveness(suspectMs);
   }
 
   /** Gateways that were heard of and are not forgotten. */
@@ -55,7 +55,7 @@
   }
 
   /** The gateway that was last heard of at an address. */
-  at(address: string): Member | undefined {
+  memberAt(address: string): Member | undefined {
     return this.#members.get(address);
   }
 
@@ -65,12 +65,12 @@
   }
 
   /** An incarnation, if it is alive. */
-  live(instance: string): Member | undefined {
+  aliveIncarnation(instance: string): Member | undefined {
     return this.#alive.byInstance.get(instance);
   }
 
   /** The gateway that is alive under a name. */
-  named(name: string): Member | undefined {
+  aliveByName(name: string): Member | undefined {
     return this.#alive.members.find(({ status }) => status.name === name);
   }
 
@@ -88,9 +88,9 @@
    * The gateways that may be named to others of the zone: heard here, or by a relay of another zone. Two gateways of one
    * zone that take each other for no relay would otherwise name a dead one to each other for ever.
    */
-  firsthand(): Member[] {
+  relayable(): Member[] {
     const { zone } = this.#context.settings;
-    const relays = this.#vouchers.current(this.#nowMs).filter(({ relay }) => {
+    const relays = this.#relayedLiveness.validEvidence(this.#nowMs).filter(({ relay }) => {
       return this.isHeard(relay) && this.#members.get(relay)?.status.zone !== zone;
     });
     return this.alive().filter(({ address, instance }) => {
@@ -99,48 +99,49 @@
   }
 
   /** Records a heartbeat. */
-  heard(address: string, instance: string, status: MemberStatus): Member {
+  recordHeartbeat(address: string, instance: string, status: MemberStatus): Member {
     const member = this.#remember(address, instance, status);
-    if (!this.isHeard(address)) this.#aliveNow = undefined;
+    if (!this.isHeard(address)) this.#aliveCache = undefined;
     this.#liveness.recordHeartbeat(address, this.#nowMs);
     return member;
   }
 
   /** Applies a relay's digest; returns the gateways that it mentions. */
-  relayed(relay: string, digest: MemberDigest): Member[] {
-    const isNews = digest.whole || digest.changed.length > 0 || digest.lost.length > 0;
-    if (isNews || !this.#vouchers.counts(relay, this.#nowMs)) this.#aliveNow = undefined;
-    const withdraws = digest.lost.length > 0 || (digest.whole && this.#vouchers.knows(relay));
-    if (digest.whole) this.#vouchers.clear(relay);
-    this.#vouchers.refresh(relay, this.#nowMs);
+  applyDigest(relay: string, digest: MemberDigest): Member[] {
+    const hasChanges = digest.whole || digest.changed.length > 0 || digest.lost.length > 0;
+    if (hasChanges || !this.#relayedLiveness.isValid(relay, this.#nowMs)) this.#aliveCache = undefined;
+    const isWithdrawal =
+      digest.lost.length > 0 || (digest.whole && this.#relayedLiveness.hasDigestFrom(relay));
+    if (digest.whole) this.#relayedLiveness.clear(relay);
+    this.#relayedLiveness.recordDigest(relay, this.#nowMs);
     const members: Member[] = [];
     for (const { address, instance, status } of digest.changed) {
-      this.#vouchers.add(relay, instance);
+      this.#relayedLiveness.add(relay, instance);
       const known = this.#members.get(address);
       // Which of two incarnations is the newer one, only the gateway itself can say.
       if (known && known.instance !== instance && this.isHeard(address)) continue;
       members.push(this.#remember(address, instance, status));
     }
-    for (const instance of digest.lost) this.#vouchers.remove(relay, instance);
-    if (withdraws) this.noticeSilence();
+    for (const instance of digest.lost) this.#relayedLiveness.remove(relay, instance);
+    if (isWithdrawal) this.reportLostMembers();
     return members;
   }
 
   /** Nobody listens at an address. */
-  refused(address: string): void {
+  recordRefusedConnection(address: string): void {
     this.#liveness.recordRefusedConnection(address);
-    this.#aliveNow = undefined;
-    this.noticeSilence();
+    this.#aliveCache = undefined;
+    this.reportLostMembers();
   }
 
   /** Detects gateways that have timed out; returns the addresses of those that are forgotten now. */
-  look(): string[] {
-    this.#noticePause();
-    this.noticeSilence();
+  detectTimeouts(): string[] {
+    this.#handleOwnPause();
+    this.reportLostMembers();
     const { forgetMs } = this.#context.settings.timing;
     const forgotten: string[] = [];
     for (const member of [...this.#members.values()]) {
-      const lostAtMs = this.#lost.get(member.instance);
+      const lostAtMs = this.#lostAtMs.get(member.instance);
       if (lostAtMs === undefined || this.#nowMs - lostAtMs < forgetMs) continue;
       this.#forget(member);
       forgotten.push(member.address);
@@ -149,9 +150,9 @@
   }
 
   /** Reports gateways that are no longer alive. */
-  noticeSilence(): void {
+  reportLostMembers(): void {
     for (const member of this.#members.values()) {
-      if (!this.#lost.has(member.instance) && !this.isAlive(member)) this.#lose(member);
+      if (!this.#lostAtMs.has(member.instance) && !this.isAlive(member)) this.#markLost(member);
     }
   }
 
@@ -161,12 +162,12 @@
 
   get #alive(): AliveMembers {
     const nowMs = this.#nowMs;
-    if (!this.#aliveNow || nowMs >= this.#aliveNow.untilMs) this.#aliveNow = this.#findAlive(nowMs);
-    return this.#aliveNow;
+    if (!this.#aliveCache || nowMs >= this.#aliveCache.untilMs) this.#aliveCache = this.#computeAlive(nowMs);
+    return this.#aliveCache;
   }
 
   /** Looks at every gateway once: those that are heard here, and those for whom a relay vouches that is heard here. */
-  #findAlive(nowMs: number): AliveMembers {
+  #computeAlive(nowMs: number): AliveMembers {
     const relays = this.#relaysByEvidence(nowMs);
     let untilMs = Number.POSITIVE_INFINITY;
     const byInstance = new Map<string, Member>();
@@ -182,8 +183,8 @@
   }
 
   /** Relays that are heard, and until when their digests count: those that count for longest first. */
-  #relaysByEvidence(nowMs: number): RelayVouchers[] {
-    const relays = this.#vouchers.current(nowMs).filter(({ relay }) => this.isHeard(relay));
+  #relaysByEvidence(nowMs: number): RelayEvidence[] {
+    const relays = this.#relayedLiveness.validEvidence(nowMs).filter(({ relay }) => this.isHeard(relay));
     const evidence = relays.map(({ relay, instances, untilMs }) => {
       return { relay, instances, untilMs: Math.min(untilMs, this.#liveness.aliveUntilMs(relay)) };
     });
@@ -191,55 +192,55 @@
   }
 
   /** Until when what is known now shows that a gateway is alive; not after `nowMs` when nothing does. */
-  #evidenceUntilMs({ address, instance }: Member, relays: readonly RelayVouchers[], nowMs: number): number {
+  #evidenceUntilMs({ address, instance }: Member, relays: readonly RelayEvidence[], nowMs: number): number {
     const heardUntilMs = this.#liveness.aliveUntilMs(address);
     if (heardUntilMs > nowMs) return heardUntilMs;
     const best = relays.find(({ instances }) => instances.has(instance));
     return best?.untilMs ?? Number.NEGATIVE_INFINITY;
   }
 
-  #remember(address: string, instance: string, told: MemberStatus): Member {
+  #remember(address: string, instance: string, received: MemberStatus): Member {
     const earlier = this.#members.get(address);
     const isNew = earlier?.instance !== instance;
-    if (earlier && isNew) this.#lose(earlier);
-    const status = earlier && !isNew ? withProtocol(told, earlier.status) : told;
+    if (earlier && isNew) this.#markLost(earlier);
+    const status = earlier && !isNew ? withProtocol(received, earlier.status) : received;
     const isNewer = !earlier || isNew || earlier.status.revision < status.revision;
     const unchanged = !isNewer && earlier.status.protocol === status.protocol;
     const hash = earlier && !isNew ? earlier.hash : this.#context.hash.hash32(status.name);
     const heardSinceMs = earlier && !isNew ? earlier.heardSinceMs : this.#nowMs;
     const member = unchanged ? earlier : { address, instance, heardSinceMs, hash, status };
     if (isNew) this.#context.log.info({ peer: status.name, instance, address }, "peer heard");
-    const isBack = this.#lost.delete(instance);
+    const hasReturned = this.#lostAtMs.delete(instance);
     this.#members.set(address, member);
-    if (!unchanged || isBack) this.#aliveNow = undefined;
-    const isUrgent = isBack || isNew || !earlier || !sameStatus(earlier.status, member.status);
+    if (!unchanged || hasReturned) this.#aliveCache = undefined;
+    const isUrgent = hasReturned || isNew || !earlier || !isSameStatus(earlier.status, member.status);
     if (isUrgent) this.#listener.onChanged();
     return member;
   }
 
   /** This process stood still: what others sent meanwhile is still to be read. */
-  #noticePause(): void {
+  #handleOwnPause(): void {
     const nowMs = this.#nowMs;
-    if (!this.#standstill.look(nowMs)) return;
-    this.#aliveNow = undefined;
+    if (!this.#pauseDetector.look(nowMs)) return;
+    this.#aliveCache = undefined;
     this.#liveness.recordOwnPause(nowMs);
-    this.#vouchers.resume(nowMs);
+    this.#relayedLiveness.recordOwnPause(nowMs);
   }
 
-  #lose(member: Member): void {
-    if (this.#lost.has(member.instance)) return;
-    this.#lost.set(member.instance, this.#nowMs);
+  #markLost(member: Member): void {
+    if (this.#lostAtMs.has(member.instance)) return;
+    this.#lostAtMs.set(member.instance, this.#nowMs);
     this.#context.log.info({ peer: member.status.name, instance: member.instance }, "peer lost");
     this.#listener.onChanged();
     this.#listener.onLost(member);
   }
 
   #forget({ address, instance }: Member): void {
-    this.#aliveNow = undefined;
-    this.#vouchers.clear(address);
+    this.#aliveCache = undefined;
+    this.#relayedLiveness.clear(address);
     this.#liveness.forget(address);
     this.#members.delete(address);
-    this.#lost.delete(instance);
+    this.#lostAtMs.delete(instance);
   }
 }
 
--- a/src/gateway/members/process-pressure.ts
+++ b/src/gateway/members/process-pressure.ts
@@ -4,28 +4,29 @@
 import type { GatewayPressure } from "../../scheduling/caller-spread/gateway-pressure.ts";
 
 /** Memory that a call in progress may need, in bytes: its request and history, and what a slow reader leaves unread. */
-const CALL_BYTES = 262_144;
+const MEMORY_PER_CALL_BYTES = 262_144;
 /** Memory that a gateway without calls uses, in bytes. */
-const IDLE_BYTES = 75_000_000;
+const IDLE_MEMORY_BYTES = 75_000_000;
 /** How often the memory in use is read, in looks: it changes slowly, and reading it takes system calls. */
-const MEMORY_EVERY = 4;
+const SAMPLES_PER_MEMORY_READ = 4;
 
 /** See the module's comment. */
 export class ProcessPressure {
   readonly #limitBytes = memoryLimitBytes();
   #utilization: EventLoopUtilization = performance.eventLoopUtilization();
   #memory = 0;
-  #looks = 0;
+  #samples = 0;
 
   /** Since the look before. */
-  look(callsInProgress: number): Omit<GatewayPressure, "stoodStill"> {
+  sample(callsInProgress: number): Omit<GatewayPressure, "stoodStill"> {
     const before = this.#utilization;
     this.#utilization = performance.eventLoopUtilization();
     const { utilization } = performance.eventLoopUtilization(this.#utilization, before);
-    if (this.#looks % MEMORY_EVERY === 0) this.#memory = process.memoryUsage.rss() / this.#limitBytes;
-    this.#looks += 1;
-    const mostCalls = Math.max(1, (this.#limitBytes - IDLE_BYTES) / CALL_BYTES);
-    return { busy: utilization, memory: this.#memory, calls: callsInProgress / mostCalls };
+    if (this.#samples % SAMPLES_PER_MEMORY_READ === 0)
+      this.#memory = process.memoryUsage.rss() / this.#limitBytes;
+    this.#samples += 1;
+    const maxCalls = Math.max(1, (this.#limitBytes - IDLE_MEMORY_BYTES) / MEMORY_PER_CALL_BYTES);
+    return { busy: utilization, memory: this.#memory, calls: callsInProgress / maxCalls };
   }
 }
 
--- a/src/gateway/members/vouchers.ts
+++ b/src/gateway/members/relayed-liveness.ts
@@ -1,5 +1,5 @@
 /** The gateways for which one relay vouches. */
-export interface RelayVouchers {
+export interface RelayEvidence {
   /** The relay's address. */
   readonly relay: string;
   /** Incarnations that it hears. */
@@ -12,25 +12,25 @@
  * Which relays vouch for which gateways: they say that they hear them. That counts for as long as a relay goes on sending
  * digests; one that has stopped being a relay withdraws nothing any more.
  */
-export class Vouchers {
-  readonly #validMs: number;
+export class RelayedLiveness {
+  readonly #validityMs: number;
   /** By the relay's address. */
   readonly #relays = new Map<string, RelayRecord>();
 
-  /** @param validMs how long a relay vouches after its last digest, in ms */
-  constructor(validMs: number) {
-    this.#validMs = validMs;
+  /** @param validityMs how long a relay vouches after its last digest, in ms */
+  constructor(validityMs: number) {
+    this.#validityMs = validityMs;
   }
 
   /** A digest of a relay came. */
-  refresh(relay: string, nowMs: number): void {
+  recordDigest(relay: string, nowMs: number): void {
     const record = this.#relays.get(relay);
     if (record) record.digestAtMs = nowMs;
     else this.#relays.set(relay, { digestAtMs: nowMs, instances: new Set() });
   }
 
   /** This process was paused: what relays sent meanwhile is still to be read. */
-  resume(nowMs: number): void {
+  recordOwnPause(nowMs: number): void {
     for (const record of this.#relays.values()) record.digestAtMs = nowMs;
   }
 
@@ -50,24 +50,24 @@
   }
 
   /** Whether a digest of the relay has come yet. */
-  knows(relay: string): boolean {
+  hasDigestFrom(relay: string): boolean {
     return this.#relays.has(relay);
   }
 
   /** Whether what a relay vouches for counts now. */
-  counts(relay: string, nowMs: number): boolean {
+  isValid(relay: string, nowMs: number): boolean {
     const record = this.#relays.get(relay);
-    return record !== undefined && nowMs - record.digestAtMs < this.#validMs;
+    return record !== undefined && nowMs - record.digestAtMs < this.#validityMs;
   }
 
   /** The relays whose digests count now. */
-  current(nowMs: number): RelayVouchers[] {
-    const current: RelayVouchers[] = [];
+  validEvidence(nowMs: number): RelayEvidence[] {
+    const evidence: RelayEvidence[] = [];
     for (const [relay, { digestAtMs, instances }] of this.#relays) {
-      const untilMs = digestAtMs + this.#validMs;
-      if (nowMs < untilMs) current.push({ relay, instances, untilMs });
+      const untilMs = digestAtMs + this.#validityMs;
+      if (nowMs < untilMs) evidence.push({ relay, instances, untilMs });
     }
-    return current;
+    return evidence;
   }
 }
 
--- a/src/gateway/members/load-source.ts
+++ b/src/gateway/members/zone-load-source.ts
@@ -1,4 +1,4 @@
 /** Under which name the loads of a zone are known. */
-export function loadSourceOf(zone: string): string {
+export function zoneLoadSource(zone: string): string {
   return `zone ${zone}`;
 }
--- a/test/contract/balance-messages.test.ts
+++ b/test/contract/balance-messages.test.ts
@@ -13,7 +13,7 @@
 
 const SETTLE_MS = 6_000;
 /** A heartbeat to the relay, its digest to the relay of another zone, and that one's: each after half a second at most. */
-const TOLD_MS = 2_000;
+const PROPAGATION_MS = 2_000;
 const COUNT = 24;
 
 describe("messages of balance", () => {
@@ -36,7 +36,7 @@
         board.timed(fast, { ...seen, workMs: 50 }, process.monotonicMs());
         board.timed(slow, { ...seen, workMs: 150 }, process.monotonicMs());
       }
-      await fleet.time.runUntil(SETTLE_MS + TOLD_MS);
+      await fleet.time.runUntil(SETTLE_MS + PROPAGATION_MS);
       for (const { board, process } of fleet.members) {
         const choice = { pool: "p", zone: "zone-0", excluded: new Set<RunnerId>(), preferred: undefined };
         const now = { ...choice, nowMs: process.monotonicMs(), sample: 0.5 };
@@ -49,15 +49,15 @@
       const balance = { headroomOf: (index: number) => (index === 0 && isFull ? 0 : 4) };
       let isFull = false;
       const fleet = new MemberFleet(hash, COUNT, directMost, DEFAULT_ZONES, balance);
-      const namedBy = () =>
+      const listedBy = () =>
         fleet.members.filter(({ directory }) =>
           directory.callerAddresses("zone-0").includes(fleetAddress(0)),
         );
       await fleet.time.runUntil(SETTLE_MS);
-      expect(namedBy().length).toEqual(COUNT);
+      expect(listedBy().length).toEqual(COUNT);
       isFull = true;
-      await fleet.time.runUntil(SETTLE_MS + TOLD_MS);
-      expect(namedBy().length).toEqual(0);
+      await fleet.time.runUntil(SETTLE_MS + PROPAGATION_MS);
+      expect(listedBy().length).toEqual(0);
     });
   }
 
@@ -72,7 +72,7 @@
       for (second = 1; second <= 10; second += 1) await fleet.time.runUntil(SETTLE_MS + 1_000 * second);
       messages.push(fleet.messages);
     }
-    const [still = 0, changing = 0] = messages;
-    expect(changing <= 1.01 * still).toEqual(true);
+    const [unchanged = 0, changing = 0] = messages;
+    expect(changing <= 1.01 * unchanged).toEqual(true);
   });
 });
--- a/test/contract/builds-side-by-side.test.ts
+++ b/test/contract/builds-side-by-side.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import type { MemberDigest, MemberStatus } from "../../src/gateway/gateway-messages.ts";
 import { MemberView } from "../../src/gateway/members/member-view.ts";
-import { knowsPart } from "../../src/gateway/members/protocol-part.ts";
+import { supportsFeature } from "../../src/gateway/members/protocol-feature.ts";
 import type { RpcRequest, RpcResponse } from "../../src/messages/rpc-messages.ts";
 import { SystemClock } from "../../src/runtime/clock.ts";
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
@@ -42,28 +42,28 @@
 describe("protocol parts", () => {
   it("are known from the version on with which they came, and to nobody that says none", () => {
     const known = [statusOf(1), statusOf(1, 0), statusOf(1, 1), statusOf(1, 9)];
-    expect(known.map((status) => knowsPart(status, "places"))).toEqual([false, false, true, true]);
+    expect(known.map((status) => supportsFeature(status, "places"))).toEqual([false, false, true, true]);
   });
 
   it("stay known when a relay of an earlier build drops the version, whoever speaks first", async () => {
     const context = await gatewayContext("gateway", "127.0.0.1:1");
-    const told: readonly (readonly [MemberStatus, number])[] = [
+    const messages: readonly (readonly [MemberStatus, number])[] = [
       [statusOf(1), 1],
       [statusOf(1, 1), 1],
       [statusOf(2), 2],
       [statusOf(1), 2],
     ];
     const view = new MemberView(context, { onChanged: () => undefined, onLost: () => undefined });
-    for (const [index, [status, revision]] of told.entries()) {
-      view.relayed(RELAY, digestOf(status));
-      const seen = view.at(PEER)?.status;
+    for (const [index, [status, revision]] of messages.entries()) {
+      view.applyDigest(RELAY, digestOf(status));
+      const seen = view.memberAt(PEER)?.status;
       expect([seen?.revision, seen?.protocol]).toEqual([revision, index === 0 ? undefined : 1]);
     }
-    view.relayed(RELAY, {
+    view.applyDigest(RELAY, {
       ...digestOf(statusOf(1)),
       changed: [{ address: PEER, instance: "peer#2", status: statusOf(1) }],
     });
-    expect(view.at(PEER)?.status.protocol).toEqual(undefined);
+    expect(view.memberAt(PEER)?.status.protocol).toEqual(undefined);
   });
 });
 
--- a/test/contract/member-directory.test.ts
+++ b/test/contract/member-directory.test.ts
@@ -38,10 +38,10 @@
     it(`drops gateways that die, wherever they stand, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
-      for (let gone = 0; gone < Math.min(count - 2, 8); gone += 1) {
-        fleet.members[gone]?.process.kill();
+      for (let killed = 0; killed < Math.min(count - 2, 8); killed += 1) {
+        fleet.members[killed]?.process.kill();
         await fleet.time.runUntil(fleet.time.nowMs + DETECTION_MS);
-        expect(fleet.named()).toEqual([count - gone - 1, count - gone - 1]);
+        expect(fleet.named()).toEqual([count - killed - 1, count - killed - 1]);
       }
     });
 
@@ -112,10 +112,10 @@
     await fleet.time.runUntil(SETTLE_MS);
     fleet.members[3]?.process.kill();
     await fleet.time.runUntil(SETTLE_MS + FORGET_MS - 1_000);
-    expect(fleet.members[0]?.directory.known.includes(fleetAddress(3))).toEqual(true);
+    expect(fleet.members[0]?.directory.knownAddresses.includes(fleetAddress(3))).toEqual(true);
     await fleet.time.runUntil(SETTLE_MS + FORGET_MS + 10_000);
     for (const { directory } of fleet.alive())
-      expect(directory.known.includes(fleetAddress(3))).toEqual(false);
+      expect(directory.knownAddresses.includes(fleetAddress(3))).toEqual(false);
   });
 
   it("sends messages that grow with the gateways, not with their square", async () => {
@@ -152,8 +152,8 @@
   it("leaves the look for gateways that nobody hears to a few", async () => {
     const fleet = new MemberFleet(hash, 96, 24);
     await fleet.time.runUntil(SETTLE_MS);
-    const lookers = fleet.members.filter(({ directory }) => directory.looksForOthers);
-    expect(lookers.length).toEqual(2 * DEFAULT_ZONES);
+    const searching = fleet.members.filter(({ directory }) => directory.looksForOthers);
+    expect(searching.length).toEqual(2 * DEFAULT_ZONES);
     for (const { process } of fleet.members.slice(1)) process.kill();
     await fleet.time.runUntil(fleet.time.nowMs + DETECTION_MS);
     expect(fleet.members[0]?.directory.looksForOthers).toEqual(true);
@@ -173,7 +173,7 @@
     for (const { process } of fleet.members.slice(0, 3)) process.kill();
     const addresses = fleet.members.slice(3).map((_, index) => fleetAddress(index + 3));
     for (const { directory } of fleet.members.slice(3))
-      if (directory.looksForOthers) directory.knowAll(addresses);
+      if (directory.looksForOthers) directory.addKnownAddresses(addresses);
     await fleet.time.runUntil(2 * SETTLE_MS);
     for (const { directory } of fleet.members.slice(3)) expect(directory.aliveCount).toEqual(56);
   });
--- a/test/contract/rolling-restart.test.ts
+++ b/test/contract/rolling-restart.test.ts
@@ -18,7 +18,7 @@
  * Most bytes that a gateway receives of heartbeats and digests, in KB a second. Measured in this test: 84.6 while every
  * change was passed on with the loads at all runners, 46.1 since these come with heartbeats only.
  */
-const MOST_KB_PER_SECOND = 55;
+const MAX_KB_PER_SECOND = 55;
 
 describe("messages between gateways that restart one after the other", () => {
   let hash: TextHash;
@@ -59,7 +59,7 @@
     const bytes = [...fleet.bytes.values()].reduce((sum, count) => sum + count, 0);
     const seconds = (RESTARTS * RESTART_EVERY_MS) / 1_000;
     const kbPerSecond = bytes / 1_000 / GATEWAYS / seconds;
-    expect(kbPerSecond <= MOST_KB_PER_SECOND).toEqual(true);
+    expect(kbPerSecond <= MAX_KB_PER_SECOND).toEqual(true);
     // All are known to all again.
     await fleet.time.runUntil(SETTLE_MS + RESTARTS * RESTART_EVERY_MS + 3_000);
     expect(fleet.named()).toEqual([GATEWAYS, GATEWAYS]);
--- a/test/contract/spoilt-rows.test.ts
+++ b/test/contract/spoilt-rows.test.ts
@@ -120,7 +120,7 @@
     const known = new Set<string>();
     const directory = {
       looksForOthers: true,
-      knowAll: (all: string[]) => {
+      addKnownAddresses: (all: string[]) => {
         for (const address of all) known.add(address);
       },
     };
