--- a/src/gateway/members/caller-directory.ts
+++ b/src/gateway/members/caller-directory.ts
@@ -1,38 +1,47 @@
-/** Names gateways to callers by what they can take, and notes when callers are sent to other zones. */
+/**
+ * Selects the gateway addresses that callers receive, weighted by headroom. Logs when callers of a zone start or stop
+ * receiving gateways of other zones.
+ */
 import type { GatewayCandidate } from "../../scheduling/caller-spread/gateway-candidate.ts";
 import { spreadCallers } from "../../scheduling/caller-spread/spread-callers.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 
-/** Most addresses in one answer. */
+/** Maximum number of addresses per response. */
 const MAX_ADDRESSES = 64;
 /**
- * How long a draw holds, in ms. Callers leave connections to gateways that the next answer does not name: were the draws new
- * each time, they would open others all the time. Over many gateways that answer, the shares are right all the same.
+ * How long a gateway's random draw is reused, in ms. Callers close connections to gateways that are missing from the next
+ * response, so a new draw for each response would make them reconnect all the time. The shares are still right on average,
+ * because many gateways respond, each with its own draws.
  */
 const DRAW_LIFETIME_MS = 10_000;
 
-/** A gateway that may be named. */
+/** A ready gateway, before its random draw. */
 export type ReadyGateway = Omit<GatewayCandidate, "draw">;
 
-/** See the module's comment. */
+/** Selects gateway addresses for callers. */
 export class CallerDirectory {
   readonly #context: GatewayContext;
-  /** By address. */
+  /** Current draws, by gateway address. */
   readonly #draws = new Map<string, number>();
   #drawnAtMs = Number.NEGATIVE_INFINITY;
-  /** Zones whose callers were last told of gateways of other zones. */
+  /** Zones whose callers last received gateways of other zones. */
   readonly #overflowZones = new Set<string>();
 
   constructor(context: GatewayContext) {
     this.#context = context;
   }
 
-  /** Addresses for a caller, in random order. */
+  /**
+   * Returns addresses for a caller, in random order.
+   *
+   * @param gateways the gateways that are ready
+   * @param zone the caller's zone, as it states it
+   */
   addresses(gateways: readonly ReadyGateway[], zone: string | undefined): string[] {
     this.#expireDraws();
     const candidates = gateways.map((gateway) => ({ ...gateway, draw: this.#drawOf(gateway.address) }));
     const named = this.#shuffle(spreadCallers(candidates, zone)).slice(0, MAX_ADDRESSES);
-    // Callers may say anything: only zones that have gateways are counted and remembered.
+    // A caller can send any zone name. Only zones that have gateways are counted and stored, so the set stays small.
     const knownZone = gateways.some((gateway) => gateway.zone === zone) ? zone : undefined;
     for (const gateway of named) this.#context.metrics.named(gateway.zone, knownZone);
     if (knownZone !== undefined) this.#logOverflow(knownZone, named);
--- a/src/gateway/members/digest-sender.ts
+++ b/src/gateway/members/digest-sender.ts
@@ -1,6 +1,6 @@
 /**
- * The digests of a relay: what it passes on of the gateways that it hears, to those of its zone, and to the relays of other
- * zones. Each receiver is told only what is news to it.
+ * Sends a relay's digests. A digest reports the gateways that the relay hears to the gateways of its zone and to the relays
+ * of other zones. Each receiver gets only the changes since its last digest.
  */
 import type { Transport } from "../../runtime/transport.ts";
 import { EMPTY_REPORT } from "../../scheduling/runner-board/empty-report.ts";
@@ -14,27 +14,31 @@
 import type { MemberView } from "./member-view.ts";
 import { zoneLoadSource } from "./zone-load-source.ts";
 
-/** A relay passes changes on after this time, in ms, together with those that come meanwhile. */
+/** Minimum delay before a relay forwards changes, in ms. Changes that arrive during the delay are sent together. */
 const FORWARD_DELAY_MS = 20;
-/** The same by the number of receivers, in ms, so that many changes at once do not keep a relay busy. */
+/**
+ * Delay per receiver, in ms. With many receivers it replaces the minimum, so that many changes at once don't overload a
+ * relay.
+ */
 const FORWARD_DELAY_PER_RECEIVER_MS = 1;
 
-/** See the module's comment. */
+/** Sends digests to the receivers that a heartbeat plan names. */
 export class DigestSender {
   readonly #context: GatewayContext;
   readonly #transport: Transport<GatewayMessage>;
   readonly #view: MemberView;
   readonly #sumLoads: (sources: readonly string[]) => NodeReport;
-  /** What each receiver was told. */
+  /** Tracks what each receiver was sent. */
   readonly #deltas = new MemberDeltaTracker();
-  /** The members of this zone, and all that may be named in it, as digests last told of them. */
+  /** The members of this zone that are heard directly, as of the last digests. */
   #zoneMembers: readonly Member[] = [];
+  /** The members that may be reported within this zone, as of the last digests. */
   #relayableMembers: readonly Member[] = [];
   #isForwardingScheduled = false;
-  /** How many gateways the last digests went to. */
+  /** Number of receivers of the last digests. */
   #receiverCount = 0;
 
-  /** @param sumLoads sums the loads that were last given for some sources */
+  /** @param sumLoads returns the sum of the loads that the given sources last reported */
   constructor(
     context: GatewayContext,
     transport: Transport<GatewayMessage>,
@@ -47,12 +51,12 @@
     this.#sumLoads = sumLoads;
   }
 
-  /** A receiver has to be told everything again. */
+  /** Makes the next digest to a receiver contain every member. */
   reset(address: string): void {
     this.#deltas.reset(address);
   }
 
-  /** Sends what is news to each receiver, and the loads. */
+  /** Sends each receiver its changes and the current loads. */
   send(plan: HeartbeatPlan): void {
     const { zoneDigestsTo, fullDigestsTo } = plan;
     this.#receiverCount = zoneDigestsTo.length + fullDigestsTo.length;
@@ -71,7 +75,7 @@
     }
   }
 
-  /** Tells others of a change before the next heartbeat. */
+  /** Schedules a digest of changes that is sent before the next heartbeat. */
   scheduleChanges(plan: () => HeartbeatPlan): void {
     if (this.#isForwardingScheduled) return;
     this.#isForwardingScheduled = true;
@@ -83,9 +87,9 @@
   }
 
   /**
-   * Passes changes on between heartbeats, to those for whom they are news, and without the loads: these come with the next
-   * heartbeat. While 64 gateways with 116 runners restart one after the other, each receives 46 KB a second in place of 85
-   * (measured in the test of rolling restarts).
+   * Sends changes between heartbeats, only to receivers that have not got them yet, and without the loads, which follow with
+   * the next heartbeat. In the test of rolling restarts (64 gateways, 116 runners), each gateway receives 46 KB per second
+   * this way, and 85 KB per second if the loads are included.
    */
   #sendChanges({ zoneDigestsTo, fullDigestsTo }: HeartbeatPlan): void {
     this.#receiverCount = zoneDigestsTo.length + fullDigestsTo.length;
@@ -104,7 +108,7 @@
     return members.filter(({ status }) => status.zone === zone);
   }
 
-  /** The lists that digests tell of: the same arrays as before, unless something has changed. */
+  /** Updates the member lists for digests. Keeps the previous arrays if nothing has changed. */
   #refreshMemberLists(zoneMembers: readonly Member[]): void {
     this.#zoneMembers = reuseIfEqual(this.#zoneMembers, zoneMembers);
     this.#relayableMembers = reuseIfEqual(this.#relayableMembers, this.#view.relayable());
@@ -118,7 +122,7 @@
     this.#transport.send(address, { type: "memberDigest", ...this.#deltas.nextDelta(address, heard), loads });
   }
 
-  /** Loads of this zone but of those that tell theirs to the receivers of digests themselves: relays. */
+  /** Sums the loads of this zone, except those of gateways that send their own loads to the receivers: its relays. */
   #zoneLoad(zoneMembers: readonly Member[], plan: HeartbeatPlan): NodeReport {
     const digestReceivers = new Set(plan.fullDigestsTo);
     const heartbeatReceivers = new Set(plan.heartbeatsTo.filter((address) => !digestReceivers.has(address)));
@@ -133,7 +137,7 @@
     return member ? this.#sumLoads([member.instance]) : EMPTY_REPORT;
   }
 
-  /** Loads of the other zones: what their relays say of them, and those of the relays themselves. */
+  /** Sums the loads of each other zone: those that its relays report, and those of the relays themselves. */
   #otherZoneLoads(heard: readonly Member[]): [string, NodeReport][] {
     const zones = new Set(this.#view.alive().map(({ status }) => status.zone));
     zones.delete(this.#context.settings.zone);
@@ -144,7 +148,7 @@
   }
 }
 
-/** The earlier list, if it names the same members: whoever was told of it need not be told again. */
+/** Returns the earlier list if both contain the same members, so that receivers of the earlier list count as up to date. */
 function reuseIfEqual(earlier: readonly Member[], now: readonly Member[]): readonly Member[] {
   const isSame = earlier.length === now.length && now.every((member, index) => member === earlier[index]);
   return isSame ? earlier : now;
--- a/src/gateway/members/digest-sequences.ts
+++ b/src/gateway/members/digest-sequences.ts
@@ -1,13 +1,14 @@
-/** Which digest of each relay is due next, so that a lost one is noticed. */
+/** Tracks the sequence numbers of each relay's digests to detect lost ones. */
 import type { MemberDigest } from "../gateway-messages.ts";
 
-/** See the module's comment. */
+/** Checks that digests arrive without gaps. */
 export class DigestSequences {
-  /** By the relay's address. */
+  /** The sequence number of the next digest, by the relay's address. */
   readonly #expected = new Map<string, number>();
+  /** Addresses of relays with a missing digest. */
   readonly #missed = new Set<string>();
 
-  /** Takes in a digest; false when one before it is missing, so that it cannot be used. */
+  /** Records a digest. Returns false if an earlier one is missing, in which case this one cannot be applied. */
   accept(relay: string, { sequence, whole }: MemberDigest): boolean {
     const isExpected = whole || this.#expected.get(relay) === sequence;
     if (isExpected) {
@@ -17,12 +18,12 @@
     return isExpected;
   }
 
-  /** Whether a digest of a relay is missing. */
+  /** Returns whether a digest of a relay is missing. */
   hasMissedDigest(relay: string): boolean {
     return this.#missed.has(relay);
   }
 
-  /** Forgets a relay. */
+  /** Removes a relay. */
   forget(relay: string): void {
     this.#expected.delete(relay);
     this.#missed.delete(relay);
--- a/src/gateway/members/headroom-monitor.ts
+++ b/src/gateway/members/headroom-monitor.ts
@@ -1,4 +1,4 @@
-/** Looks at what this gateway can take, and notes each change of it. */
+/** Samples the load of this process, derives the gateway's headroom from it, and logs each change of the headroom. */
 import { repeat } from "../../runtime/clock.ts";
 import type { GatewayPressure } from "../../scheduling/caller-spread/gateway-pressure.ts";
 import type { Headroom } from "../../scheduling/caller-spread/headroom.ts";
@@ -9,10 +9,10 @@
 import { ProcessPressure } from "./process-pressure.ts";
 
 const SAMPLE_INTERVAL_MS = 500;
-/** Longest time between two looks of a process that runs, if slowly, in ms. */
+/** A longer time between two samples, in ms, means that the process was paused and did not just run slowly. */
 const MAX_SAMPLE_GAP_MS = 1_500;
 
-/** See the module's comment. */
+/** Keeps the gateway's headroom up to date. */
 export class HeadroomMonitor {
   readonly #context: GatewayContext;
   readonly #callsInProgress: () => number;
@@ -26,7 +26,7 @@
     this.#callsInProgress = callsInProgress;
   }
 
-  /** What this gateway can take. */
+  /** The current headroom: the part of its usual callers that this gateway can take, in steps. */
   get headroom(): Headroom {
     return this.#control.headroom;
   }
--- a/src/gateway/members/heartbeat-plan-input.ts
+++ b/src/gateway/members/heartbeat-plan-input.ts
@@ -1,12 +1,12 @@
 import type { RelayCandidate } from "../../coordination/relay-selection/index.ts";
 
-/** What a plan depends on. */
+/** Input for `planHeartbeats`. */
 export interface HeartbeatPlanInput {
   readonly self: RelayCandidate;
-  /** Other gateways that are alive. */
+  /** The other gateways that are alive. */
   readonly others: readonly RelayCandidate[];
-  /** Whether a gateway is heard itself, not only through relays. */
+  /** Returns whether heartbeats of a gateway arrive directly, not only through relays. */
   readonly isHeard: (address: string) => boolean;
-  /** Most gateways that send heartbeats to all others. */
+  /** Largest number of gateways for which each one sends heartbeats to all others. */
   readonly directMost: number;
 }
--- a/src/gateway/members/heartbeat-plan.ts
+++ b/src/gateway/members/heartbeat-plan.ts
@@ -1,16 +1,17 @@
 /**
- * To whom a gateway sends heartbeats and digests. Few gateways send heartbeats to all others. Many choose relays, some
- * per zone: a gateway sends its heartbeats to the relays of its zone; relays send theirs, with a digest, to each other
- * and to the gateways of their zone. Messages grow with the gateways, not with their square.
+ * Decides where a gateway sends heartbeats and digests. In a small cluster each gateway sends heartbeats to all others. In a
+ * large one each zone has a few relays. A gateway sends its heartbeats to the relays of its zone. Relays send heartbeats and
+ * digests to each other and to the gateways of their zone. The number of messages then grows linearly with the number of
+ * gateways, not quadratically.
  */
 import { type RelayCandidate, selectRelays } from "../../coordination/relay-selection/index.ts";
 import type { HeartbeatPlanInput } from "./heartbeat-plan-input.ts";
 import type { HeartbeatPlan } from "./heartbeat-targets.ts";
 
-/** Relays per zone: while one is lost, another one goes on. */
+/** Relays per zone. If one fails, the other continues. */
 const RELAYS_PER_ZONE = 2;
 
-/** See the module's comment. Pure. */
+/** Computes the receivers of this gateway's heartbeats and digests. Pure. */
 export function planHeartbeats({ self, others, isHeard, directMost }: HeartbeatPlanInput): HeartbeatPlan {
   if (others.length + 1 <= directMost) {
     const heartbeatsTo = others.map(({ address }) => address);
@@ -21,7 +22,8 @@
   const isRelay = zoneRelays.delete(self.address);
   const zonePeers = others.filter(({ zone, address }) => zone === self.zone && !zoneRelays.has(address));
   const allRelays = new Set([...relays.values()].flat());
-  // A relay of another zone that speaks to one that is none has just started, and does not know the other relays yet.
+  // A relay gets digests from the other relays. But a relay of another zone that sends heartbeats to a gateway that is no
+  // relay has just started and does not know the other relays yet, so it gets a full digest here.
   const needsNoFullDigest = ({ address, zone }: RelayCandidate) =>
     allRelays.has(address) && (isRelay || zone === self.zone);
   const fullDigestsTo = others
--- a/src/gateway/members/is-same-status.ts
+++ b/src/gateway/members/is-same-status.ts
@@ -1,9 +1,9 @@
 import type { MemberStatus } from "../gateway-messages.ts";
 
-/** What a gateway may say differently of itself from one moment to the next. */
+/** The fields of a gateway's status that can change while it runs, without its headroom. */
 export type MutableStatus = Pick<MemberStatus, "state" | "storeReachable" | "storeDirect" | "owned">;
 
-/** Whether a gateway says the same of itself as before, but for its headroom, which is no news that others wait for. */
+/** Returns whether two statuses of a gateway are equal. Ignores the headroom, whose changes are not urgent for others. */
 export function isSameStatus(left: MutableStatus, right: MutableStatus): boolean {
   return (
     left.state === right.state &&
--- a/src/gateway/members/member-delta-tracker.ts
+++ b/src/gateway/members/member-delta-tracker.ts
@@ -1,29 +1,29 @@
-/** What was passed on to each receiver of digests, so that a digest holds only what is news to it. */
+/** Tracks what each receiver of digests was last sent, so that a digest contains only the changes since then. */
 import type { MemberDigest, MemberStatus } from "../gateway-messages.ts";
 import type { Member } from "./member.ts";
 
-/** The part of a digest that speaks of gateways. */
+/** The membership changes of a digest. */
 export type MemberDelta = Pick<MemberDigest, "sequence" | "changed" | "lost" | "whole">;
 
 interface ReceiverState {
   sequence: number;
-  /** The list that it was last told of: while that is the same, there is no news. */
+  /** The list that was last sent. There are no changes while the caller passes the same array. */
   sentMembers: readonly Member[] | undefined;
-  /** What it was last told, by incarnation. */
+  /** The status last sent, by incarnation. */
   readonly sentStatuses: Map<string, MemberStatus>;
 }
 
 const EMPTY_DELTA = { changed: [], lost: [], whole: false };
 
-/** See the module's comment. */
+/** Computes the changes for each receiver of digests. */
 export class MemberDeltaTracker {
-  /** By address. */
+  /** By the receiver's address. */
   readonly #receivers = new Map<string, ReceiverState>();
 
   /**
-   * What to tell a receiver of the gateways that are heard now, itself left out; it counts as told from now on.
+   * Returns the changes to send to a receiver, without those of the receiver itself, and records them as sent.
    *
-   * @param members the same array as long as nothing about these gateways has changed
+   * @param members the gateways to report; the same array as long as nothing about them has changed
    */
   nextDelta(receiver: string, members: readonly Member[]): MemberDelta {
     const known = this.#receivers.get(receiver);
@@ -47,12 +47,12 @@
     return { sequence, changed: relayed, lost, whole: known === undefined };
   }
 
-  /** Whether a receiver was last told of this very list, so that there is no news for it. */
+  /** Returns whether this array was the last one sent to a receiver, so that there are no changes for it. */
   isUpToDate(receiver: string, members: readonly Member[]): boolean {
     return this.#receivers.get(receiver)?.sentMembers === members;
   }
 
-  /** A receiver may have missed something: it is told everything again. */
+  /** Discards a receiver's state because it may have missed a digest. Its next digest contains every member. */
   reset(receiver: string): void {
     this.#receivers.delete(receiver);
   }
--- a/src/gateway/members/member-directory.ts
+++ b/src/gateway/members/member-directory.ts
@@ -1,6 +1,7 @@
 /**
- * What gateways tell each other of themselves: heartbeats, and digests of relays (heartbeat-plan.ts). Answers who is
- * alive, who may own partitions, and whom callers may use. Addresses come from the settings, the store and others.
+ * Membership of the gateways. They exchange their status in heartbeats and in the digests of relays (see heartbeat-plan.ts).
+ * The directory tells which gateways are alive, which may own partitions, and which callers may use. It learns addresses
+ * from the settings, the store and other gateways.
  */
 
 import type { OwnerCandidate } from "../../coordination/partition-ownership/index.ts";
@@ -34,34 +35,36 @@
 import { PROTOCOL_VERSION } from "./protocol-version.ts";
 import { zoneLoadSource } from "./zone-load-source.ts";
 
-/** Heartbeats to addresses where nobody is alive are sent only every so many times. */
+/** Number of ticks between heartbeats to known addresses without a live gateway. */
 const TICKS_PER_PROBE = 4;
-/** Known addresses travel with every so many heartbeats. */
+/** Number of ticks between heartbeats that contain all known addresses. */
 const TICKS_PER_PEER_LIST = 8;
 /**
- * So often after its start a gateway sends heartbeats to the seeds as well: they hear of every start, and tell it of all
- * others before it knows the relays of its zone.
+ * Number of ticks after its start during which a gateway also sends heartbeats to the seeds. The seeds thus hear of every
+ * start, and report all other gateways to the new one before it knows the relays of its zone.
  */
 const SEED_CONTACT_TICKS = 6;
-/** Most addresses in one answer of the directory. */
+/** Maximum number of addresses per response to a caller. */
 const MAX_ADDRESSES = 64;
-/** With fewer live gateways in a caller's zone than this, it is given all. */
+/** With fewer ready gateways than this in its zone, a caller receives the gateways of all zones. */
 const MIN_ZONE_GATEWAYS = 2;
 
-/** What a gateway says of itself. */
+/** What a gateway reports about itself in its heartbeats. */
 export interface SelfReport {
   readonly state: GatewayState;
   /** Whether its own connections to the store work. */
   readonly storeDirect: boolean;
+  /** Partitions that it owns, with the epochs of its ownership. */
   readonly owned: readonly (readonly [number, number])[];
+  /** Its requests at runners. */
   readonly runners: NodeReport;
-  /** Left out where callers are told of all gateways alike. */
+  /** Undefined if callers are spread evenly over the gateways, without regard to headroom. */
   readonly headroom?: Headroom | undefined;
 }
 
 type MemberTransport = Transport<GatewayMessage> & { disconnect(address: string): void };
 
-/** See the module's comment. */
+/** Tracks the other gateways and exchanges heartbeats and digests with them. */
 export class MemberDirectory {
   readonly #context: GatewayContext;
   readonly #transport: MemberTransport;
@@ -74,25 +77,25 @@
   readonly #digestSequences = new DigestSequences();
   readonly #knownAddresses = new Set<string>();
   readonly #seeds: readonly string[];
-  /** Addresses where nothing listens. */
+  /** Addresses that refused a connection, because no process listens there. */
   readonly #refusingAddresses = new Set<string>();
   #lastStatus: MemberStatus | undefined;
   #ticks = 0;
   #stop: () => void = () => undefined;
-  /** What this gateway says of itself. */
+  /** Returns what this gateway reports about itself. */
   selfReport: () => SelfReport = () => ({
     state: "starting",
     storeDirect: false,
     owned: [],
     runners: EMPTY_REPORT,
   });
-  /** Called when a gateway was heard of. */
+  /** Called for each heartbeat and for each gateway that a relay reports; repeated on every tick for the latter. */
   onHeard: (member: Member) => void = () => undefined;
-  /** Called when a gateway that was alive is no longer. */
+  /** Called when a gateway is no longer alive. */
   onLost: (member: Member) => void = () => undefined;
-  /** Called with the requests at runners of a gateway, or of a zone. */
+  /** Called with the requests at runners that a gateway reports for itself, or a relay for a zone. */
   onLoads: (source: string, report: NodeReport) => void = () => undefined;
-  /** Sums the loads that were last given for some sources. */
+  /** Returns the sum of the loads that the given sources last reported. */
   sumLoads: (sources: readonly string[]) => NodeReport = () => EMPTY_REPORT;
 
   constructor(context: GatewayContext, transport: MemberTransport, health: StoreHealth) {
@@ -118,7 +121,7 @@
     this.addKnownAddresses(this.#seeds);
   }
 
-  /** Addresses of gateways that were heard of. */
+  /** Known addresses of other gateways, whether alive or not. */
   get knownAddresses(): readonly string[] {
     return [...this.#knownAddresses];
   }
@@ -133,8 +136,8 @@
   }
 
   /**
-   * Remembers addresses. While few gateways are known, this one makes itself known there at once; where they are many,
-   * digests say more about them in fewer messages.
+   * Adds addresses of gateways. While few gateways are known, sends a heartbeat to each new address at once. If there are
+   * many, digests carry the same information in fewer messages.
    */
   addKnownAddresses(addresses: readonly string[]): void {
     const added = addresses.filter((address) => this.#remember(address));
@@ -144,7 +147,7 @@
       this.#transport.send(address, this.#heartbeat(address, this.selfReport(), true));
   }
 
-  /** Sends heartbeats and digests now, and detects peers that have timed out. */
+  /** Sends heartbeats and digests now, and detects gateways that have timed out. */
   tick(): void {
     this.#ticks += 1;
     for (const address of this.#view.detectTimeouts()) this.#forget(address);
@@ -185,31 +188,31 @@
     for (const [zone, report] of digest.loads) this.onLoads(zoneLoadSource(zone), report);
   }
 
-  /** The connection to an address has ended. */
+  /** Handles the end of the connection to an address. */
   onDisconnected(address: string, reason: DisconnectReason): void {
     this.#digestSender.reset(address);
     if (reason === "refused") {
       this.#refusingAddresses.add(address);
       this.#view.recordRefusedConnection(address);
     } else if (reason === "unanswered" && this.#contactsSeeds && this.#seeds.includes(address)) {
-      // Its machine may be starting like this one: what it tells of all others is worth asking again before the next tick.
+      // The seed may be starting, too. Retry before the next tick, because a seed reports all other gateways.
       this.#transport.send(address, this.#heartbeat(address, this.selfReport()));
     }
   }
 
-  /** Whether connections to an address were refused, and nobody was heard from there since. */
+  /** Returns whether an address refused a connection and no heartbeat has arrived from it since. */
   refusesConnections(address: string): boolean {
     return this.#refusingAddresses.has(address);
   }
 
-  /** Addresses of the gateways that are alive. */
+  /** Returns the addresses of the other gateways that are alive. */
   liveAddresses(): string[] {
     return this.#view.alive().map(({ address }) => address);
   }
 
   /**
-   * Whether every address that is known has been heard from or refuses connections, and nobody is still starting: nothing
-   * more is to be learned by waiting for others.
+   * Whether every known address either has a live gateway that is no longer starting, or refuses connections. Waiting longer
+   * would then bring no new information. False while no address is known.
    */
   get hasSettled(): boolean {
     if (this.#knownAddresses.size === 0) return false;
@@ -220,14 +223,14 @@
     });
   }
 
-  /** Whether at least half of the gateways that were heard of, this one included, are alive. */
+  /** Whether at least half of the known gateways, including this one, are alive. */
   get hearsMost(): boolean {
     return 2 * (this.#view.alive().length + 1) >= this.#knownAddresses.size + 1;
   }
 
   /**
-   * Part of the gateways that this one reaches, itself among them: of those that were heard of, but for those whose
-   * address refuses connections, so that nothing runs there.
+   * Fraction of the known gateways, including this one, that are alive. Addresses that refuse connections are left out,
+   * because no gateway runs there.
    */
   get reachedShare(): number {
     const reachableCount = this.#knownAddresses.size - this.#refusingAddresses.size + 1;
@@ -235,8 +238,8 @@
   }
 
   /**
-   * By when the process of an incarnation had ended, since its machine runs another one, in ms of the monotonic clock;
-   * undefined where that is not known.
+   * Returns a time by which the process of an incarnation had ended, in ms of the monotonic clock: when another incarnation
+   * of the same gateway became known or, for this gateway, was started. Undefined if that is not known.
    */
   endedByMs(instance: string): number | undefined {
     const name = gatewayNameOf(instance);
@@ -246,21 +249,22 @@
     return successor && successor.instance !== instance ? successor.heardSinceMs : undefined;
   }
 
-  /** How many other gateways are alive. */
+  /** Number of other gateways that are alive. */
   get aliveCount(): number {
     return this.#view.alive().length;
   }
 
-  /** The address of a live incarnation. */
+  /** Returns the address of an incarnation, or undefined if it is not alive. */
   addressOf(instance: string): string | undefined {
     if (instance === this.#context.instance) return this.#transport.self.address;
     return this.#view.aliveIncarnation(instance)?.address;
   }
 
   /**
-   * Whether an incarnation is alive and may go on owning partitions. One that stops hands them over first: it says so by
-   * naming them no more, and what it hands over would be lost if somebody took them before. One that does not reach the store may, until this
-   * gateway has reached it for long enough: after an outage the others have not all noticed yet, or not yet said so.
+   * Returns whether an incarnation is alive and may keep its partitions. A stopping gateway keeps them until it has handed
+   * them over, which it shows by no longer listing them; what it hands over would be lost if another gateway took them
+   * before. A gateway that doesn't reach the store keeps them until this gateway has reached the store for long enough:
+   * after an outage, some gateways have not noticed or not yet reported that the store is back.
    */
   mayOwn(instance: string): boolean {
     const status = this.#view.aliveIncarnation(instance)?.status;
@@ -270,7 +274,7 @@
     );
   }
 
-  /** Live gateways whose own connections to the store work: those of this zone first, in an order that varies. */
+  /** Returns the live gateways whose own connections to the store work: this zone's first, rotated by a random offset. */
   storeRelays(): StoreRelay[] {
     const { random, settings } = this.#context;
     const direct = this.#view.alive().filter(({ status }) => status.storeDirect);
@@ -281,7 +285,7 @@
     return [...near, ...far].map(({ instance, address }) => ({ instance, address }));
   }
 
-  /** The gateways that may own partitions, this one included if it may. */
+  /** Returns the gateways that are eligible to own partitions, including this one if it is. */
   ownerCandidates(): OwnerCandidate[] {
     const candidates = this.#view
       .alive()
@@ -292,7 +296,10 @@
     return candidates;
   }
 
-  /** The gateways that may hand out places: the store is not needed for it, a build that knows of it is. */
+  /**
+   * Returns the gateways that are eligible as dispatchers of runners. A dispatcher doesn't need the store, but its build has
+   * to support places.
+   */
   dispatcherCandidates(): DispatcherCandidate[] {
     const candidates = this.#view
       .alive()
@@ -307,7 +314,7 @@
     return { name: settings.name, hash: this.#selfHash, instance, address: this.#transport.self.address };
   }
 
-  /** Addresses for a caller: live and ready gateways, those of its zone first, as the settings say. */
+  /** Returns addresses of ready gateways for a caller: spread by headroom if the settings say so, else by zone only. */
   callerAddresses(zone: string | undefined): string[] {
     const ready = this.#readyGateways();
     if (this.#context.settings.balance.byHeadroom) return this.#callerDirectory.addresses(ready, zone);
@@ -337,14 +344,17 @@
     return this.#ticks <= SEED_CONTACT_TICKS;
   }
 
-  /** Returns whether the address is another gateway's and was not known. */
+  /** Adds an address. Returns false if it was known or is this gateway's own. */
   #remember(address: string): boolean {
     if (address === this.#transport.self.address || this.#knownAddresses.has(address)) return false;
     this.#knownAddresses.add(address);
     return true;
   }
 
-  /** Digests name only what has changed; listeners hear of every gateway again and again, as with heartbeats. */
+  /**
+   * Calls onHeard for each gateway that is alive only through relays. Digests contain only changes, but listeners expect
+   * every gateway to be reported repeatedly, as with heartbeats.
+   */
   #notifyRelayedMembers(): void {
     for (const member of this.#view.alive()) if (!this.#view.isHeard(member.address)) this.onHeard(member);
   }
@@ -367,8 +377,8 @@
   }
 
   /**
-   * Whether this gateway looks for others that nobody hears. With relays, only they do, and those that no relay speaks
-   * to.
+   * Whether this gateway looks for gateways that no other one hears. If relays are in use, only the relays do so, and
+   * gateways that hear none of their heartbeat receivers.
    */
   get looksForOthers(): boolean {
     return this.#looksForOthers(this.#plan());
@@ -411,7 +421,7 @@
   }
 }
 
-/** Fields of newer builds are kept, so that relays of this build pass them on. */
+/** Extracts the status from a heartbeat. Keeps unknown fields of newer builds, so that relays of this build forward them. */
 function statusOf({ type, runners, peers, missedDigest, ...status }: Heartbeat): MemberStatus {
   return status;
 }
--- a/src/gateway/members/member-registry.ts
+++ b/src/gateway/members/member-registry.ts
@@ -1,6 +1,6 @@
 /**
- * Gateways in the store: each writes its address when it starts and reads those of the others, so that they find each
- * other when no seed is up. Nothing else depends on these rows.
+ * Registers this gateway's address in the store and reads the addresses of the others, so that gateways find each other
+ * when no seed is running. Nothing else depends on these rows.
  */
 import { encode } from "cbor-x";
 import { isAddress } from "../../ports/is-address.ts";
@@ -13,9 +13,9 @@
 const TABLE = "gateways";
 const RETRY_DELAY_MS = 250;
 const READ_INTERVAL_MS = 5_000;
-/** A live gateway writes its row again this often, in ms. */
+/** Interval at which a running gateway rewrites its row, in ms. */
 const REFRESH_INTERVAL_MS = 60_000;
-/** Rows older than this are of machines that are gone. */
+/** Age from which a row is ignored, in ms: its gateway no longer runs. */
 const STALE_AFTER_MS = 3 * REFRESH_INTERVAL_MS;
 
 interface GatewayRow {
@@ -23,7 +23,7 @@
   readonly writtenWallMs: number;
 }
 
-/** See the module's comment. */
+/** Keeps this gateway's row up to date and reads the rows of the others. */
 export class MemberRegistry {
   readonly #context: GatewayContext;
   readonly #members: MemberDirectory;
@@ -52,7 +52,7 @@
     while (!this.#stopped) {
       const nowMs = clock.monotonicMs();
       if (nowMs - registeredMs >= REFRESH_INTERVAL_MS && (await this.#register())) registeredMs = nowMs;
-      // The rows grow with the gateways: were all to read them all the time, the store's traffic would with their square.
+      // There is one row per gateway. If all gateways read all rows, the store's traffic would grow quadratically.
       const read = this.#members.looksForOthers ? await this.#readOthers() : true;
       await delay(clock, read ? READ_INTERVAL_MS : RETRY_DELAY_MS);
     }
--- a/src/gateway/members/member-view.ts
+++ b/src/gateway/members/member-view.ts
@@ -1,6 +1,6 @@
 /**
- * What this gateway believes of the others: who they are, who is alive, and what they last said of themselves. Life
- * comes from heartbeats, heard directly or through relays.
+ * This gateway's view of the other gateways: which ones exist, which are alive, and their latest status. A gateway is alive
+ * while its heartbeats arrive directly, or while a relay reports that it receives them.
  */
 import { PeerLiveness } from "../../coordination/liveness/index.ts";
 import type { GatewayContext } from "../gateway-context.ts";
@@ -10,34 +10,34 @@
 import type { Member } from "./member.ts";
 import { type RelayEvidence, RelayedLiveness } from "./relayed-liveness.ts";
 
-/** Told of what changes. */
+/** Receives changes of the view. */
 export interface MemberViewListener {
-  /** Something is new: a gateway, what one says of itself, or its loss. */
+  /** Called when a gateway is new, back or lost, or when its status has changed in more than its headroom. */
   onChanged(): void;
-  /** A gateway that was alive is no longer. */
+  /** Called when a gateway is no longer alive. */
   onLost(member: Member): void;
 }
 
-/** Who is alive, as of the evidence at one moment. */
+/** The gateways that are alive, by the evidence at one point in time. */
 interface AliveMembers {
   readonly members: readonly Member[];
   readonly byInstance: ReadonlyMap<string, Member>;
-  /** When the first piece of evidence grows old, in ms of the monotonic clock. */
+  /** When the first piece of evidence expires, in ms of the monotonic clock. */
   readonly untilMs: number;
 }
 
-/** See the module's comment. */
+/** Tracks the other gateways, their liveness and their status. */
 export class MemberView {
   readonly #context: GatewayContext;
   readonly #listener: MemberViewListener;
   readonly #liveness: PeerLiveness;
   readonly #relayedLiveness: RelayedLiveness;
-  /** By address. */
+  /** The latest incarnation at each address. */
   readonly #members = new Map<string, Member>();
   /** Incarnations that are no longer alive, and since when (monotonic clock, ms). */
   readonly #lostAtMs = new Map<string, number>();
   readonly #pauseDetector: Standstill;
-  /** Who is alive, until something withdraws or adds evidence of a life, or a piece of evidence grows old. */
+  /** The live gateways. Cleared when evidence is added or withdrawn, and recomputed when a piece of evidence expires. */
   #aliveCache: AliveMembers | undefined;
 
   constructor(context: GatewayContext, listener: MemberViewListener) {
@@ -49,44 +49,45 @@
     this.#relayedLiveness = new RelayedLiveness(suspectMs);
   }
 
-  /** Gateways that were heard of and are not forgotten. */
+  /** Number of known gateways, alive or lost, that are not forgotten. */
   get size(): number {
     return this.#members.size;
   }
 
-  /** The gateway that was last heard of at an address. */
+  /** Returns the latest known gateway at an address. */
   memberAt(address: string): Member | undefined {
     return this.#members.get(address);
   }
 
-  /** All that are alive. */
+  /** Returns all gateways that are alive. */
   alive(): readonly Member[] {
     return this.#alive.members;
   }
 
-  /** An incarnation, if it is alive. */
+  /** Returns an incarnation if it is alive. */
   aliveIncarnation(instance: string): Member | undefined {
     return this.#alive.byInstance.get(instance);
   }
 
-  /** The gateway that is alive under a name. */
+  /** Returns the live gateway with a name. */
   aliveByName(name: string): Member | undefined {
     return this.#alive.members.find(({ status }) => status.name === name);
   }
 
-  /** Whether a gateway is alive: heard here, or by a relay. */
+  /** Returns whether a gateway is alive: heard directly, or reported by a relay. */
   isAlive({ instance }: Member): boolean {
     return this.#alive.byInstance.has(instance);
   }
 
-  /** Whether a gateway is heard directly. */
+  /** Returns whether heartbeats of a gateway arrive directly. */
   isHeard(address: string): boolean {
     return this.#liveness.isAlive(address, this.#nowMs);
   }
 
   /**
-   * The gateways that may be named to others of the zone: heard here, or by a relay of another zone. Two gateways of one
-   * zone that take each other for no relay would otherwise name a dead one to each other for ever.
+   * Returns the gateways that digests may report to gateways of this zone: those heard directly, and those reported by a
+   * relay of another zone. Reports by relays of this zone are left out. Otherwise two gateways of the zone that both
+   * consider the other to be no relay could report a dead gateway to each other for ever.
    */
   relayable(): Member[] {
     const { zone } = this.#context.settings;
@@ -98,7 +99,7 @@
     });
   }
 
-  /** Records a heartbeat. */
+  /** Records a heartbeat; returns its sender. */
   recordHeartbeat(address: string, instance: string, status: MemberStatus): Member {
     const member = this.#remember(address, instance, status);
     if (!this.isHeard(address)) this.#aliveCache = undefined;
@@ -106,7 +107,7 @@
     return member;
   }
 
-  /** Applies a relay's digest; returns the gateways that it mentions. */
+  /** Applies a relay's digest; returns the gateways whose status it contains. */
   applyDigest(relay: string, digest: MemberDigest): Member[] {
     const hasChanges = digest.whole || digest.changed.length > 0 || digest.lost.length > 0;
     if (hasChanges || !this.#relayedLiveness.isValid(relay, this.#nowMs)) this.#aliveCache = undefined;
@@ -118,7 +119,7 @@
     for (const { address, instance, status } of digest.changed) {
       this.#relayedLiveness.add(relay, instance);
       const known = this.#members.get(address);
-      // Which of two incarnations is the newer one, only the gateway itself can say.
+      // Only the gateway itself can tell which of two incarnations is newer, so its own heartbeats take precedence.
       if (known && known.instance !== instance && this.isHeard(address)) continue;
       members.push(this.#remember(address, instance, status));
     }
@@ -127,14 +128,14 @@
     return members;
   }
 
-  /** Nobody listens at an address. */
+  /** Records that an address refused a connection, which means that no process listens there. */
   recordRefusedConnection(address: string): void {
     this.#liveness.recordRefusedConnection(address);
     this.#aliveCache = undefined;
     this.reportLostMembers();
   }
 
-  /** Detects gateways that have timed out; returns the addresses of those that are forgotten now. */
+  /** Detects gateways that have timed out; returns the addresses of those that were lost long ago and are removed now. */
   detectTimeouts(): string[] {
     this.#handleOwnPause();
     this.reportLostMembers();
@@ -149,7 +150,7 @@
     return forgotten;
   }
 
-  /** Reports gateways that are no longer alive. */
+  /** Reports gateways that are no longer alive to the listener. */
   reportLostMembers(): void {
     for (const member of this.#members.values()) {
       if (!this.#lostAtMs.has(member.instance) && !this.isAlive(member)) this.#markLost(member);
@@ -166,7 +167,9 @@
     return this.#aliveCache;
   }
 
-  /** Looks at every gateway once: those that are heard here, and those for whom a relay vouches that is heard here. */
+  /**
+   * Checks every gateway once. Alive are those heard directly, and those reported by a relay that is itself heard directly.
+   */
   #computeAlive(nowMs: number): AliveMembers {
     const relays = this.#relaysByEvidence(nowMs);
     let untilMs = Number.POSITIVE_INFINITY;
@@ -182,7 +185,7 @@
     return { members, byInstance, untilMs };
   }
 
-  /** Relays that are heard, and until when their digests count: those that count for longest first. */
+  /** Returns the relays that are heard directly and until when their reports are valid, the longest validity first. */
   #relaysByEvidence(nowMs: number): RelayEvidence[] {
     const relays = this.#relayedLiveness.validEvidence(nowMs).filter(({ relay }) => this.isHeard(relay));
     const evidence = relays.map(({ relay, instances, untilMs }) => {
@@ -191,7 +194,10 @@
     return evidence.sort((left, right) => right.untilMs - left.untilMs);
   }
 
-  /** Until when what is known now shows that a gateway is alive; not after `nowMs` when nothing does. */
+  /**
+   * Returns the time until which the current evidence shows that a gateway is alive. Not later than `nowMs` if there is no
+   * such evidence.
+   */
   #evidenceUntilMs({ address, instance }: Member, relays: readonly RelayEvidence[], nowMs: number): number {
     const heardUntilMs = this.#liveness.aliveUntilMs(address);
     if (heardUntilMs > nowMs) return heardUntilMs;
@@ -218,7 +224,7 @@
     return member;
   }
 
-  /** This process stood still: what others sent meanwhile is still to be read. */
+  /** Extends all deadlines if this process was paused, because messages that arrived meanwhile have not been read yet. */
   #handleOwnPause(): void {
     const nowMs = this.#nowMs;
     if (!this.#pauseDetector.look(nowMs)) return;
@@ -244,7 +250,10 @@
   }
 }
 
-/** A relay of an earlier build drops the version; it is the same for the life of an incarnation. */
+/**
+ * Returns the newer status, with the protocol version of either. A relay of an earlier build drops the version, which never
+ * changes within an incarnation.
+ */
 function withProtocol(status: MemberStatus, earlier: MemberStatus): MemberStatus {
   const newest = status.revision < earlier.revision ? earlier : status;
   const protocol = status.protocol ?? earlier.protocol;
--- a/src/gateway/members/member.ts
+++ b/src/gateway/members/member.ts
@@ -1,15 +1,15 @@
 import type { MemberStatus } from "../gateway-messages.ts";
 
-/** Another gateway, as it was last heard of. */
+/** Another gateway with its latest known status. */
 export interface Member {
-  /** Where other gateways reach it, IP:port. */
+  /** IP:port for connections of other gateways. */
   readonly address: string;
-  /** Unique per start of the process. */
+  /** Incarnation: unique for each start of the process. */
   readonly instance: string;
-  /** When this incarnation was first heard of, in ms of this gateway's monotonic clock. */
+  /** When this incarnation became known, in ms of this gateway's monotonic clock. */
   readonly heardSinceMs: number;
-  /** Hash of its name: the same on every gateway. */
+  /** Hash of its name, the same on every gateway. */
   readonly hash: number;
-  /** The same object for as long as the gateway says the same of itself. */
+  /** The same object as long as the gateway reports the same status. */
   readonly status: MemberStatus;
 }
--- a/src/gateway/members/process-pressure.ts
+++ b/src/gateway/members/process-pressure.ts
@@ -1,23 +1,24 @@
-/** How near this process is to what it can do. */
+/** Measures how close this process is to its limits of CPU time, memory and calls. */
 import { totalmem } from "node:os";
 import { type EventLoopUtilization, performance } from "node:perf_hooks";
 import type { GatewayPressure } from "../../scheduling/caller-spread/gateway-pressure.ts";
 
-/** Memory that a call in progress may need, in bytes: its request and history, and what a slow reader leaves unread. */
+/** Memory that a call in progress may need, in bytes: its request, its history, and output that a slow reader has not read. */
 const MEMORY_PER_CALL_BYTES = 262_144;
-/** Memory that a gateway without calls uses, in bytes. */
+/** Memory use of a gateway without calls, in bytes. */
 const IDLE_MEMORY_BYTES = 75_000_000;
-/** How often the memory in use is read, in looks: it changes slowly, and reading it takes system calls. */
+/** Number of samples per reading of the memory use, which changes slowly and takes system calls to read. */
 const SAMPLES_PER_MEMORY_READ = 4;
 
-/** See the module's comment. */
+/** Samples the pressure on this process. */
 export class ProcessPressure {
   readonly #limitBytes = memoryLimitBytes();
   #utilization: EventLoopUtilization = performance.eventLoopUtilization();
+  /** Memory in use as a fraction of the limit. */
   #memory = 0;
   #samples = 0;
 
-  /** Since the look before. */
+  /** Returns the pressure since the previous sample. */
   sample(callsInProgress: number): Omit<GatewayPressure, "stoodStill"> {
     const before = this.#utilization;
     this.#utilization = performance.eventLoopUtilization();
@@ -30,7 +31,7 @@
   }
 }
 
-/** That of the process's group where there is one, or of the machine. */
+/** Returns the memory limit of the process's control group if there is one, else the machine's memory. */
 function memoryLimitBytes(): number {
   const limit = process.constrainedMemory() ?? 0;
   return limit > 0 ? Math.min(limit, totalmem()) : totalmem();
--- a/src/gateway/members/protocol-feature.ts
+++ b/src/gateway/members/protocol-feature.ts
@@ -1,12 +1,12 @@
 import type { MemberStatus } from "../gateway-messages.ts";
 
-/** Parts of the protocol between gateways that not every build in service knows. */
+/** Features of the protocol between gateways that older builds in use may lack. */
 export type ProtocolFeature = "places";
 
-/** The version with which each part came. */
+/** The protocol version that introduced each feature. */
 const FIRST_VERSIONS: Record<ProtocolFeature, number> = { places: 1 };
 
-/** Whether a gateway knows a part; one that says no version is of a build that knows none of them. */
+/** Returns whether a gateway supports a feature. A gateway that reports no version supports none. */
 export function supportsFeature({ protocol = 0 }: MemberStatus, feature: ProtocolFeature): boolean {
   return protocol >= FIRST_VERSIONS[feature];
 }
--- a/src/gateway/members/protocol-version.ts
+++ b/src/gateway/members/protocol-version.ts
@@ -1,5 +1,5 @@
 /**
- * Version of the protocol between gateways that this build speaks. It rises when a part is added that others must not be
- * asked for unless they know it; fields that may be missing, and messages that may be passed over, need no new one.
+ * Version of the protocol between gateways that this build uses. Increase it when a feature is added that may be used only
+ * with gateways that support it. Optional fields, and messages that receivers may ignore, need no new version.
  */
 export const PROTOCOL_VERSION = 1;
--- a/test/contract/balance-messages.test.ts
+++ b/test/contract/balance-messages.test.ts
@@ -1,4 +1,4 @@
-/** What gateways tell each other of runners' paces and of their own headroom, directly and through relays, on virtual time. */
+/** How gateways exchange the speed of runners and their own headroom, with and without relays, on virtual time. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import {
@@ -12,11 +12,14 @@
 import { CostByTime } from "../../src/scheduling/runner-board/cost-by-time.ts";
 
 const SETTLE_MS = 6_000;
-/** A heartbeat to the relay, its digest to the relay of another zone, and that one's: each after half a second at most. */
+/**
+ * Time within which every gateway must know of a change: a heartbeat to the relay, its digest to a relay of another zone,
+ * and that relay's digest, each after half a second at most.
+ */
 const PROPAGATION_MS = 2_000;
 const COUNT = 24;
 
-describe("messages of balance", () => {
+describe("load balancing through membership messages", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
@@ -26,7 +29,7 @@
     ["directly", COUNT],
     ["through relays", 8],
   ] as const) {
-    it(`tell all gateways which runner is slow, ${name}`, async () => {
+    it(`tells all gateways which runner is slow, ${name}`, async () => {
       const balance = { newCost: () => new CostByTime() };
       const fleet = new MemberFleet(hash, COUNT, directMost, DEFAULT_ZONES, balance);
       await fleet.time.runUntil(SETTLE_MS);
@@ -45,7 +48,7 @@
       }
     });
 
-    it(`leave a gateway out that can take no more, ${name}`, async () => {
+    it(`excludes a gateway without headroom from the answers to callers, ${name}`, async () => {
       const balance = { headroomOf: (index: number) => (index === 0 && isFull ? 0 : 4) };
       let isFull = false;
       const fleet = new MemberFleet(hash, COUNT, directMost, DEFAULT_ZONES, balance);
@@ -61,7 +64,7 @@
     });
   }
 
-  it("take no messages of their own", async () => {
+  it("adds no messages", async () => {
     const messages: number[] = [];
     for (const isChanging of [false, true]) {
       let second = 0;
--- a/test/contract/builds-side-by-side.test.ts
+++ b/test/contract/builds-side-by-side.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway makes of peers of earlier and later builds. */
+/** Compatibility of a gateway with peers of older and newer builds. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import type { MemberDigest, MemberStatus } from "../../src/gateway/gateway-messages.ts";
@@ -39,13 +39,13 @@
 }
 type NewerMessage = RpcRequest<NewerSchema> | RpcResponse<NewerSchema> | { readonly type: "newerMessage" };
 
-describe("protocol parts", () => {
-  it("are known from the version on with which they came, and to nobody that says none", () => {
+describe("protocol features", () => {
+  it("are supported from the version that introduced them, and not by a gateway that reports no version", () => {
     const known = [statusOf(1), statusOf(1, 0), statusOf(1, 1), statusOf(1, 9)];
     expect(known.map((status) => supportsFeature(status, "places"))).toEqual([false, false, true, true]);
   });
 
-  it("stay known when a relay of an earlier build drops the version, whoever speaks first", async () => {
+  it("stay supported when a relay of an older build drops the version, whichever message arrives first", async () => {
     const context = await gatewayContext("gateway", "127.0.0.1:1");
     const messages: readonly (readonly [MemberStatus, number])[] = [
       [statusOf(1), 1],
@@ -67,8 +67,8 @@
   });
 });
 
-describe("a link between builds", () => {
-  it("outlasts requests and messages that the other side does not know", async () => {
+describe("a connection between builds", () => {
+  it("stays open after requests and messages of types that the receiver does not know", async () => {
     const listen = (instance: string) =>
       TcpTransport.listen<NewerMessage>({ instance, address: "127.0.0.1:0" });
     const [older, newer] = [await listen("older#1"), await listen("newer#1")];
--- a/test/contract/member-directory.test.ts
+++ b/test/contract/member-directory.test.ts
@@ -1,4 +1,4 @@
-/** How gateways find each other and notice who is gone, directly and through relays, on virtual time. */
+/** How gateways discover each other and detect lost ones, with and without relays, on virtual time. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import {
@@ -10,7 +10,7 @@
 import { loadTextHash, type TextHash } from "../../src/runtime/text-hash.ts";
 
 const SETTLE_MS = 6_000;
-/** Longest time until all know of a loss that nobody announced. */
+/** Time within which all gateways must detect a loss that no message announces. */
 const DETECTION_MS = 3_000;
 const FORGET_MS = 60_000;
 
@@ -27,7 +27,7 @@
   });
 
   for (const [name, count, directMost] of SIZES) {
-    it(`names all gateways, and keeps naming them, ${name}`, async () => {
+    it(`lists all gateways to callers, without a gap, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       for (let atMs = SETTLE_MS; atMs < 4 * SETTLE_MS; atMs += 250) {
         await fleet.time.runUntil(atMs);
@@ -35,7 +35,7 @@
       }
     });
 
-    it(`drops gateways that die, wherever they stand, ${name}`, async () => {
+    it(`drops gateways that die, seeds included, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
       for (let killed = 0; killed < Math.min(count - 2, 8); killed += 1) {
@@ -45,7 +45,7 @@
       }
     });
 
-    it(`drops a whole zone that falls silent, and takes it back, ${name}`, async () => {
+    it(`drops a whole zone that stops responding, and adds it again when it resumes, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
       const zone = fleet.members.filter((_, index) => index % DEFAULT_ZONES === 0);
@@ -57,7 +57,7 @@
       expect(fleet.named()).toEqual([count, count]);
     });
 
-    it(`knows all again after all were killed at once, ${name}`, async () => {
+    it(`lists all gateways again after all were killed at once, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
       for (const { process } of fleet.members) process.kill();
@@ -67,7 +67,7 @@
       expect(fleet.named()).toEqual([count, count]);
     });
 
-    it(`goes on while messages are lost, ${name}`, async () => {
+    it(`lists all gateways after a period of message loss, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
       fleet.network.conditions.loss = 0.1;
@@ -77,7 +77,7 @@
       expect(fleet.named()).toEqual([count, count]);
     });
 
-    it(`tells everybody once of the requests of all, ${name}`, async () => {
+    it(`counts each gateway's requests exactly once at every gateway, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
       for (const { board, process } of fleet.members)
@@ -88,7 +88,7 @@
     });
   }
 
-  it("leaves a gateway that stops what it owns until it says otherwise", async () => {
+  it("lets a stopping gateway keep its partitions until it reports otherwise", async () => {
     const fleet = new MemberFleet(hash, 3, 24);
     await fleet.time.runUntil(SETTLE_MS);
     const [stopping, other] = fleet.members;
@@ -107,7 +107,7 @@
     }
   });
 
-  it("forgets a gateway that stays silent, and asks it no more", async () => {
+  it("removes a gateway that stays silent, and stops contacting it", async () => {
     const fleet = new MemberFleet(hash, 4, 24);
     await fleet.time.runUntil(SETTLE_MS);
     fleet.members[3]?.process.kill();
@@ -118,7 +118,7 @@
       expect(directory.knownAddresses.includes(fleetAddress(3))).toEqual(false);
   });
 
-  it("sends messages that grow with the gateways, not with their square", async () => {
+  it("sends a number of messages that grows linearly with the number of gateways", async () => {
     const perGateway: number[] = [];
     for (const count of [48, 96]) {
       const fleet = new MemberFleet(hash, count, 24);
@@ -132,11 +132,12 @@
     expect(large < 20).toEqual(true);
   });
 
-  it("looks at its members when something happens, not at all of them all the time", async () => {
+  it("recomputes which members are alive only when the evidence changes", async () => {
     const fleet = new MemberFleet(hash, 192, 24, 7);
     await fleet.time.runUntil(SETTLE_MS);
     let clockReads = 0;
-    // Whoever asks whether a member is alive reads the clock: a measure of this work that no other load changes.
+    // Each check whether a member is alive reads the clock. Counting these reads measures the work independently of other
+    // load on the machine.
     for (const { process } of fleet.members) {
       const read = process.monotonicMs.bind(process);
       process.monotonicMs = () => {
@@ -145,11 +146,11 @@
       };
     }
     await fleet.time.runUntil(2 * SETTLE_MS);
-    // 8,236 a second and gateway when who is alive was found anew for each question.
+    // It is 8,236 per second and gateway if the live members are recomputed for each query.
     expect(clockReads / 192 / (SETTLE_MS / 1_000) < 2_000).toEqual(true);
   });
 
-  it("leaves the look for gateways that nobody hears to a few", async () => {
+  it("lets only a few gateways look for others that no gateway hears", async () => {
     const fleet = new MemberFleet(hash, 96, 24);
     await fleet.time.runUntil(SETTLE_MS);
     const searching = fleet.members.filter(({ directory }) => directory.looksForOthers);
@@ -159,16 +160,16 @@
     expect(fleet.members[0]?.directory.looksForOthers).toEqual(true);
   });
 
-  it("tells gateways that all start at once of each other in few messages", async () => {
+  it("needs few messages when all gateways start at once", async () => {
     const fleet = new MemberFleet(hash, 195, 24, 7);
     await fleet.time.runUntil(1_000);
     for (const { directory } of fleet.members) expect(directory.aliveCount).toEqual(194);
     await fleet.time.runUntil(3_000);
-    // 457 when each gateway spoke to every address that it heard of.
+    // It is 457 if each gateway contacts every address that it learns.
     expect(fleet.messages / 195 < 150).toEqual(true);
   });
 
-  it("finds all gateways where no seed is up, once one has heard of the others from the store", async () => {
+  it("finds all gateways without a running seed, once some have read the others' addresses from the store", async () => {
     const fleet = new MemberFleet(hash, 60, 24, 7);
     for (const { process } of fleet.members.slice(0, 3)) process.kill();
     const addresses = fleet.members.slice(3).map((_, index) => fleetAddress(index + 3));
--- a/test/contract/rolling-restart.test.ts
+++ b/test/contract/rolling-restart.test.ts
@@ -1,4 +1,4 @@
-/** What gateways tell each other while all of them restart one after the other, under load at many runners. */
+/** Traffic between gateways while they restart one after the other, under load at many runners. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import { MemberFleet } from "../../bench/simulation/gateways/member-fleet.ts";
@@ -15,18 +15,18 @@
 const RESTARTS = 20;
 const PATIENCE_MS = 60_000;
 /**
- * Most bytes that a gateway receives of heartbeats and digests, in KB a second. Measured in this test: 84.6 while every
- * change was passed on with the loads at all runners, 46.1 since these come with heartbeats only.
+ * Maximum traffic of heartbeats and digests that a gateway may receive, in KB per second. It is 46.1 with the loads of
+ * runners in heartbeats and their digests only, and 84.6 if every forwarded change carries the loads of all runners.
  */
 const MAX_KB_PER_SECOND = 55;
 
-describe("messages between gateways that restart one after the other", () => {
+describe("traffic between gateways during a rolling restart", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
   });
 
-  it("grow with the changes, not with the loads at all runners", async () => {
+  it("grows with the number of changes, not with the loads of all runners", async () => {
     const fleet = new MemberFleet(hash, GATEWAYS, DIRECT_MOST, ZONES);
     const putUnderLoad = (index: number): void => {
       const member = fleet.members[index];
@@ -60,7 +60,7 @@
     const seconds = (RESTARTS * RESTART_EVERY_MS) / 1_000;
     const kbPerSecond = bytes / 1_000 / GATEWAYS / seconds;
     expect(kbPerSecond <= MAX_KB_PER_SECOND).toEqual(true);
-    // All are known to all again.
+    // Every gateway lists all others again.
     await fleet.time.runUntil(SETTLE_MS + RESTARTS * RESTART_EVERY_MS + 3_000);
     expect(fleet.named()).toEqual([GATEWAYS, GATEWAYS]);
   });
