--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -34,8 +34,8 @@
     edits: [
       {
         file: "src/gateway/runners/runner-watch.ts",
-        from: 'if (known) this.#list({ ...known, state: "draining" });',
-        to: "if (known) this.#list(known);",
+        from: 'if (known) this.#storeEntry({ ...known, state: "draining" });',
+        to: "if (known) this.#storeEntry(known);",
       },
     ],
     script: "test/contract/runner-watch.test.ts",
--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -245,8 +245,8 @@
       sample: context.random.unit(),
     };
     this.#choice = choice;
-    const chosen = board.choose({ ...choice, mayTake: connections.room(this.pool.name) });
-    return chosen ?? board.choose({ ...choice, mayTake: connections.lastRoom(this.pool.name) });
+    const chosen = board.choose({ ...choice, mayTake: connections.withinShareFilter(this.pool.name) });
+    return chosen ?? board.choose({ ...choice, mayTake: connections.beyondShareFilter(this.pool.name) });
   }
 
   /** Whether a first try may be made at a runner, or another one can still end in the call's time. */
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -127,9 +127,9 @@
       this.#ingress.setLimits(routes.configuration.limits);
       this.#announceReady();
     };
-    this.#runners.onReady = () => this.#announceReady();
-    this.#runners.onLeft = (runner) => this.#connections.retire(runner);
-    this.#runners.onEnded = (runner) => this.#connections.breakOff(runner);
+    this.#runners.onListRead = () => this.#announceReady();
+    this.#runners.onRemoved = (runner) => this.#connections.drain(runner);
+    this.#runners.onReplaced = (runner) => this.#connections.abort(runner);
     this.#members.selfReport = () => ({
       state: this.state,
       storeDirect: this.#store.isDirect,
--- a/src/gateway/runners/runner-connections.ts
+++ b/src/gateway/runners/runner-connections.ts
@@ -20,17 +20,17 @@
 const MAX_CONNECTIONS = 64;
 const CONNECT_TIMEOUT_MS = 1_000;
 /** How long a connection rests where the runner names no time, in ms. */
-const IDLE_MS = 4_000;
+const DEFAULT_IDLE_TIMEOUT_MS = 4_000;
 /** A connection is given up this long before the time that the runner names, in ms. */
-const IDLE_MARGIN_MS = 500;
-const MAX_IDLE_MS = 600_000;
+const IDLE_TIMEOUT_MARGIN_MS = 500;
+const MAX_IDLE_TIMEOUT_MS = 600_000;
 /** Time between looks for idle connections beyond the share, in ms: most have been closed by themselves by then. */
-const TRIM_MS = 5_000;
+const TRIM_INTERVAL_MS = 5_000;
 /** Part of a pool's connections that has to be idle before it is closed for them. */
-const IDLE_PART = 0.5;
+const MIN_IDLE_FRACTION = 0.5;
 
 /** What the connections depend on. */
-export interface RunnerConnectionsParts {
+export interface RunnerConnectionsOptions {
   readonly clock: Clock;
   readonly board: RunnerBoard;
   /** Gateways that are alive, this one included. */
@@ -47,16 +47,16 @@
 
 /** See the module's comment. */
 export class RunnerConnections {
-  readonly #parts: RunnerConnectionsParts;
+  readonly #options: RunnerConnectionsOptions;
   readonly #pools = new Map<RunnerId, OpenPool>();
   #stop: () => void = () => undefined;
 
-  constructor(parts: RunnerConnectionsParts) {
-    this.#parts = parts;
+  constructor(options: RunnerConnectionsOptions) {
+    this.#options = options;
   }
 
   start(): void {
-    this.#stop = repeat(this.#parts.clock, TRIM_MS, () => this.trim());
+    this.#stop = repeat(this.#options.clock, TRIM_INTERVAL_MS, () => this.trim());
   }
 
   /** Connections that stand. */
@@ -73,47 +73,47 @@
     const pool = openPool(runner.address, {
       connections: MAX_CONNECTIONS,
       connectTimeout: CONNECT_TIMEOUT_MS,
-      keepAliveTimeout: IDLE_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-      keepAliveMaxTimeout: MAX_IDLE_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
+      keepAliveTimeoutThreshold: IDLE_TIMEOUT_MARGIN_MS,
+      keepAliveMaxTimeout: MAX_IDLE_TIMEOUT_MS,
     });
     this.#pools.set(runner.id, { pool, poolName: runner.pool });
     return pool;
   }
 
   /** Tells of each runner of a pool whether a connection of this gateway's share is left for one request more. */
-  room(poolName: string): (runner: RunnerEntry) => boolean {
-    const { gateways, maxConnections } = this.#parts;
-    const most = maxConnections(poolName);
-    if (most === undefined) return () => true;
+  withinShareFilter(poolName: string): (runner: RunnerEntry) => boolean {
+    const { gateways, maxConnections } = this.#options;
+    const limit = maxConnections(poolName);
+    if (limit === undefined) return () => true;
     const gatewayCount = gateways();
-    return ({ id }) => mayUseConnection(this.#use(id), most, gatewayCount);
+    return ({ id }) => mayUseConnection(this.#use(id), limit, gatewayCount);
   }
 
   /** The same for a request that no runner of the pool has room for: whether the runner is known to take one more. */
-  lastRoom(poolName: string): (runner: RunnerEntry) => boolean {
-    const most = this.#parts.maxConnections(poolName);
-    return ({ id }) => most === undefined || mayExceedShare(this.#use(id), most);
+  beyondShareFilter(poolName: string): (runner: RunnerEntry) => boolean {
+    const limit = this.#options.maxConnections(poolName);
+    return ({ id }) => limit === undefined || mayExceedShare(this.#use(id), limit);
   }
 
   /** Closes pools that hold many idle connections beyond the share; their requests end first. */
   trim(): void {
     for (const [id, { pool, poolName }] of this.#pools) {
-      const most = this.#parts.maxConnections(poolName);
+      const limit = this.#options.maxConnections(poolName);
       const { connected, running } = pool.stats;
-      if (most === undefined || connected <= connectionShare(most, this.#parts.gateways())) continue;
-      if (connected - running >= connected * IDLE_PART) this.retire(id);
+      if (limit === undefined || connected <= connectionShare(limit, this.#options.gateways())) continue;
+      if (connected - running >= connected * MIN_IDLE_FRACTION) this.drain(id);
     }
   }
 
   /** A runner has left: requests under way there still end. */
-  retire(id: RunnerId): void {
-    void this.#take(id)?.close();
+  drain(id: RunnerId): void {
+    void this.#removePool(id)?.close();
   }
 
   /** A runner has ended: nothing more comes of requests under way there. */
-  breakOff(id: RunnerId): void {
-    void this.#take(id)?.destroy(new Error("the runner has started again"));
+  abort(id: RunnerId): void {
+    void this.#removePool(id)?.destroy(new Error("the runner has started again"));
   }
 
   /** Ends all connections. */
@@ -125,11 +125,11 @@
   }
 
   #use(id: RunnerId): ConnectionUse {
-    const { board } = this.#parts;
+    const { board } = this.#options;
     return { own: board.ownLoad(id), total: board.load(id) };
   }
 
-  #take(id: RunnerId): Pool | undefined {
+  #removePool(id: RunnerId): Pool | undefined {
     const pool = this.#pools.get(id)?.pool;
     this.#pools.delete(id);
     return pool;
--- a/src/gateway/runners/runner-watch.ts
+++ b/src/gateway/runners/runner-watch.ts
@@ -17,12 +17,12 @@
  * Runners write their entries all the time, so that a wait for changes ends at once. The list is read only so often that
  * a leaving runner is noticed well before it stops serving: each time that this part of that span has passed.
  */
-const PAUSE_PART = 0.3;
+const READ_PAUSE_FRACTION = 0.3;
 /**
  * Entries may lapse while the store is out of reach, because runners cannot renew them. Those of runners that live are
  * back within about two seconds of the store's return; one that is missing after this time, in ms, is gone.
  */
-const RETURN_GRACE_MS = 2_500;
+const RENEWAL_GRACE_MS = 2_500;
 
 /** See the module's comment. */
 export class RunnerWatch {
@@ -30,18 +30,18 @@
   readonly #health: StoreHealth;
   readonly #board: RunnerBoard;
   readonly #follower: TableFollower;
-  readonly #unreadable: UnreadableRows;
+  readonly #unreadableRows: UnreadableRows;
   /** The start of each listed runner that the board has. */
   readonly #listed = new Map<RunnerName, RunnerEntry>();
   /** Runners whose entries went missing in an outage of the store, with the end of the time to return. */
-  readonly #lapsed = new Map<RunnerName, TimerHandle>();
-  #read = false;
+  readonly #graceTimers = new Map<RunnerName, TimerHandle>();
+  #hasReadList = false;
   /** Called each time that the list has been read whole. */
-  onReady: () => void = () => undefined;
+  onListRead: () => void = () => undefined;
   /** Called when a runner is gone from the list; it may still serve what it has. */
-  onLeft: (runner: RunnerId) => void = () => undefined;
+  onRemoved: (runner: RunnerId) => void = () => undefined;
   /** Called when a runner has started again: this start of it has ended. */
-  onEnded: (runner: RunnerId) => void = () => undefined;
+  onReplaced: (runner: RunnerId) => void = () => undefined;
 
   constructor(context: GatewayContext, health: StoreHealth, board: RunnerBoard) {
     this.#context = context;
@@ -50,28 +50,28 @@
     const listener: TableListener = {
       onTable: (rows) => {
         const keys = new Set<string>(rows.map((row) => row.key));
-        for (const name of this.#listed.keys()) if (!keys.has(name)) this.#removed(name);
-        for (const row of rows) this.#written(row.key as RunnerName, row.value);
-        this.#read = true;
-        this.onReady();
+        for (const name of this.#listed.keys()) if (!keys.has(name)) this.#handleRemoval(name);
+        for (const row of rows) this.#handleWrite(row.key as RunnerName, row.value);
+        this.#hasReadList = true;
+        this.onListRead();
       },
       onChanges: (changes) => {
         for (const { key, value } of changes) {
-          if (value === undefined) this.#removed(key as RunnerName);
-          else this.#written(key as RunnerName, value);
+          if (value === undefined) this.#handleRemoval(key as RunnerName);
+          else this.#handleWrite(key as RunnerName, value);
         }
       },
     };
     const { runnerTable } = context.platform.records;
-    this.#unreadable = new UnreadableRows(context, runnerTable);
+    this.#unreadableRows = new UnreadableRows(context, runnerTable);
     const { runnerDrainMs } = context.settings.timing;
-    const options = { maxStalenessMs: runnerDrainMs, pauseMs: runnerDrainMs * PAUSE_PART };
+    const options = { maxStalenessMs: runnerDrainMs, pauseMs: runnerDrainMs * READ_PAUSE_FRACTION };
     this.#follower = new TableFollower(context, health, runnerTable, listener, options);
   }
 
   /** Whether the list has been read once. */
   get ready(): boolean {
-    return this.#read;
+    return this.#hasReadList;
   }
 
   start(): void {
@@ -82,69 +82,69 @@
     this.#follower.stop();
   }
 
-  #written(name: RunnerName, value: Buffer): void {
-    this.#returned(name);
+  #handleWrite(name: RunnerName, value: Buffer): void {
+    this.#cancelGracePeriod(name);
     const entry = this.#context.platform.records.parseRunner(name, value);
     const known = this.#listed.get(name);
-    if (!entry) return this.#spoilt(name, known);
-    if (!known) return this.#list(entry);
+    if (!entry) return this.#handleUnusableRow(name, known);
+    if (!known) return this.#storeEntry(entry);
     switch (startOrder(known, entry)) {
       case "same":
-        return this.#list(entry);
+        return this.#storeEntry(entry);
       case "later":
-        this.#replaced(known, entry);
-        return this.#list(entry);
+        this.#replace(known, entry);
+        return this.#storeEntry(entry);
       case "earlier":
         return;
       case "unknown":
-        return this.#spoilt(name, known);
+        return this.#handleUnusableRow(name, known);
     }
   }
 
-  #list(entry: RunnerEntry): void {
+  #storeEntry(entry: RunnerEntry): void {
     this.#listed.set(entry.name, entry);
     this.#board.upsert(entry);
   }
 
   /** Somebody else has written the row: until its runner writes it again, that takes nothing new. */
-  #spoilt(name: RunnerName, known: RunnerEntry | undefined): void {
-    this.#unreadable.note(name);
-    if (known) this.#list({ ...known, state: "draining" });
+  #handleUnusableRow(name: RunnerName, known: RunnerEntry | undefined): void {
+    this.#unreadableRows.note(name);
+    if (known) this.#storeEntry({ ...known, state: "draining" });
   }
 
-  #replaced(known: RunnerEntry, { id, address }: RunnerEntry): void {
+  #replace(known: RunnerEntry, { id, address }: RunnerEntry): void {
     this.#context.log.info({ runner: id, address, before: known.id }, "runner started again");
     this.#board.remove(known.id);
-    this.onEnded(known.id);
+    this.onReplaced(known.id);
   }
 
   /** An entry is gone: at once, or, when the store has only just come back, unless it returns soon. */
-  #removed(name: RunnerName): void {
+  #handleRemoval(name: RunnerName): void {
     const known = this.#listed.get(name);
     if (!known) return;
-    const graceMs = RETURN_GRACE_MS - this.#health.reachableForMs;
-    if (graceMs <= 0) return this.#unlist(known);
-    if (this.#lapsed.has(name)) return;
+    const graceMs = RENEWAL_GRACE_MS - this.#health.reachableForMs;
+    if (graceMs <= 0) return this.#removeEntry(known);
+    if (this.#graceTimers.has(name)) return;
     this.#context.log.info(
       { runner: known.id, graceMs: Math.round(graceMs) },
       "runner's entry lapsed in an outage",
     );
     const timer = this.#context.clock.schedule(graceMs, () => {
-      this.#lapsed.delete(name);
-      this.#unlist(known);
+      this.#graceTimers.delete(name);
+      this.#removeEntry(known);
     });
-    this.#lapsed.set(name, timer);
+    this.#graceTimers.set(name, timer);
   }
 
-  #returned(name: RunnerName): void {
-    const timer = this.#lapsed.get(name);
+  #cancelGracePeriod(name: RunnerName): void {
+    const timer = this.#graceTimers.get(name);
     if (timer) this.#context.clock.cancel(timer);
-    this.#lapsed.delete(name);
+    this.#graceTimers.delete(name);
   }
 
-  #unlist({ name, id }: RunnerEntry): void {
+  #removeEntry({ name, id }: RunnerEntry): void {
     this.#listed.delete(name);
     this.#board.remove(id);
-    this.onLeft(id);
+    this.onRemoved(id);
   }
 }
--- a/test/contract/runner-connections.test.ts
+++ b/test/contract/runner-connections.test.ts
@@ -71,13 +71,13 @@
   }
 
   it("lets requests end at a runner that leaves the list", async () => {
-    const { end } = await askAnd(() => connections.retire(ID));
+    const { end } = await askAnd(() => connections.drain(ID));
     expect(end).toEqual("answered");
   });
 
   it("breaks requests off at once whose runner has started again, and keeps no pool of it", async () => {
     const before = connections.pool(entry);
-    const { end, afterMs } = await askAnd(() => connections.breakOff(ID));
+    const { end, afterMs } = await askAnd(() => connections.abort(ID));
     expect(end).toEqual("broken: the runner has started again");
     expect(afterMs < ANSWER_MS).toEqual(true);
     expect(connections.pool(entry) === before).toEqual(false);
@@ -97,13 +97,16 @@
 
   it("have room as the share and the use of all allow", () => {
     gateways = 3;
-    const rooms = Array.from({ length: 4 }, () => {
-      const room = connections.room("p")(entry);
+    const accepted = Array.from({ length: 4 }, () => {
+      const isAccepted = connections.withinShareFilter("p")(entry);
       board.started(ID, 0, 1);
-      return room;
+      return isAccepted;
     });
-    expect(rooms).toEqual([true, true, true, true]);
+    expect(accepted).toEqual([true, true, true, true]);
     board.report("other", { inFlight: [[ID, 2]], failing: [] }, 0);
-    expect([connections.room("p")(entry), connections.room("unknown")(entry)]).toEqual([false, true]);
+    expect([
+      connections.withinShareFilter("p")(entry),
+      connections.withinShareFilter("unknown")(entry),
+    ]).toEqual([false, true]);
   });
 });
--- a/test/contract/runner-watch.test.ts
+++ b/test/contract/runner-watch.test.ts
@@ -17,7 +17,7 @@
 const OTHER = "runner-2" as RunnerId;
 const UNUSED = "127.0.0.1:1";
 const TABLE = "servers";
-const WHOLE_ROW = {
+const VALID_ROW = {
   service: "pool",
   address: UNUSED,
   zone: "zone-a",
@@ -29,19 +29,19 @@
 /** Moves each trouble to another moment of a wait for changes, in ms. */
 const PHASE_STEP_MS = 37;
 /** Runners renew their entries this often, in ms. */
-const RENEW_MS = 1_200;
+const RENEWAL_INTERVAL_MS = 1_200;
 
 let time: VirtualTime;
 let store: SharedStore;
 let path: SimulatedRowStore;
 let board: RunnerBoard;
 let sequence: number;
-let ended: RunnerId[];
-let lines: string[];
+let replaced: RunnerId[];
+let logLines: string[];
 
 function write(id: string, more: Record<string, unknown> = {}): void {
   sequence += 1;
-  writeBytes(id, Buffer.from(JSON.stringify({ ...WHOLE_ROW, sequence, ...more })));
+  writeBytes(id, Buffer.from(JSON.stringify({ ...VALID_ROW, sequence, ...more })));
 }
 
 function writeBytes(key: string, bytes: Buffer): void {
@@ -49,13 +49,13 @@
   store.model.transact({ conditions: [], puts: [{ table: TABLE, part: "", key, value }], removes: [] });
 }
 
-function lapse(id: string): void {
+function expire(id: string): void {
   store.model.transact({ conditions: [], puts: [], removes: [{ table: TABLE, part: "", key: id }] });
 }
 
 function renewForEver(id: string): void {
   write(id);
-  time.after(RENEW_MS, () => renewForEver(id));
+  time.after(RENEWAL_INTERVAL_MS, () => renewForEver(id));
 }
 
 describe("list of runners", () => {
@@ -66,22 +66,22 @@
     sequence = 0;
     const clock = new SimulatedProcess("gateway", "zone-a", time);
     const context = await gatewayContext("gateway", UNUSED);
-    lines = [];
-    const log = pino({}, { write: (line: string) => void lines.push(line) });
+    logLines = [];
+    const log = pino({}, { write: (line: string) => void logLines.push(line) });
     path = new SimulatedRowStore(store, clock);
     const platform = { ...context.platform, store: path };
     const simulated = { ...context, clock, platform, log };
     write(RUNNER);
     renewForEver(OTHER);
     const watch = new RunnerWatch(simulated, new StoreHealth(simulated), board);
-    ended = [];
-    watch.onEnded = (runner) => ended.push(runner);
+    replaced = [];
+    watch.onReplaced = (runner) => replaced.push(runner);
     watch.start();
     await time.runUntil(5_000);
   });
 
   it("drops an entry that goes while the store is up", async () => {
-    lapse(RUNNER);
+    expire(RUNNER);
     await time.runUntil(6_000);
     expect(board.ready(RUNNER)).toEqual(undefined);
     expect(board.ready(OTHER) !== undefined).toEqual(true);
@@ -90,7 +90,7 @@
   for (const outage of ["busy", "silent"] as const) {
     it(`goes on with a runner whose entry lapsed while the store was ${outage}, and came back`, async () => {
       store.conditions.outage = outage;
-      time.after(3_600, () => lapse(RUNNER));
+      time.after(3_600, () => expire(RUNNER));
       time.after(4_500, () => {
         store.conditions.outage = "none";
       });
@@ -103,7 +103,7 @@
 
     it(`drops a runner that went while the store was ${outage}, and did not come back`, async () => {
       store.conditions.outage = outage;
-      time.after(3_600, () => lapse(RUNNER));
+      time.after(3_600, () => expire(RUNNER));
       time.after(4_500, () => {
         store.conditions.outage = "none";
       });
@@ -127,21 +127,21 @@
   });
 
   const [FIRST, SECOND] = ["runner-1#1000", "runner-1#2000"] as [RunnerId, RunnerId];
-  const STARTS: [what: string, born: (number | undefined)[], listed: RunnerId, ended: RunnerId[]][] = [
+  const STARTS: [what: string, born: (number | undefined)[], listed: RunnerId, previous: RunnerId[]][] = [
     ["writes again", [1_000, 1_000], FIRST, [RUNNER]],
     ["starts again", [1_000, 2_000], SECOND, [RUNNER, FIRST]],
     ["starts again, and a write of before comes late", [1_000, 2_000, 1_000], SECOND, [RUNNER, FIRST]],
     ["never tells its start", [undefined, undefined], RUNNER, []],
   ];
-  for (const [what, born, listed, gone] of STARTS) {
+  for (const [what, born, listed, previous] of STARTS) {
     it(`knows the start of a runner that ${what}`, async () => {
       for (const [index, start] of born.entries()) {
         time.after(index * 1_000, () => write(RUNNER, { born: start }));
       }
       await time.runUntil(9_000);
       expect(board.ready(listed)?.name as string).toEqual(RUNNER);
-      expect(ended).toEqual(gone);
-      expect(gone.filter((id) => board.listed(id))).toEqual([]);
+      expect(replaced).toEqual(previous);
+      expect(previous.filter((id) => board.listed(id))).toEqual([]);
     });
   }
 
@@ -158,15 +158,15 @@
     expect([board.load(SECOND), board.isOutlier(SECOND, 7_000)]).toEqual([0, false]);
   });
 
-  const SPOILT: [what: string, spoil: () => void][] = [
+  const UNUSABLE_ROWS: [what: string, overwrite: () => void][] = [
     ["bytes that are no text", () => writeBytes(RUNNER, Buffer.from([0xff, 0xfe, 0]))],
     ["a state that is not known", () => write(RUNNER, { state: "asleep" })],
     ["no time of a start that was told before", () => write(RUNNER)],
   ];
-  for (const [what, spoil] of SPOILT) {
+  for (const [what, overwrite] of UNUSABLE_ROWS) {
     it(`gives a runner nothing new while its row has ${what}, and all others work`, async () => {
       write(RUNNER, { born: 1_000 });
-      time.after(1_000, spoil);
+      time.after(1_000, overwrite);
       await time.runUntil(7_000);
       expect([board.ready(FIRST), board.listed(FIRST)]).toEqual([undefined, true]);
       expect(board.ready(OTHER) !== undefined).toEqual(true);
@@ -177,12 +177,12 @@
   }
 
   it("notes rows that it cannot read without end in few lines", async () => {
-    const spoilForEver = () => {
+    const overwriteForEver = () => {
       writeBytes("nobody", Buffer.from("[]"));
-      time.after(500, spoilForEver);
+      time.after(500, overwriteForEver);
     };
-    spoilForEver();
+    overwriteForEver();
     await time.runUntil(35_000);
-    expect(lines.filter((line) => line.includes("cannot be read")).length).toEqual(3);
+    expect(logLines.filter((line) => line.includes("cannot be read")).length).toEqual(3);
   });
 });
