--- a/src/gateway/runners/runner-connections.ts
+++ b/src/gateway/runners/runner-connections.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to runners: a pool for each incarnation, closed when it is gone from the list. All gateways together keep to
- * the connections that a runner takes; see `connection-share.ts`.
+ * Connection pools for runners, one for each incarnation, closed when the runner is removed from the list. All gateways
+ * together stay within the number of connections that a runner accepts; see `connection-share.ts`.
  */
 
 import type { Pool } from "undici";
@@ -16,36 +16,39 @@
 import type { RunnerBoard } from "../../scheduling/runner-board/runner-board.ts";
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
 
-/** Connections of this gateway to one runner, all requests in flight included. */
+/** Maximum number of connections from this gateway to one runner, and thus of requests in flight there. */
 const MAX_CONNECTIONS = 64;
 const CONNECT_TIMEOUT_MS = 1_000;
-/** How long a connection rests where the runner names no time, in ms. */
+/** Idle timeout of a connection if the runner announces none, in ms. */
 const DEFAULT_IDLE_TIMEOUT_MS = 4_000;
-/** A connection is given up this long before the time that the runner names, in ms. */
+/** A connection is closed this long before the idle timeout that the runner announces, in ms. */
 const IDLE_TIMEOUT_MARGIN_MS = 500;
 const MAX_IDLE_TIMEOUT_MS = 600_000;
-/** Time between looks for idle connections beyond the share, in ms: most have been closed by themselves by then. */
+/**
+ * Interval between checks for idle connections beyond this gateway's share, in ms. Most such connections have reached their
+ * idle timeout by then.
+ */
 const TRIM_INTERVAL_MS = 5_000;
-/** Part of a pool's connections that has to be idle before it is closed for them. */
+/** Minimum fraction of a pool's connections that must be idle before the pool is closed because of them. */
 const MIN_IDLE_FRACTION = 0.5;
 
-/** What the connections depend on. */
+/** Dependencies and limits of {@link RunnerConnections}. */
 export interface RunnerConnectionsOptions {
   readonly clock: Clock;
   readonly board: RunnerBoard;
-  /** Gateways that are alive, this one included. */
+  /** Returns the number of live gateways, including this one. */
   readonly gateways: () => number;
-  /** Connections that each runner of a pool takes from all gateways; undefined where that is not known. */
+  /** Returns how many connections each runner of a pool accepts from all gateways; undefined if that is not known. */
   readonly maxConnections: (pool: string) => number | undefined;
 }
 
 interface OpenPool {
   readonly pool: Pool;
-  /** The runner's. */
+  /** The pool of runners that the runner belongs to. */
   readonly poolName: string;
 }
 
-/** See the module's comment. */
+/** Opens, shares out and closes the connections of this gateway to runners. */
 export class RunnerConnections {
   readonly #options: RunnerConnectionsOptions;
   readonly #pools = new Map<RunnerId, OpenPool>();
@@ -59,14 +62,14 @@
     this.#stop = repeat(this.#options.clock, TRIM_INTERVAL_MS, () => this.trim());
   }
 
-  /** Connections that stand. */
+  /** Number of open connections. */
   get count(): number {
     let count = 0;
     for (const { pool } of this.#pools.values()) count += pool.stats.connected;
     return count;
   }
 
-  /** The pool of a runner. */
+  /** Returns the connection pool of a runner, and opens it if necessary. */
   pool(runner: RunnerEntry): Pool {
     const known = this.#pools.get(runner.id);
     if (known) return known.pool;
@@ -81,7 +84,7 @@
     return pool;
   }
 
-  /** Tells of each runner of a pool whether a connection of this gateway's share is left for one request more. */
+  /** Returns a filter for the runners of a pool that accepts one if this gateway's share allows another request there. */
   withinShareFilter(poolName: string): (runner: RunnerEntry) => boolean {
     const { gateways, maxConnections } = this.#options;
     const limit = maxConnections(poolName);
@@ -90,13 +93,16 @@
     return ({ id }) => mayUseConnection(this.#use(id), limit, gatewayCount);
   }
 
-  /** The same for a request that no runner of the pool has room for: whether the runner is known to take one more. */
+  /**
+   * Returns a filter for requests that no runner of the pool can take within the share. It accepts a runner that is known to
+   * accept another connection.
+   */
   beyondShareFilter(poolName: string): (runner: RunnerEntry) => boolean {
     const limit = this.#options.maxConnections(poolName);
     return ({ id }) => limit === undefined || mayExceedShare(this.#use(id), limit);
   }
 
-  /** Closes pools that hold many idle connections beyond the share; their requests end first. */
+  /** Closes pools with many idle connections beyond the share, once their requests in flight have ended. */
   trim(): void {
     for (const [id, { pool, poolName }] of this.#pools) {
       const limit = this.#options.maxConnections(poolName);
@@ -106,17 +112,17 @@
     }
   }
 
-  /** A runner has left: requests under way there still end. */
+  /** Closes the connections to a runner that was removed, once its requests in flight have ended. */
   drain(id: RunnerId): void {
     void this.#removePool(id)?.close();
   }
 
-  /** A runner has ended: nothing more comes of requests under way there. */
+  /** Closes the connections to a runner that no longer runs. Its requests in flight fail at once. */
   abort(id: RunnerId): void {
     void this.#removePool(id)?.destroy(new Error("the runner has started again"));
   }
 
-  /** Ends all connections. */
+  /** Closes all connections at once. */
   async close(): Promise<void> {
     this.#stop();
     const pools = [...this.#pools.values()];
--- a/src/gateway/runners/runner-watch.ts
+++ b/src/gateway/runners/runner-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the board of runners in line with the platform's list. The list names runners, the board keeps their starts: a
- * runner that starts again under its name replaces the one before.
+ * Updates the board of runners from the platform's list. The list identifies runners by name, the board by incarnation: a
+ * runner that restarts under the same name replaces the previous incarnation.
  */
 import type { TimerHandle } from "../../runtime/clock.ts";
 import type { RunnerId } from "../../scheduling/ids/runner-id.ts";
@@ -14,33 +14,35 @@
 import type { StoreHealth } from "../store-health.ts";
 
 /**
- * Runners write their entries all the time, so that a wait for changes ends at once. The list is read only so often that
- * a leaving runner is noticed well before it stops serving: each time that this part of that span has passed.
+ * Pause between two reads of the list, as a fraction of the time for which a draining runner still serves. Runners rewrite
+ * their entries all the time, so a wait for changes returns at once and would be repeated without a pause. The fraction is
+ * small enough that a draining runner is detected well before it stops serving.
  */
 const READ_PAUSE_FRACTION = 0.3;
 /**
- * Entries may lapse while the store is out of reach, because runners cannot renew them. Those of runners that live are
- * back within about two seconds of the store's return; one that is missing after this time, in ms, is gone.
+ * Time that a missing entry has to return after the store is reachable again, in ms. Entries can expire during an outage of
+ * the store, because runners can't renew them. Live runners renew theirs within about two seconds after the outage. An entry
+ * that is still missing after this time belongs to a runner that is gone.
  */
 const RENEWAL_GRACE_MS = 2_500;
 
-/** See the module's comment. */
+/** Follows the list of runners and applies its changes to the board. */
 export class RunnerWatch {
   readonly #context: GatewayContext;
   readonly #health: StoreHealth;
   readonly #board: RunnerBoard;
   readonly #follower: TableFollower;
   readonly #unreadableRows: UnreadableRows;
-  /** The start of each listed runner that the board has. */
+  /** The listed runners, with the incarnation that the board has. */
   readonly #listed = new Map<RunnerName, RunnerEntry>();
-  /** Runners whose entries went missing in an outage of the store, with the end of the time to return. */
+  /** Runners whose entries expired during an outage of the store, with the timer that ends their grace period. */
   readonly #graceTimers = new Map<RunnerName, TimerHandle>();
   #hasReadList = false;
-  /** Called each time that the list has been read whole. */
+  /** Called each time the whole list has been read. */
   onListRead: () => void = () => undefined;
-  /** Called when a runner is gone from the list; it may still serve what it has. */
+  /** Called when a runner is no longer in the list. It may still process its requests in flight. */
   onRemoved: (runner: RunnerId) => void = () => undefined;
-  /** Called when a runner has started again: this start of it has ended. */
+  /** Called when a runner has restarted, with its previous incarnation, which no longer runs. */
   onReplaced: (runner: RunnerId) => void = () => undefined;
 
   constructor(context: GatewayContext, health: StoreHealth, board: RunnerBoard) {
@@ -69,7 +71,7 @@
     this.#follower = new TableFollower(context, health, runnerTable, listener, options);
   }
 
-  /** Whether the list has been read once. */
+  /** Whether the list has been read at least once. */
   get ready(): boolean {
     return this.#hasReadList;
   }
@@ -106,7 +108,10 @@
     this.#board.upsert(entry);
   }
 
-  /** Somebody else has written the row: until its runner writes it again, that takes nothing new. */
+  /**
+   * Handles a row that its runner can't have written. The runner counts as draining, so that it gets no new requests, until
+   * it writes a valid row again.
+   */
   #handleUnusableRow(name: RunnerName, known: RunnerEntry | undefined): void {
     this.#unreadableRows.note(name);
     if (known) this.#storeEntry({ ...known, state: "draining" });
@@ -118,7 +123,7 @@
     this.onReplaced(known.id);
   }
 
-  /** An entry is gone: at once, or, when the store has only just come back, unless it returns soon. */
+  /** Handles a missing entry: removes the runner, after a grace period if the store was unreachable until recently. */
   #handleRemoval(name: RunnerName): void {
     const known = this.#listed.get(name);
     if (!known) return;
--- a/test/contract/runner-connections.test.ts
+++ b/test/contract/runner-connections.test.ts
@@ -1,4 +1,4 @@
-/** Connections to runners that leave, and to those that have ended. */
+/** Connections to runners that are removed or restarted, and limits on their number. */
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import { RunnerConnections } from "../../src/gateway/runners/runner-connections.ts";
@@ -12,9 +12,9 @@
 
 const ID = "runner-1#1" as RunnerId;
 const NAME = "runner-1" as RunnerName;
-/** Connections that the runner takes from all gateways. */
+/** Connections that the runner accepts from all gateways. */
 const MAX_CONNECTIONS = 12;
-/** How long the runner takes for an answer, in ms. */
+/** Time that the runner takes to answer, in ms. */
 const ANSWER_MS = 300;
 
 describe("connections to runners", () => {
@@ -45,7 +45,7 @@
     runner.close();
   });
 
-  /** Sends a request; resolves with how it ended. */
+  /** Sends a request; resolves with its result. */
   function ask(): Promise<string> {
     return new Promise<string>((resolve) => {
       const listener = {
@@ -59,7 +59,7 @@
     });
   }
 
-  /** Sends a request, does something once the runner has it, and says how and when the request ended. */
+  /** Sends a request, calls `act` once the runner has received it, and returns how and when the request ended. */
   async function askAnd(act: () => void): Promise<{ end: string; afterMs: number }> {
     const clock = new SystemClock();
     const sentMs = clock.monotonicMs();
@@ -70,12 +70,12 @@
     return { end, afterMs: clock.monotonicMs() - sentMs };
   }
 
-  it("lets requests end at a runner that leaves the list", async () => {
+  it("lets requests in flight complete at a runner that was removed from the list", async () => {
     const { end } = await askAnd(() => connections.drain(ID));
     expect(end).toEqual("answered");
   });
 
-  it("breaks requests off at once whose runner has started again, and keeps no pool of it", async () => {
+  it("fails requests in flight at once when their runner has restarted, and discards its pool", async () => {
     const before = connections.pool(entry);
     const { end, afterMs } = await askAnd(() => connections.abort(ID));
     expect(end).toEqual("broken: the runner has started again");
@@ -83,7 +83,7 @@
     expect(connections.pool(entry) === before).toEqual(false);
   });
 
-  it("closes idle ones that go beyond the share, and no others", async () => {
+  it("closes pools with idle connections beyond the share, and no others", async () => {
     await Promise.all([ask(), ask(), ask(), ask()]);
     expect(connections.count).toEqual(4);
     gateways = 3;
@@ -95,7 +95,7 @@
     expect(await ask()).toEqual("answered");
   });
 
-  it("have room as the share and the use of all allow", () => {
+  it("accepts requests as the share and the total use of connections allow", () => {
     gateways = 3;
     const accepted = Array.from({ length: 4 }, () => {
       const isAccepted = connections.withinShareFilter("p")(entry);
--- a/test/contract/runner-watch.test.ts
+++ b/test/contract/runner-watch.test.ts
@@ -1,4 +1,7 @@
-/** The list of runners: what lapsed in an outage of the store, and what is gone; who started again; rows of others. */
+/**
+ * Following the list of runners: entries that expire during an outage of the store, removed runners, restarted runners, and
+ * rows that no runner has written.
+ */
 
 import { beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
@@ -26,9 +29,9 @@
   state: "ready",
   "cold-remaining-ms": 0,
 };
-/** Moves each trouble to another moment of a wait for changes, in ms. */
+/** Offset between repetitions, in ms, so that each fault occurs at another point of a wait for changes. */
 const PHASE_STEP_MS = 37;
-/** Runners renew their entries this often, in ms. */
+/** Interval at which runners renew their entries, in ms. */
 const RENEWAL_INTERVAL_MS = 1_200;
 
 let time: VirtualTime;
@@ -80,7 +83,7 @@
     await time.runUntil(5_000);
   });
 
-  it("drops an entry that goes while the store is up", async () => {
+  it("removes a runner whose entry disappears while the store is reachable", async () => {
     expire(RUNNER);
     await time.runUntil(6_000);
     expect(board.ready(RUNNER)).toEqual(undefined);
@@ -88,7 +91,7 @@
   });
 
   for (const outage of ["busy", "silent"] as const) {
-    it(`goes on with a runner whose entry lapsed while the store was ${outage}, and came back`, async () => {
+    it(`keeps a runner whose entry expired while the store was ${outage}, and was renewed afterwards`, async () => {
       store.conditions.outage = outage;
       time.after(3_600, () => expire(RUNNER));
       time.after(4_500, () => {
@@ -101,7 +104,7 @@
       }
     });
 
-    it(`drops a runner that went while the store was ${outage}, and did not come back`, async () => {
+    it(`removes a runner whose entry expired while the store was ${outage}, and was not renewed`, async () => {
       store.conditions.outage = outage;
       time.after(3_600, () => expire(RUNNER));
       time.after(4_500, () => {
@@ -112,7 +115,7 @@
     });
   }
 
-  it("knows in time that a runner leaves where its open connections to the store fall silent", async () => {
+  it("detects in time that a runner is draining when the gateway's open connections to the store stop responding", async () => {
     const late: number[] = [];
     for (let count = 0; count < 40; count += 1) {
       const silentMs = time.nowMs;
@@ -128,13 +131,13 @@
 
   const [FIRST, SECOND] = ["runner-1#1000", "runner-1#2000"] as [RunnerId, RunnerId];
   const STARTS: [what: string, born: (number | undefined)[], listed: RunnerId, previous: RunnerId[]][] = [
-    ["writes again", [1_000, 1_000], FIRST, [RUNNER]],
-    ["starts again", [1_000, 2_000], SECOND, [RUNNER, FIRST]],
-    ["starts again, and a write of before comes late", [1_000, 2_000, 1_000], SECOND, [RUNNER, FIRST]],
-    ["never tells its start", [undefined, undefined], RUNNER, []],
+    ["renews its entry", [1_000, 1_000], FIRST, [RUNNER]],
+    ["restarts", [1_000, 2_000], SECOND, [RUNNER, FIRST]],
+    ["restarts, and an earlier write arrives late", [1_000, 2_000, 1_000], SECOND, [RUNNER, FIRST]],
+    ["never states its start time", [undefined, undefined], RUNNER, []],
   ];
   for (const [what, born, listed, previous] of STARTS) {
-    it(`knows the start of a runner that ${what}`, async () => {
+    it(`identifies the incarnation of a runner that ${what}`, async () => {
       for (const [index, start] of born.entries()) {
         time.after(index * 1_000, () => write(RUNNER, { born: start }));
       }
@@ -145,7 +148,7 @@
     });
   }
 
-  it("asks nothing new of a start that has ended, and thinks nothing ill of the next", async () => {
+  it("doesn't carry load and failures of a previous incarnation over to the next", async () => {
     const nowMs = 6_000;
     write(RUNNER, { born: 1_000 });
     await time.runUntil(nowMs);
@@ -159,12 +162,12 @@
   });
 
   const UNUSABLE_ROWS: [what: string, overwrite: () => void][] = [
-    ["bytes that are no text", () => writeBytes(RUNNER, Buffer.from([0xff, 0xfe, 0]))],
-    ["a state that is not known", () => write(RUNNER, { state: "asleep" })],
-    ["no time of a start that was told before", () => write(RUNNER)],
+    ["bytes that are not valid text", () => writeBytes(RUNNER, Buffer.from([0xff, 0xfe, 0]))],
+    ["an unknown state", () => write(RUNNER, { state: "asleep" })],
+    ["no start time although an earlier row had one", () => write(RUNNER)],
   ];
   for (const [what, overwrite] of UNUSABLE_ROWS) {
-    it(`gives a runner nothing new while its row has ${what}, and all others work`, async () => {
+    it(`gives a runner no new requests while its row has ${what}, and uses the others`, async () => {
       write(RUNNER, { born: 1_000 });
       time.after(1_000, overwrite);
       await time.runUntil(7_000);
@@ -176,7 +179,7 @@
     });
   }
 
-  it("notes rows that it cannot read without end in few lines", async () => {
+  it("limits the log lines about unreadable rows that are written again and again", async () => {
     const overwriteForEver = () => {
       writeBytes("nobody", Buffer.from("[]"));
       time.after(500, overwriteForEver);
