--- a/bench/mutations/soak-mutations.ts
+++ b/bench/mutations/soak-mutations.ts
@@ -22,7 +22,7 @@
     name: "soak: what may not be repeated is run again",
     edits: [
       {
-        file: "src/gateway/calls/plain-call.ts",
+        file: "src/gateway/calls/buffered-call.ts",
         from: 'const mayRepeat = this.route.kind === "safe" && this.mayHaveRun.size < this.route.maxAttempts;',
         to: "const mayRepeat = this.mayHaveRun.size < 2;",
       },
@@ -35,8 +35,8 @@
     name: "soak: a call without an answer is refused as not run",
     edits: [
       {
-        file: "src/gateway/calls/plain-call.ts",
-        from: "if (!mayRepeat) return this.failUnknown(",
+        file: "src/gateway/calls/buffered-call.ts",
+        from: "if (!mayRepeat) return this.failWithUnknownOutcome(",
         to: 'if (!mayRepeat) return this.refuse("overloaded", ',
       },
     ],
--- a/src/gateway/calls/plain-call.ts
+++ b/src/gateway/calls/buffered-call.ts
@@ -6,44 +6,45 @@
 import type { AttemptFailure } from "./runner-attempt.ts";
 
 /** See the module's comment. */
-export class PlainCall extends RoutedCall {
+export class BufferedCall extends RoutedCall {
   protected override begin(): void {
-    this.next();
+    this.tryNext();
   }
 
-  protected override next(): void {
-    this.seekRunner(undefined, (runner) => {
+  protected override tryNext(): void {
+    this.findRunner(undefined, (runner) => {
       if (runner) this.#sendTo(runner);
       else this.#giveUp("no runner can take the call");
     });
   }
 
   #sendTo(runner: RunnerEntry): void {
-    if (!this.hasTimeAt(runner)) return this.#giveUp("no time is left for another runner");
+    if (!this.hasTimeFor(runner)) return this.#giveUp("no time is left for another runner");
     let head: HttpAnswerHead | undefined;
     const chunks: Buffer[] = [];
-    const tried = this.tryAt(runner, this.exchange.body, this.call.lastEventId, {
+    const isStarted = this.startAttempt(runner, this.exchange.body, this.call.lastEventId, {
       onHead: (answer) => {
         head = answer;
       },
       onData: (chunk) => {
         chunks.push(chunk);
         this.exchange.buffers.add("collected", chunk.length);
-        if (this.exchange.buffers.exceedsShare) this.failUnknown("there is no memory for the answer");
+        if (this.exchange.buffers.exceedsShare)
+          this.failWithUnknownOutcome("there is no memory for the answer");
       },
       onEnd: () => this.#answer(head, Buffer.concat(chunks)),
       onFailed: (failure) => this.#onFailed(runner, failure),
     });
-    if (!tried) this.#giveUp("too many runners refused the call");
+    if (!isStarted) this.#giveUp("too many runners refused the call");
   }
 
-  protected override mayMove(runner: RunnerEntry): boolean {
+  protected override mayRetryElsewhere(runner: RunnerEntry): boolean {
     const ran = new Set([...this.mayHaveRun, runner.id]);
     return this.route.kind === "safe" && ran.size < this.route.maxAttempts;
   }
 
   #answer(head: HttpAnswerHead | undefined, body: Buffer): void {
-    if (!head) return this.failUnknown("an answer without a head");
+    if (!head) return this.failWithUnknownOutcome("an answer without a head");
     const { calls } = this.parts.context.platform;
     this.exchange.answer(head.status, calls.headersForCaller(head.rawHeaders), body);
     this.record.firstByteMs = this.elapsedMs;
@@ -53,16 +54,16 @@
   #onFailed(runner: RunnerEntry, failure: AttemptFailure): void {
     this.attempt = undefined;
     this.exchange.buffers.set("collected", 0);
-    this.noteFailure(runner, failure);
-    if (failure.type !== "broken") return this.next();
+    this.recordFailure(runner, failure);
+    if (failure.type !== "broken") return this.tryNext();
     const mayRepeat = this.route.kind === "safe" && this.mayHaveRun.size < this.route.maxAttempts;
-    if (!mayRepeat) return this.failUnknown(`the runner gave no answer: ${failure.detail}`);
+    if (!mayRepeat) return this.failWithUnknownOutcome(`the runner gave no answer: ${failure.detail}`);
     this.excluded.add(runner.id);
-    this.next();
+    this.tryNext();
   }
 
   #giveUp(detail: string): void {
-    if (this.mayHaveRun.size > 0) this.failUnknown(detail);
+    if (this.mayHaveRun.size > 0) this.failWithUnknownOutcome(detail);
     else this.refuse("overloaded", detail);
   }
 }
--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -14,10 +14,10 @@
 import type { RateVerdict } from "../rates/rate-verdict.ts";
 import { CallRecord } from "../telemetry/call-record.ts";
 import type { RateRecord } from "../telemetry/rate-record.ts";
-import { callTimeMs } from "./call-time.ts";
+import { BufferedCall } from "./buffered-call.ts";
+import { callTimeoutMs } from "./call-timeout.ts";
 import { OWNER_RETRY_AFTER_MS } from "./owner-retry.ts";
-import { PlainCall } from "./plain-call.ts";
-import type { CallStart } from "./routed-call.ts";
+import type { RoutedRequest } from "./routed-call.ts";
 import type { AttemptParts } from "./runner-attempt.ts";
 import { StreamedCall } from "./streamed-call.ts";
 
@@ -39,7 +39,7 @@
   detail: "The request needs the key of a tenant.",
 };
 /** The time to come back is that of a new connection: other gateways know the newest configuration, or will soon. */
-const UNTRUSTED: CallerProblem = {
+const STALE_CONFIGURATION: CallerProblem = {
   status: 503,
   kind: "configuration-stale",
   detail: "This gateway cannot be sure that the key is still valid.",
@@ -47,7 +47,7 @@
   goElsewhere: true,
 };
 /** Part of a request's time for which the owner of its tenant's limit is looked for; the rest is for the runner. */
-const LOOKING_PART = 0.5;
+const MAX_OWNER_WAIT_FRACTION = 0.5;
 const HASH_RANGE = 2 ** 32;
 
 /** Where a request goes, and for whom. */
@@ -72,24 +72,24 @@
   readonly #partitions: PartitionClient;
   readonly #rates: RateClient;
   readonly #routes: () => RouteTable | undefined;
-  readonly #trustsKeys: () => boolean;
+  readonly #canTrustKeys: () => boolean;
 
   /**
    * @param routes the routes in force; undefined while this gateway cannot serve
-   * @param trustsKeys whether the keys of the configuration in force can't have been taken away long ago
+   * @param canTrustKeys whether the keys of the configuration in force can't have been taken away long ago
    */
   constructor(
     parts: AttemptParts,
     partitions: PartitionClient,
     rates: RateClient,
     routes: () => RouteTable | undefined,
-    trustsKeys: () => boolean,
+    canTrustKeys: () => boolean,
   ) {
     this.#parts = parts;
     this.#partitions = partitions;
     this.#rates = rates;
     this.#routes = routes;
-    this.#trustsKeys = trustsKeys;
+    this.#canTrustKeys = canTrustKeys;
   }
 
   /** Decides by a request's head whether it is carried out. */
@@ -102,7 +102,7 @@
     const pool = route && this.#poolOf(route, routes, call);
     if (!route || !pool) return this.#refuse(NO_ROUTE, call, undefined, routes);
     const needsKey = routes.needsKey(route);
-    if (needsKey && !this.#trustsKeys()) return this.#refuse(UNTRUSTED, call, route, routes);
+    if (needsKey && !this.#canTrustKeys()) return this.#refuse(STALE_CONFIGURATION, call, route, routes);
     const tenant = needsKey && call.key !== undefined ? routes.tenantOf(call.key) : undefined;
     if (needsKey && !tenant) return this.#refuse(UNKNOWN_KEY, call, route, routes);
     if (this.#parts.buffers.refuses(head.bodyBytes)) return this.#refuse(NO_ROOM, call, route, routes);
@@ -116,7 +116,10 @@
     if (tenant?.limit === undefined) return this.#run(exchange, destination, routes, undefined);
     const { clock, metrics, settings } = this.#parts.context;
     const askedAtMs = clock.monotonicMs();
-    const waitMs = Math.min(settings.timing.ownerWaitMs, callTimeMs(call, route) * LOOKING_PART);
+    const waitMs = Math.min(
+      settings.timing.ownerWaitMs,
+      callTimeoutMs(call, route) * MAX_OWNER_WAIT_FRACTION,
+    );
     const { version } = routes.configuration;
     const verdict = await this.#rates.admit(tenant, version, askedAtMs + waitMs);
     const elapsedMs = clock.monotonicMs() - askedAtMs;
@@ -129,7 +132,7 @@
     };
     if (verdict.type === "granted") return this.#run(exchange, destination, routes, rate);
     const problem = problemOf(verdict);
-    this.#note(problem, { call, route, tenant, rate }, routes);
+    this.#logRefusal(problem, { call, route, tenant, rate }, routes);
     exchange.refuse(problem);
   }
 
@@ -142,7 +145,7 @@
     const { tenants, version } = routes.configuration;
     const hidesKey = tenants !== undefined;
     const rank = routes.rankOf(route, tenant);
-    const start: CallStart = {
+    const request: RoutedRequest = {
       exchange,
       call,
       route,
@@ -155,8 +158,8 @@
     };
     const routed =
       route.kind === "streaming"
-        ? new StreamedCall(this.#parts, this.#partitions, start)
-        : new PlainCall(this.#parts, start);
+        ? new StreamedCall(this.#parts, this.#partitions, request)
+        : new BufferedCall(this.#parts, request);
     routed.run();
   }
 
@@ -173,12 +176,12 @@
     route: Route | undefined,
     routes: RouteTable,
   ): HeadVerdict {
-    this.#note(problem, { call, route }, routes);
+    this.#logRefusal(problem, { call, route }, routes);
     return { type: "refuse", problem };
   }
 
   /** A line in the log for a request that is refused before it is carried out. */
-  #note(
+  #logRefusal(
     { status, kind, detail }: CallerProblem,
     { call, route, tenant, rate }: RefusedCall,
     { configuration }: RouteTable,
--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -18,12 +18,12 @@
 import { CallRecord } from "../telemetry/call-record.ts";
 import type { RateRecord } from "../telemetry/rate-record.ts";
 import { roundedShare } from "../telemetry/rounded-share.ts";
-import { callTimeMs } from "./call-time.ts";
+import { callTimeoutMs } from "./call-timeout.ts";
 import type { AttemptFailure, AttemptListener, AttemptParts } from "./runner-attempt.ts";
 import { RunnerAttempt } from "./runner-attempt.ts";
 
 /** What is known of a call when it begins. */
-export interface CallStart {
+export interface RoutedRequest {
   readonly exchange: CallerExchange;
   readonly call: CallContext;
   readonly route: Route;
@@ -43,7 +43,7 @@
 const BAD_GATEWAY = 502;
 const UNAVAILABLE = 503;
 /** Longest detail in a line of the log, in characters. */
-const MAX_DETAIL = 200;
+const MAX_DETAIL_LENGTH = 200;
 const GATEWAY_TIMEOUT = 504;
 /** When callers of a request that was not run should come back, in ms; up to as much again is added at random. */
 const RETRY_AFTER_MS = 100;
@@ -53,12 +53,12 @@
  */
 const PROGRAM_RETRY_AFTER_MS = 250;
 /** A runner that is silent for so many times the route's target has a fault, or is overloaded. */
-const PATIENCE_FACTOR = 3;
-const MIN_PATIENCE_MS = 400;
+const SILENCE_TIMEOUT_FACTOR = 3;
+const MIN_SILENCE_TIMEOUT_MS = 400;
 /** How often a runner that stays silent is looked at again, in ms. */
-const SILENCE_POLL_MS = 200;
+const SILENCE_CHECK_INTERVAL_MS = 200;
 /** Tries at runners within one call, whatever became of them. */
-const MAX_TRIES = 12;
+const MAX_TOTAL_ATTEMPTS = 12;
 
 /** See the module's comment. */
 export abstract class RoutedCall {
@@ -84,55 +84,57 @@
   /** What the present runner was chosen by; undefined where a dispatcher chose it. */
   #choice: RunnerChoice | undefined;
   /** The runner that holds most of the prompt, if any is known to. */
-  #holder: RunnerId | undefined;
-  #tries = 0;
-  #question: PendingPlaceRequest | undefined;
+  #promptHolder: RunnerId | undefined;
+  #attemptCount = 0;
+  #placeRequest: PendingPlaceRequest | undefined;
   /** The place of the present try; undefined where no dispatcher gave it. */
   #place: HeldPlace | undefined;
-  #timer: TimerHandle | undefined;
+  #deadlineTimer: TimerHandle | undefined;
   #silenceTimer: TimerHandle | undefined;
-  #over = false;
+  #isOver = false;
 
-  constructor(parts: AttemptParts, start: CallStart) {
+  constructor(parts: AttemptParts, request: RoutedRequest) {
     this.parts = parts;
-    this.exchange = start.exchange;
-    this.call = start.call;
-    this.route = start.route;
-    this.pool = start.pool;
-    this.tenant = start.tenant;
-    this.rank = start.rank;
-    this.#hidesKey = start.hidesKey;
+    this.exchange = request.exchange;
+    this.call = request.call;
+    this.route = request.route;
+    this.pool = request.pool;
+    this.tenant = request.tenant;
+    this.rank = request.rank;
+    this.#hidesKey = request.hidesKey;
     const { requestId, program } = this.call;
     this.exchange.buffers.request = requestId;
-    this.record = new CallRecord(requestId, program?.id, this.route.name, start.configurationVersion);
-    this.record.tenant = start.tenant?.name;
-    this.record.rate = start.rate;
-    this.deadlineAtMs = this.exchange.arrivedAtMs + callTimeMs(this.call, this.route);
+    this.record = new CallRecord(requestId, program?.id, this.route.name, request.configurationVersion);
+    this.record.tenant = request.tenant?.name;
+    this.record.rate = request.rate;
+    this.deadlineAtMs = this.exchange.arrivedAtMs + callTimeoutMs(this.call, this.route);
   }
 
   /** Begins; the call looks after itself from then on. */
   run(): void {
-    this.#timer = this.parts.context.clock.schedule(Math.max(0, this.leftMs), () => this.#onDeadline());
+    this.#deadlineTimer = this.parts.context.clock.schedule(Math.max(0, this.leftMs), () =>
+      this.#onDeadline(),
+    );
     this.exchange.onGone(() => this.#onGone());
-    if (!this.#over) this.begin();
+    if (!this.#isOver) this.begin();
   }
 
   protected abstract begin(): void;
   /** The next try, or the end. */
-  protected abstract next(): void;
+  protected abstract tryNext(): void;
   /** Called once when the call is over, however it ended. */
-  protected onOver(): void {}
+  protected onFinished(): void {}
 
   /** Whether the call, once sent to a runner, may be sent to another one although the first may have run it. */
-  protected abstract mayMove(runner: RunnerEntry): boolean;
+  protected abstract mayRetryElsewhere(runner: RunnerEntry): boolean;
 
   /** How urgent the call is among those that wait at a runner; undefined where nothing is known of it. */
   protected get urgency(): Urgency | undefined {
     return undefined;
   }
 
-  protected get over(): boolean {
-    return this.#over;
+  protected get isOver(): boolean {
+    return this.#isOver;
   }
 
   protected get leftMs(): number {
@@ -140,7 +142,7 @@
   }
 
   /** Longest wait for a place, in ms: a caller waits for an answer in one piece until its time is over. */
-  protected get mostPlaceWaitMs(): number {
+  protected get maxPlaceWaitMs(): number {
     return this.leftMs;
   }
 
@@ -164,35 +166,36 @@
    * Finds the runner for a try. While places are scarce, a dispatcher is asked for one; a call that may have run is not: it
    * must not wait behind others, nor be refused as not run.
    */
-  protected seekRunner(
+  protected findRunner(
     preferred: RunnerId | undefined,
     send: (runner: RunnerEntry | undefined) => void,
   ): void {
-    this.#holder = preferred;
+    this.#promptHolder = preferred;
     const { places } = this.parts;
-    if (this.mayHaveRun.size > 0 || !places.requiresPlace(this.pool)) return this.#goAlone(preferred, send);
+    if (this.mayHaveRun.size > 0 || !places.requiresPlace(this.pool))
+      return this.#chooseLocally(preferred, send);
     const atMs = this.elapsedMs;
-    const question = places.requestPlace({
+    const placeRequest = places.requestPlace({
       pool: this.pool,
       describe: () => this.#describe(preferred),
       onVerdict: (verdict, record) => {
-        this.#question = undefined;
+        this.#placeRequest = undefined;
         this.record.places.push({ ...record, atMs });
-        this.#onPlace(verdict, preferred, send);
+        this.#onPlaceVerdict(verdict, preferred, send);
       },
     });
-    if (!question.isOver) this.#question = question;
+    if (!placeRequest.isOver) this.#placeRequest = placeRequest;
   }
 
-  #goAlone(preferred: RunnerId | undefined, send: (runner: RunnerEntry | undefined) => void): void {
-    if (this.#tries === 0 && !this.mayBegin()) {
+  #chooseLocally(preferred: RunnerId | undefined, send: (runner: RunnerEntry | undefined) => void): void {
+    if (this.#attemptCount === 0 && !this.mayBegin()) {
       const detail = "the runners have no place for more programs";
       return this.refuse("overloaded", detail, PROGRAM_RETRY_AFTER_MS);
     }
     send(this.chooseRunner(preferred));
   }
 
-  #onPlace(
+  #onPlaceVerdict(
     verdict: PlaceVerdict,
     preferred: RunnerId | undefined,
     send: (runner: RunnerEntry | undefined) => void,
@@ -210,7 +213,7 @@
           verdict.retryAfterMs,
         );
       case "alone":
-        return this.#goAlone(preferred, send);
+        return this.#chooseLocally(preferred, send);
     }
   }
 
@@ -225,7 +228,7 @@
       rank: this.rank,
       hasBegun: this.hasBegun,
       dueInMs: programMs === undefined ? leftMs : programMs - elapsedMs,
-      patienceMs: Math.max(0, this.mostPlaceWaitMs),
+      patienceMs: Math.max(0, this.maxPlaceWaitMs),
       leftMs: Math.max(0, leftMs),
       tokens: this.tokens,
       preferred,
@@ -250,25 +253,28 @@
   }
 
   /** Whether a first try may be made at a runner, or another one can still end in the call's time. */
-  protected hasTimeAt(runner: RunnerEntry): boolean {
-    if (this.#tries === 0 || !this.#choice) return true;
+  protected hasTimeFor(runner: RunnerEntry): boolean {
+    if (this.#attemptCount === 0 || !this.#choice) return true;
     return canStillEnd(this.leftMs, this.parts.board.expectedMs(runner.id, this.#choice));
   }
 
   /** Sends the call to a runner; false when it has been tried too often. */
-  protected tryAt(
+  protected startAttempt(
     runner: RunnerEntry,
     body: Buffer,
     lastEventId: number | undefined,
     listener: AttemptListener,
   ): boolean {
-    this.#tries += 1;
-    if (this.#tries > MAX_TRIES) {
-      this.#returnPlace(false);
+    this.#attemptCount += 1;
+    if (this.#attemptCount > MAX_TOTAL_ATTEMPTS) {
+      this.#releasePlace(false);
       return false;
     }
     const { exchange, call, leftMs } = this;
-    const patienceMs = Math.max(MIN_PATIENCE_MS, this.route.targetLatencyMs * PATIENCE_FACTOR);
+    const silenceTimeoutMs = Math.max(
+      MIN_SILENCE_TIMEOUT_MS,
+      this.route.targetLatencyMs * SILENCE_TIMEOUT_FACTOR,
+    );
     const streaming = this.route.kind === "streaming";
     const request = {
       exchange,
@@ -277,31 +283,31 @@
       deadlineMs: leftMs,
       lastEventId,
       streaming,
-      patienceMs,
+      silenceTimeoutMs,
       isLeased: this.#place !== undefined,
       urgency: this.urgency,
       tenant: this.tenant?.name,
       hidesKey: this.#hidesKey,
       work: this.route.name,
-      isCached: this.#holder === runner.id,
+      isCached: this.#promptHolder === runner.id,
     };
-    this.#noteTry(runner);
+    this.#recordAttempt(runner);
     this.attempt = new RunnerAttempt(this.parts, runner, request, listener);
-    if (this.mayMove(runner)) this.#watchSilence(this.attempt, patienceMs);
+    if (this.mayRetryElsewhere(runner)) this.#watchForSilence(this.attempt, silenceTimeoutMs);
     return true;
   }
 
   /** Takes in that a try gave no answer. */
-  protected noteFailure(runner: RunnerEntry, failure: AttemptFailure): void {
+  protected recordFailure(runner: RunnerEntry, failure: AttemptFailure): void {
     if (failure.type === "broken") this.mayHaveRun.add(runner.id);
     else this.excluded.add(runner.id);
     const last = this.record.tries.at(-1);
     if (last) last.failure = failure.type === "notRun" ? `not run, status ${failure.status}` : failure.detail;
-    this.#returnPlace(failure.type !== "broken");
-    this.endTry();
+    this.#releasePlace(failure.type !== "broken");
+    this.endAttempt();
   }
 
-  #noteTry(runner: RunnerEntry): void {
+  #recordAttempt(runner: RunnerEntry): void {
     const { board, context } = this.parts;
     const load = board.load(runner.id);
     const failureRate = roundedShare(board.failureRate(runner.id, context.clock.monotonicMs()));
@@ -312,13 +318,13 @@
   }
 
   /** The runner has done with the present try. */
-  protected endTry(): void {
-    this.#returnPlace(false);
+  protected endAttempt(): void {
+    this.#releasePlace(false);
     const last = this.record.tries.at(-1);
     if (last) last.elapsedMs ??= this.elapsedMs - last.atMs;
   }
 
-  #returnPlace(turnedAway: boolean): void {
+  #releasePlace(turnedAway: boolean): void {
     this.#place?.release(turnedAway);
     this.#place = undefined;
   }
@@ -335,48 +341,48 @@
   }
 
   /** Ends the call: nobody can say whether it has run. */
-  protected failUnknown(detail: string): void {
+  protected failWithUnknownOutcome(detail: string): void {
     this.fail(BAD_GATEWAY, "outcome-unknown", detail);
   }
 
   /** Ends the call with an answer of the system's own, or by breaking off one that has begun. */
   protected fail(status: number, kind: string, detail: string, retryAfterMs?: number): void {
-    if (this.#over) return;
+    if (this.#isOver) return;
     const { started } = this.exchange;
     if (started) this.exchange.breakOff();
     else
       this.exchange.refuse({ status, kind, detail, ...(retryAfterMs === undefined ? {} : { retryAfterMs }) });
-    this.finish({ status: started ? 0 : status, kind, detail: detail.slice(0, MAX_DETAIL) });
+    this.finish({ status: started ? 0 : status, kind, detail: detail.slice(0, MAX_DETAIL_LENGTH) });
   }
 
   /** The call is over. */
   protected finish(end: CallEnd): void {
-    if (this.#over) return;
-    this.#over = true;
-    this.endTry();
-    if (this.#question) this.parts.places.cancel(this.#question);
+    if (this.#isOver) return;
+    this.#isOver = true;
+    this.endAttempt();
+    if (this.#placeRequest) this.parts.places.cancel(this.#placeRequest);
     const { elapsedMs, record } = this;
     this.parts.callLog.ended(record, end, elapsedMs);
     this.parts.context.metrics.callEnded(record.route, end, elapsedMs, record.firstByteMs);
-    if (this.#timer) this.parts.context.clock.cancel(this.#timer);
+    if (this.#deadlineTimer) this.parts.context.clock.cancel(this.#deadlineTimer);
     this.#cancelSilenceTimer();
     this.attempt?.abort();
-    this.onOver();
+    this.onFinished();
     this.exchange.releaseCall();
   }
 
   /** Moves the call from a runner that is silent and fails other requests too. */
-  #watchSilence(attempt: RunnerAttempt, waitMs: number): void {
+  #watchForSilence(attempt: RunnerAttempt, delayMs: number): void {
     const { clock } = this.parts.context;
     this.#cancelSilenceTimer();
-    this.#silenceTimer = clock.schedule(waitMs, () => {
-      if (this.#over || this.attempt !== attempt || !attempt.silent) return;
+    this.#silenceTimer = clock.schedule(delayMs, () => {
+      if (this.#isOver || this.attempt !== attempt || !attempt.silent) return;
       if (!this.parts.board.isOutlier(attempt.runner.id, clock.monotonicMs())) {
-        this.#watchSilence(attempt, SILENCE_POLL_MS);
+        this.#watchForSilence(attempt, SILENCE_CHECK_INTERVAL_MS);
         return;
       }
       this.silent.add(attempt.runner.id);
-      attempt.giveUp();
+      attempt.failAsSilent();
     });
   }
 
--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -57,7 +57,7 @@
   /** Whether the answer comes event by event. */
   readonly streaming: boolean;
   /** Silence after which the try speaks against its runner, in ms. */
-  readonly patienceMs: number;
+  readonly silenceTimeoutMs: number;
   /** Whether a dispatcher has placed it. */
   readonly isLeased: boolean;
   /** Among requests that wait at the runner; undefined where nothing is known of it. */
@@ -75,7 +75,7 @@
 const MISDIRECTED = 421;
 const FIRST_SERVER_ERROR = 500;
 /** Streams of fewer events say little of their runner's pace. */
-const MIN_PACED_EVENTS = 3;
+const MIN_TIMED_EVENTS = 3;
 
 /** See the module's comment. */
 export class RunnerAttempt implements HttpExchangeListener {
@@ -87,10 +87,10 @@
   readonly #pending: PendingRequest;
   /** Requests at the runner when this one came. */
   readonly #load: number;
-  #over = false;
+  #isOver = false;
   #status = 0;
   #firstByteMs = 0;
-  #chunks = 0;
+  #chunkCount = 0;
   /** Status of an answer that says that nothing was run; its body is read and dropped. */
   #notRunStatus: number | undefined;
 
@@ -100,7 +100,7 @@
     this.#request = request;
     this.#listener = listener;
     this.#load = parts.board.load(runner.id);
-    this.#pending = parts.board.started(runner.id, this.#nowMs, request.patienceMs, request.isLeased);
+    this.#pending = parts.board.started(runner.id, this.#nowMs, request.silenceTimeoutMs, request.isLeased);
     const { exchange, body, deadlineMs, lastEventId, urgency, tenant, hidesKey } = request;
     const headers = parts.context.platform.calls.headersForRunner(exchange.rawHeaders, {
       deadlineMs,
@@ -119,29 +119,29 @@
 
   /** Gives the try up; the runner is told by the end of the connection. */
   abort(): void {
-    if (this.#over) return;
+    if (this.#isOver) return;
     this.#finish("abandoned");
     this.#exchange.abort();
   }
 
   /** Reads no more of the answer for now. */
   pause(): void {
-    if (!this.#over) this.#exchange.pause();
+    if (!this.#isOver) this.#exchange.pause();
   }
 
   /** Reads the answer on. */
   resume(): void {
-    if (!this.#over) this.#exchange.resume();
+    if (!this.#isOver) this.#exchange.resume();
   }
 
   /** Whether nothing of an answer has come. */
   get silent(): boolean {
-    return !this.#over && !this.#pending.answered;
+    return !this.#isOver && !this.#pending.answered;
   }
 
   /** Takes the runner's silence for a failure. */
-  giveUp(): void {
-    if (this.#over) return;
+  failAsSilent(): void {
+    if (this.#isOver) return;
     this.#exchange.abort();
     this.#fail({ type: "broken", detail: "the runner is silent, and fails others too" });
   }
@@ -161,8 +161,8 @@
   }
 
   onData(chunk: Buffer): void {
-    if (this.#notRunStatus !== undefined || this.#over) return;
-    this.#chunks += 1;
+    if (this.#notRunStatus !== undefined || this.#isOver) return;
+    this.#chunkCount += 1;
     this.#listener.onData(chunk);
   }
 
@@ -171,8 +171,8 @@
       this.#fail({ type: "notRun", status: this.#notRunStatus });
       return;
     }
-    if (this.#over) return;
-    this.#notePace();
+    if (this.#isOver) return;
+    this.#recordTiming();
     this.#finish(this.#status < FIRST_SERVER_ERROR ? "success" : "failure");
     this.#listener.onEnd();
   }
@@ -183,7 +183,7 @@
   }
 
   #fail(failure: AttemptFailure): void {
-    if (this.#over) return;
+    if (this.#isOver) return;
     this.#finish(failure.type === "broken" ? "failure" : "abandoned");
     const { board } = this.#parts;
     if (failure.type === "notRun" && failure.status === MISDIRECTED) board.markLeaving(this.runner.id);
@@ -192,21 +192,21 @@
   }
 
   #finish(outcome: RequestOutcome): void {
-    this.#over = true;
+    this.#isOver = true;
     const nowMs = this.#nowMs;
     this.#parts.board.ended(this.#pending, outcome, nowMs);
     this.#parts.context.metrics.tryEnded(outcome, nowMs - this.#pending.startedAtMs);
   }
 
   /** Events of a stream come as they are made; another answer is one step. */
-  #notePace(): void {
+  #recordTiming(): void {
     const { streaming, work, isCached, call } = this.#request;
-    if (streaming && this.#chunks < MIN_PACED_EVENTS) return;
+    if (streaming && this.#chunkCount < MIN_TIMED_EVENTS) return;
     const nowMs = this.#nowMs;
     const { startedAtMs } = this.#pending;
     const timing = {
       work,
-      steps: streaming ? this.#chunks : 1,
+      steps: streaming ? this.#chunkCount : 1,
       workMs: nowMs - (streaming ? this.#firstByteMs : startedAtMs),
       firstMs: this.#firstByteMs - startedAtMs,
       promptTokens: call.promptTokens,
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -16,14 +16,14 @@
 import { roundedShare } from "../telemetry/rounded-share.ts";
 import { EventSplitter, type StreamEvent } from "./event-splitter.ts";
 import { OWNER_RETRY_AFTER_MS } from "./owner-retry.ts";
-import { type CallStart, RoutedCall } from "./routed-call.ts";
+import { RoutedCall, type RoutedRequest } from "./routed-call.ts";
 import type { AttemptFailure, AttemptListener, AttemptParts } from "./runner-attempt.ts";
 
 /**
  * Longest wait for a place, in ms. Callers take a stream that stays silent for much longer for lost, and their new try would
  * begin behind all others.
  */
-const MOST_PLACE_WAIT_MS = 1_500;
+const MAX_PLACE_WAIT_MS = 1_500;
 const PAYMENT_REQUIRED = 402;
 const NOT_FOUND = 404;
 const FIRST_FAILURE_STATUS = 300;
@@ -38,32 +38,32 @@
   #history: readonly Uint8Array[] = [];
   #preferred: RunnerId | undefined;
   #admitted = false;
-  #startedHead: HttpAnswerHead | undefined;
-  #events = 0;
+  #sentHead: HttpAnswerHead | undefined;
+  #eventCount = 0;
   #lastEventId: number | undefined;
   #lastRunner: RunnerId | undefined;
 
-  constructor(parts: AttemptParts, partitions: PartitionClient, start: CallStart) {
-    super(parts, start);
+  constructor(parts: AttemptParts, partitions: PartitionClient, request: RoutedRequest) {
+    super(parts, request);
     this.#partitions = partitions;
     this.#lastEventId = this.call.lastEventId;
   }
 
   protected override begin(): void {
-    this.exchange.onRoom(() => this.#holdRunner(false));
+    this.exchange.onRoom(() => this.#setRunnerPaused(false));
     // The answer is kept whole, and what an earlier try has handed to the caller is not known here.
     if (this.route.retainsTurns && this.#lastEventId !== undefined) {
       return this.refuse("cannot-resume", "Send the turn again from its start.");
     }
-    if (this.#isTurn) void this.#admit();
-    else this.next();
+    if (this.#requiresAdmission) void this.#admit();
+    else this.tryNext();
   }
 
-  protected override next(): void {
-    const same = this.#sameRunner();
-    if (same) return this.#sendTo(same);
+  protected override tryNext(): void {
+    const resumed = this.#runnerToResume();
+    if (resumed) return this.#sendTo(resumed);
     if (this.#runnersLeft <= 0) return this.#giveUp("no runner can take the turn");
-    this.seekRunner(this.#preferred, (runner) => {
+    this.findRunner(this.#preferred, (runner) => {
       if (runner) this.#sendTo(runner);
       else this.#giveUp("no runner can take the turn");
     });
@@ -71,20 +71,20 @@
 
   #sendTo(runner: RunnerEntry): void {
     // A stream that has begun goes on: what it still brings is of use to the caller.
-    if (this.#events === 0 && !this.hasTimeAt(runner))
+    if (this.#eventCount === 0 && !this.hasTimeFor(runner))
       return this.#giveUp("no time is left for another runner");
     this.#splitter.reset();
-    const tried = this.tryAt(runner, this.#body(), this.#lastEventId, this.#listenerFor(runner));
-    if (!tried) this.#giveUp("too many runners refused the turn");
+    const isStarted = this.startAttempt(runner, this.#body(), this.#lastEventId, this.#listenerFor(runner));
+    if (!isStarted) this.#giveUp("too many runners refused the turn");
   }
 
-  protected override mayMove(runner: RunnerEntry): boolean {
+  protected override mayRetryElsewhere(runner: RunnerEntry): boolean {
     const ran = new Set([...this.mayHaveRun, runner.id]);
     return this.route.resumable && ran.size < this.route.maxAttempts;
   }
 
-  protected override get mostPlaceWaitMs(): number {
-    return Math.min(MOST_PLACE_WAIT_MS, this.leftMs);
+  protected override get maxPlaceWaitMs(): number {
+    return Math.min(MAX_PLACE_WAIT_MS, this.leftMs);
   }
 
   protected override get urgency(): Urgency | undefined {
@@ -96,13 +96,13 @@
     });
   }
 
-  protected override onOver(): void {
-    this.#holdRunner(false);
+  protected override onFinished(): void {
+    this.#setRunnerPaused(false);
     if (this.#admitted) void this.#partitions.end(this.#endRequest());
   }
 
   /** Whether the owner of the program's partition has to be asked. */
-  get #isTurn(): boolean {
+  get #requiresAdmission(): boolean {
     const { program } = this.call;
     return program !== undefined && (program.tokenBudget !== undefined || this.route.retainsTurns);
   }
@@ -127,18 +127,21 @@
         ? { previousTurn: program.previousTurn, tenant: this.tenant?.name }
         : undefined,
     };
-    const patienceAtMs = Math.min(this.deadlineAtMs, clock.monotonicMs() + settings.timing.ownerWaitMs);
+    const admissionDeadlineAtMs = Math.min(
+      this.deadlineAtMs,
+      clock.monotonicMs() + settings.timing.ownerWaitMs,
+    );
     const askedMs = this.elapsedMs;
-    const answer = await this.#partitions.admit(request, patienceAtMs, () => this.over);
-    this.#noteAdmission(request.partition, answer, this.elapsedMs - askedMs);
+    const answer = await this.#partitions.admit(request, admissionDeadlineAtMs, () => this.isOver);
+    this.#recordAdmission(request.partition, answer, this.elapsedMs - askedMs);
     this.#admitted = answer.type !== "exhausted";
-    if (!this.over) this.#onAdmission(answer);
-    else if (this.#admitted) this.onOver();
+    if (!this.isOver) this.#onAdmission(answer);
+    else if (this.#admitted) this.onFinished();
   }
 
   /** Nobody knows that of programs whose turns no owner admits: none of their turns is taken for the first. */
   protected override get hasBegun(): boolean {
-    return !this.#isTurn || this.#preferred !== undefined;
+    return !this.#requiresAdmission || this.#preferred !== undefined;
   }
 
   /** Whether the turn goes on with a program, or the runners have a place for one more. */
@@ -151,16 +154,16 @@
     return mayBegin({ occupancy, rank: this.rank, sample: context.random.unit() });
   }
 
-  #noteAdmission(partition: number, answer: AdmitTurnResponse, elapsedMs: number): void {
+  #recordAdmission(partition: number, answer: AdmitTurnResponse, elapsedMs: number): void {
     const spent = answer.type === "exhausted" ? { spentTokens: answer.spent } : {};
     const owner = this.#partitions.ownerOf(partition);
     const previousTurn = this.call.program?.previousTurn;
-    const goesOn = previousTurn === undefined ? {} : { previousTurn };
-    this.record.admission = { partition, owner, answer: answer.type, ...goesOn, ...spent, elapsedMs };
+    const previous = previousTurn === undefined ? {} : { previousTurn };
+    this.record.admission = { partition, owner, answer: answer.type, ...previous, ...spent, elapsedMs };
     this.parts.context.metrics.admitted(answer.type, elapsedMs);
   }
 
-  #noteRetention(heldBy: RetentionRecord["heldBy"], atMs: number): void {
+  #recordRetention(heldBy: RetentionRecord["heldBy"], atMs: number): void {
     const elapsedMs = this.elapsedMs - atMs;
     this.record.retention = { heldBy, atMs, elapsedMs };
     this.parts.context.metrics.retained(heldBy, elapsedMs);
@@ -169,9 +172,9 @@
   #onAdmission(answer: AdmitTurnResponse): void {
     switch (answer.type) {
       case "granted":
-        this.#takeHistory(answer.history);
+        this.#setHistory(answer.history);
         this.#preferred = answer.runner;
-        return this.next();
+        return this.tryNext();
       case "exhausted":
         return this.fail(
           PAYMENT_REQUIRED,
@@ -186,14 +189,14 @@
   }
 
   /** Takes what was said before; it is held twice, as it came and joined with the caller's input. */
-  #takeHistory(history: readonly Uint8Array[]): void {
+  #setHistory(history: readonly Uint8Array[]): void {
     this.#history = history;
     const bytes = history.reduce((sum, { length }) => sum + length, 0);
     this.exchange.buffers.add("bodies", 2 * bytes);
   }
 
   /** A stream goes on where it ran, as long as that runner is there: another one would be one more that runs it. */
-  #sameRunner(): RunnerEntry | undefined {
+  #runnerToResume(): RunnerEntry | undefined {
     const last = this.#lastRunner;
     if (last === undefined || this.excluded.has(last) || this.silent.has(last)) return undefined;
     return this.mayHaveRun.has(last) ? this.parts.board.ready(last) : undefined;
@@ -202,8 +205,8 @@
   /** How many runners more may run the turn; those that are gone do not count. */
   get #runnersLeft(): number {
     const { board } = this.parts;
-    const there = [...this.mayHaveRun].filter((id) => board.listed(id) && !this.excluded.has(id));
-    return this.route.maxAttempts - there.length;
+    const present = [...this.mayHaveRun].filter((id) => board.listed(id) && !this.excluded.has(id));
+    return this.route.maxAttempts - present.length;
   }
 
   #body(): Buffer {
@@ -223,10 +226,10 @@
       onData: (chunk) => {
         if (failed()) failedBody.push(chunk);
         else for (const event of this.#splitter.push(chunk)) this.#forward(event, head);
-        if (this.exchange.isFull) this.#holdRunner(true);
+        if (this.exchange.isFull) this.#setRunnerPaused(true);
       },
       onEnd: () => {
-        if (failed()) this.#answerFailure(runner, head, Buffer.concat(failedBody));
+        if (failed()) this.#forwardFailure(runner, head, Buffer.concat(failedBody));
         else void this.#complete(head);
       },
       onFailed: (failure) => this.#onFailed(runner, failure),
@@ -236,9 +239,9 @@
   #forward(event: StreamEvent, head: HttpAnswerHead | undefined): void {
     const last = this.#lastEventId;
     if (event.id !== undefined && last !== undefined && event.id <= last) return;
-    this.#start(head);
+    this.#sendHead(head);
     this.exchange.write(event.bytes);
-    this.#events += 1;
+    this.#eventCount += 1;
     if (event.id !== undefined) this.#lastEventId = event.id;
     if (!this.route.retainsTurns) return;
     this.#output.push(event.data, "\n");
@@ -246,27 +249,27 @@
   }
 
   /** Has the runner wait while its caller takes too little, or go on. */
-  #holdRunner(waits: boolean): void {
+  #setRunnerPaused(isPaused: boolean): void {
     const { buffers } = this.exchange;
-    if (buffers.holdsRunner === waits) return;
-    buffers.holdsRunner = waits;
-    this.parts.buffers.noteRunnerWaiting(waits);
-    if (waits) this.attempt?.pause();
+    if (buffers.holdsRunner === isPaused) return;
+    buffers.holdsRunner = isPaused;
+    this.parts.buffers.noteRunnerWaiting(isPaused);
+    if (isPaused) this.attempt?.pause();
     else this.attempt?.resume();
   }
 
-  #start(head: HttpAnswerHead | undefined): void {
-    if (this.#startedHead || !head) return;
-    this.#startedHead = head;
+  #sendHead(head: HttpAnswerHead | undefined): void {
+    if (this.#sentHead || !head) return;
+    this.#sentHead = head;
     this.record.firstByteMs = this.elapsedMs;
     const { calls } = this.parts.context.platform;
     this.exchange.start(head.status, calls.headersForCaller(head.rawHeaders));
   }
 
   /** The runner itself answered with a failure. */
-  #answerFailure(runner: RunnerEntry, head: HttpAnswerHead | undefined, body: Buffer): void {
+  #forwardFailure(runner: RunnerEntry, head: HttpAnswerHead | undefined, body: Buffer): void {
     this.attempt = undefined;
-    if (this.#startedHead || !head) {
+    if (this.#sentHead || !head) {
       return this.#onFailed(runner, { type: "broken", detail: `status ${head?.status} in mid-stream` });
     }
     const { calls } = this.parts.context.platform;
@@ -276,13 +279,13 @@
 
   async #complete(head: HttpAnswerHead | undefined): Promise<void> {
     this.attempt = undefined;
-    this.endTry();
-    this.#start(head);
+    this.endAttempt();
+    this.#sendHead(head);
     const { rest } = this.#splitter;
     if (rest.length > 0) this.exchange.write(rest);
     if (this.#admitted && this.route.retainsTurns && !(await this.#retain())) return;
     this.exchange.end();
-    this.finish({ status: this.#startedHead?.status ?? 0, kind: "answered" });
+    this.finish({ status: this.#sentHead?.status ?? 0, kind: "answered" });
   }
 
   /** Has the turn kept before its answer ends. */
@@ -299,8 +302,8 @@
     const { requestId } = this.call;
     const isStored = await this.#partitions.store(requestId, content, Math.max(0, this.leftMs));
     // The caller has gone, or its time is over: the owner was told then.
-    if (this.over) return false;
-    this.#noteRetention(isStored ? "store" : "nobody", atMs);
+    if (this.isOver) return false;
+    this.#recordRetention(isStored ? "store" : "nobody", atMs);
     if (!isStored) {
       this.fail(0, "unavailable", "The turn could not be kept: the store does not take it.");
       return false;
@@ -312,15 +315,15 @@
 
   /** Tokens that the caller was handed. */
   get #tokens(): number {
-    return this.#events * (this.pool.engine?.tokensPerEvent ?? 1);
+    return this.#eventCount * (this.pool.engine?.tokensPerEvent ?? 1);
   }
 
   #endRequest(): EndTurnRequest {
     const { program, requestId } = this.call;
-    const name = program?.id ?? ("" as ProgramId);
+    const programId = program?.id ?? ("" as ProgramId);
     return {
-      partition: this.#partitions.partitionOf(name),
-      program: name,
+      partition: this.#partitions.partitionOf(programId),
+      program: programId,
       session: program?.session,
       turn: requestId,
       budget: this.#budget,
@@ -332,17 +335,17 @@
 
   #onFailed(runner: RunnerEntry, failure: AttemptFailure): void {
     this.attempt = undefined;
-    this.#holdRunner(false);
-    this.noteFailure(runner, failure);
+    this.#setRunnerPaused(false);
+    this.recordFailure(runner, failure);
     if (failure.type === "broken") {
       this.#lastRunner = runner.id;
-      if (!this.route.resumable) return this.failUnknown(`the stream broke: ${failure.detail}`);
+      if (!this.route.resumable) return this.failWithUnknownOutcome(`the stream broke: ${failure.detail}`);
     }
-    this.next();
+    this.tryNext();
   }
 
   #giveUp(detail: string): void {
-    if (this.mayHaveRun.size > 0) this.failUnknown(detail);
+    if (this.mayHaveRun.size > 0) this.failWithUnknownOutcome(detail);
     else this.refuse("overloaded", detail);
   }
 }
