--- a/src/gateway/calls/buffered-call.ts
+++ b/src/gateway/calls/buffered-call.ts
@@ -1,11 +1,13 @@
-/** A call whose answer is one piece. It is run again only where its route says that this does no harm. */
+/**
+ * A call whose answer is collected whole before it is sent to the caller. The call is run again only if its route declares
+ * that to be safe.
+ */
 
 import type { HttpAnswerHead } from "../../ports/http/http-exchange.ts";
 import type { RunnerEntry } from "../../scheduling/runner-board/runner-entry.ts";
 import { RoutedCall } from "./routed-call.ts";
 import type { AttemptFailure } from "./runner-attempt.ts";
 
-/** See the module's comment. */
 export class BufferedCall extends RoutedCall {
   protected override begin(): void {
     this.tryNext();
--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -1,4 +1,4 @@
-/** Takes each caller's request to its route, and has it carried out. */
+/** Finds the route of each caller's request, checks whether the caller may send it, and runs the call. */
 import type { CallContext } from "../../ports/call-protocol.ts";
 import { choosePool, type RouteTable } from "../../scheduling/routing/route-table.ts";
 import type { Route, RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
@@ -38,7 +38,10 @@
   kind: "unknown-key",
   detail: "The request needs the key of a tenant.",
 };
-/** The time to come back is that of a new connection: other gateways know the newest configuration, or will soon. */
+/**
+ * Other gateways have the newest configuration, or will have it soon. The retry delay is therefore the time to open a new
+ * connection.
+ */
 const STALE_CONFIGURATION: CallerProblem = {
   status: 503,
   kind: "configuration-stale",
@@ -46,11 +49,11 @@
   retryAfterMs: 150,
   goElsewhere: true,
 };
-/** Part of a request's time for which the owner of its tenant's limit is looked for; the rest is for the runner. */
+/** Fraction of a call's timeout for which the owner of its tenant's limit is looked for; the rest is for the runner. */
 const MAX_OWNER_WAIT_FRACTION = 0.5;
 const HASH_RANGE = 2 ** 32;
 
-/** Where a request goes, and for whom. */
+/** The route and the runner pool of a call, and its tenant. */
 interface Destination {
   readonly call: CallContext;
   readonly route: Route;
@@ -58,7 +61,7 @@
   readonly tenant: Tenant | undefined;
 }
 
-/** What is known of a request that is refused before it is carried out. */
+/** What is known about a request that is refused before it runs. */
 interface RefusedCall {
   readonly call: CallContext;
   readonly route: Route | undefined;
@@ -66,7 +69,6 @@
   readonly rate?: RateRecord;
 }
 
-/** See the module's comment. */
 export class CallService {
   readonly #parts: AttemptParts;
   readonly #partitions: PartitionClient;
@@ -76,7 +78,7 @@
 
   /**
    * @param routes the routes in force; undefined while this gateway cannot serve
-   * @param canTrustKeys whether the keys of the configuration in force can't have been taken away long ago
+   * @param canTrustKeys whether the keys of the configuration in force may be trusted: none was revoked long ago
    */
   constructor(
     parts: AttemptParts,
@@ -92,7 +94,7 @@
     this.#canTrustKeys = canTrustKeys;
   }
 
-  /** Decides by a request's head whether it is carried out. */
+  /** Decides by a request's head whether the request is accepted. */
   decide(head: CallerHead): HeadVerdict {
     const routes = this.#routes();
     if (!routes) return { type: "refuse", problem: STARTING };
@@ -110,7 +112,7 @@
     return { type: "take", run: (exchange) => void this.#admit(exchange, destination, routes) };
   }
 
-  /** Carries a request out once its tenant may send it. */
+  /** Runs a call if its tenant's limit admits it. */
   async #admit(exchange: CallerExchange, destination: Destination, routes: RouteTable): Promise<void> {
     const { tenant, call, route } = destination;
     if (tenant?.limit === undefined) return this.#run(exchange, destination, routes, undefined);
@@ -169,7 +171,7 @@
     return name === undefined ? undefined : routes.pool(name);
   }
 
-  /** Refuses a request, with a line in the log. */
+  /** Refuses a request and logs the refusal. */
   #refuse(
     problem: CallerProblem,
     call: CallContext,
@@ -180,7 +182,7 @@
     return { type: "refuse", problem };
   }
 
-  /** A line in the log for a request that is refused before it is carried out. */
+  /** Logs and counts a request that is refused before it runs. */
   #logRefusal(
     { status, kind, detail }: CallerProblem,
     { call, route, tenant, rate }: RefusedCall,
--- a/src/gateway/calls/event-splitter.ts
+++ b/src/gateway/calls/event-splitter.ts
@@ -1,28 +1,27 @@
-/** Cuts a stream of bytes (`text/event-stream`) into whole events. */
+/** Splits a stream of bytes (`text/event-stream`) into whole events. */
 
-/** One event, as its bytes stood. */
+/** One event of a stream, with its bytes unchanged. */
 export interface StreamEvent {
-  /** All bytes, the blank line at the end included. */
+  /** All bytes, including the blank line at the end. */
   readonly bytes: Buffer;
-  /** The event's number, when it has one. */
+  /** The event's number, if it has one. */
   readonly id: number | undefined;
-  /** The event's data, its lines joined by line feeds. */
+  /** The event's data, with its lines joined by line feeds. */
   readonly data: string;
 }
 
 const EVENT_END = "\n\n";
 const EVENT_END_CRLF = "\r\n\r\n";
 
-/** See the module's comment. */
 export class EventSplitter {
   #rest: Buffer = Buffer.alloc(0);
 
-  /** Bytes that belong to an event that is not whole yet. */
+  /** The bytes of an event that is not complete yet. */
   get rest(): Buffer {
     return this.#rest;
   }
 
-  /** Takes in bytes; returns the events that are whole now. */
+  /** Adds bytes; returns the events that are complete now. */
   push(chunk: Buffer): StreamEvent[] {
     this.#rest = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     const events: StreamEvent[] = [];
@@ -33,13 +32,13 @@
     return events;
   }
 
-  /** Drops what is not whole. */
+  /** Discards an incomplete event. */
   reset(): void {
     this.#rest = Buffer.alloc(0);
   }
 }
 
-/** Where the first event ends; 0 when none is whole. */
+/** The end of the first event; 0 if no event is complete. */
 function eventEnd(bytes: Buffer): number {
   const plain = bytes.indexOf(EVENT_END);
   const crlf = bytes.indexOf(EVENT_END_CRLF);
--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -1,4 +1,7 @@
-/** What plain calls and turns have in common: the time they have, the runners they met, and how they end early. */
+/**
+ * The common part of buffered and streamed calls: their deadline, the choice of runners, the attempts made at them, and the
+ * ways in which a call ends early.
+ */
 
 import type { CallContext } from "../../ports/call-protocol.ts";
 import type { TimerHandle } from "../../runtime/clock.ts";
@@ -22,45 +25,44 @@
 import type { AttemptFailure, AttemptListener, AttemptParts } from "./runner-attempt.ts";
 import { RunnerAttempt } from "./runner-attempt.ts";
 
-/** What is known of a call when it begins. */
+/** A caller's request, together with what was decided about it before the call starts. */
 export interface RoutedRequest {
   readonly exchange: CallerExchange;
   readonly call: CallContext;
   readonly route: Route;
   readonly pool: RunnerPool;
-  /** For whom the call is made; undefined where it needs no key. */
+  /** The tenant of the call; undefined if the route needs no key. */
   readonly tenant: Tenant | undefined;
-  /** How important the call is among all, 0 the most. */
+  /** Priority among all calls; 0 is the highest. */
   readonly rank: number;
-  /** Whether runners must not see what authorizes the caller. */
+  /** Whether the caller's key must be hidden from runners. */
   readonly hidesKey: boolean;
-  /** What the owner of the tenant's limit said; undefined where there is no limit. */
+  /** The answer of the owner of the tenant's limit; undefined if the tenant has no limit. */
   readonly rate: RateRecord | undefined;
-  /** Version of the configuration that the route is from. */
+  /** Version of the configuration that contains the route. */
   readonly configurationVersion: number;
 }
 
 const BAD_GATEWAY = 502;
 const UNAVAILABLE = 503;
-/** Longest detail in a line of the log, in characters. */
+/** Maximum length of the detail in a log line, in characters. */
 const MAX_DETAIL_LENGTH = 200;
 const GATEWAY_TIMEOUT = 504;
-/** When callers of a request that was not run should come back, in ms; up to as much again is added at random. */
+/** Retry delay for callers whose request was not run, in ms; a random time of up to the same length is added. */
 const RETRY_AFTER_MS = 100;
 /**
- * When programs should come back that were refused because the runners are full, in ms; up to as much again is added at
- * random. About the time of a turn: by then some programs have ended, and the decision is made anew.
+ * Retry delay for programs that were refused because the runners are full, in ms; a random time of up to the same length is
+ * added. It is about the duration of a turn: by then some programs have ended, and the decision is made again.
  */
 const PROGRAM_RETRY_AFTER_MS = 250;
-/** A runner that is silent for so many times the route's target has a fault, or is overloaded. */
+/** A runner that is silent for this multiple of the route's target latency is faulty or overloaded. */
 const SILENCE_TIMEOUT_FACTOR = 3;
 const MIN_SILENCE_TIMEOUT_MS = 400;
-/** How often a runner that stays silent is looked at again, in ms. */
+/** How often a runner that stays silent is checked again, in ms. */
 const SILENCE_CHECK_INTERVAL_MS = 200;
-/** Tries at runners within one call, whatever became of them. */
+/** Maximum number of attempts within one call, whatever their outcome. */
 const MAX_TOTAL_ATTEMPTS = 12;
 
-/** See the module's comment. */
 export abstract class RoutedCall {
   protected readonly parts: AttemptParts;
   protected readonly exchange: CallerExchange;
@@ -69,25 +71,25 @@
   protected readonly pool: RunnerPool;
   protected readonly tenant: Tenant | undefined;
   protected readonly rank: number;
-  /** Of the monotonic clock: when the route's or the caller's time is over. */
+  /** When the timeout of the route or the caller expires, by the monotonic clock. */
   protected readonly deadlineAtMs: number;
   /** Runners that refused the call, or could not be reached. */
   protected readonly excluded = new Set<RunnerId>();
-  /** Runners that were silent for too long; what may run twice goes to others. */
+  /** Runners that were silent for too long; a call that may run twice is sent to others. */
   protected readonly silent = new Set<RunnerId>();
-  /** Runners that may have run it. */
+  /** Runners that may have run the call. */
   protected readonly mayHaveRun = new Set<RunnerId>();
   protected attempt: RunnerAttempt | undefined;
-  /** What goes into the log when the call is over. */
+  /** The content of the log line that is written when the call is over. */
   protected readonly record: CallRecord;
   readonly #hidesKey: boolean;
-  /** What the present runner was chosen by; undefined where a dispatcher chose it. */
+  /** The inputs by which the current runner was chosen; undefined if a dispatcher chose it. */
   #choice: RunnerChoice | undefined;
-  /** The runner that holds most of the prompt, if any is known to. */
+  /** The runner that holds most of the prompt, if one is known. */
   #promptHolder: RunnerId | undefined;
   #attemptCount = 0;
   #placeRequest: PendingPlaceRequest | undefined;
-  /** The place of the present try; undefined where no dispatcher gave it. */
+  /** The place of the current attempt; undefined if no dispatcher granted one. */
   #place: HeldPlace | undefined;
   #deadlineTimer: TimerHandle | undefined;
   #silenceTimer: TimerHandle | undefined;
@@ -110,7 +112,7 @@
     this.deadlineAtMs = this.exchange.arrivedAtMs + callTimeoutMs(this.call, this.route);
   }
 
-  /** Begins; the call looks after itself from then on. */
+  /** Starts the call, which ends by itself when it is answered, fails or times out. */
   run(): void {
     this.#deadlineTimer = this.parts.context.clock.schedule(Math.max(0, this.leftMs), () =>
       this.#onDeadline(),
@@ -120,15 +122,15 @@
   }
 
   protected abstract begin(): void;
-  /** The next try, or the end. */
+  /** Starts the next attempt, or ends the call. */
   protected abstract tryNext(): void;
   /** Called once when the call is over, however it ended. */
   protected onFinished(): void {}
 
-  /** Whether the call, once sent to a runner, may be sent to another one although the first may have run it. */
+  /** Whether a call that was sent to a runner may be retried at another one, although the first may have run it. */
   protected abstract mayRetryElsewhere(runner: RunnerEntry): boolean;
 
-  /** How urgent the call is among those that wait at a runner; undefined where nothing is known of it. */
+  /** The urgency among the calls that wait at a runner; undefined if unknown. */
   protected get urgency(): Urgency | undefined {
     return undefined;
   }
@@ -141,30 +143,30 @@
     return this.deadlineAtMs - this.parts.context.clock.monotonicMs();
   }
 
-  /** Longest wait for a place, in ms: a caller waits for an answer in one piece until its time is over. */
+  /** Maximum wait for a place, in ms: the caller of a buffered call waits until the call's deadline. */
   protected get maxPlaceWaitMs(): number {
     return this.leftMs;
   }
 
-  /** Whether the call goes on with a program that has begun. */
+  /** Whether the call belongs to a program that has begun. */
   protected get hasBegun(): boolean {
     return this.call.program !== undefined;
   }
 
-  /** Tokens that the call takes up of a runner's memory. */
+  /** Tokens that the call occupies in a runner's memory. */
   protected get tokens(): number {
     const { promptTokens = 0, maxGeneratedTokens = 0 } = this.call;
     return this.pool.engine === undefined ? 0 : promptTokens + maxGeneratedTokens;
   }
 
-  /** Whether a call that no dispatcher decides on may be sent; called before its first try. */
+  /** Whether a call that no dispatcher decides on may be sent; called before its first attempt. */
   protected mayBegin(): boolean {
     return true;
   }
 
   /**
-   * Finds the runner for a try. While places are scarce, a dispatcher is asked for one; a call that may have run is not: it
-   * must not wait behind others, nor be refused as not run.
+   * Finds the runner for an attempt. While places are scarce, the call requests one from a dispatcher, unless it may have
+   * run already: such a call must not wait behind others, nor be refused as not run.
    */
   protected findRunner(
     preferred: RunnerId | undefined,
@@ -252,13 +254,16 @@
     return chosen ?? board.choose({ ...choice, mayTake: connections.lastRoom(this.pool.name) });
   }
 
-  /** Whether a first try may be made at a runner, or another one can still end in the call's time. */
+  /**
+   * Whether another attempt at a runner can still end in the call's time. Always true for the first attempt, and for a
+   * runner that a dispatcher chose.
+   */
   protected hasTimeFor(runner: RunnerEntry): boolean {
     if (this.#attemptCount === 0 || !this.#choice) return true;
     return canStillEnd(this.leftMs, this.parts.board.expectedMs(runner.id, this.#choice));
   }
 
-  /** Sends the call to a runner; false when it has been tried too often. */
+  /** Sends the call to a runner; returns false if it has had too many attempts. */
   protected startAttempt(
     runner: RunnerEntry,
     body: Buffer,
@@ -297,7 +302,7 @@
     return true;
   }
 
-  /** Takes in that a try gave no answer. */
+  /** Records that an attempt got no answer. */
   protected recordFailure(runner: RunnerEntry, failure: AttemptFailure): void {
     if (failure.type === "broken") this.mayHaveRun.add(runner.id);
     else this.excluded.add(runner.id);
@@ -317,7 +322,7 @@
     this.record.tries.push({ runner: runner.id, load, failureRate, ...expected, atMs: this.elapsedMs });
   }
 
-  /** The runner has done with the present try. */
+  /** Ends the current attempt: the runner no longer works on it. */
   protected endAttempt(): void {
     this.#releasePlace(false);
     const last = this.record.tries.at(-1);
@@ -334,18 +339,18 @@
     return Math.round(this.parts.context.clock.monotonicMs() - this.exchange.arrivedAtMs);
   }
 
-  /** Ends the call: no runner has run it, and none will. */
+  /** Ends the call with a refusal: no runner has run it, and none will. */
   protected refuse(kind: string, detail: string, retryAfterMs = RETRY_AFTER_MS): void {
     const { random } = this.parts.context;
     this.fail(UNAVAILABLE, kind, detail, retryAfterMs * (1 + random.unit()));
   }
 
-  /** Ends the call: nobody can say whether it has run. */
+  /** Ends the call with an error: it is unknown whether the call has run. */
   protected failWithUnknownOutcome(detail: string): void {
     this.fail(BAD_GATEWAY, "outcome-unknown", detail);
   }
 
-  /** Ends the call with an answer of the system's own, or by breaking off one that has begun. */
+  /** Ends the call with an error response of the gateway, or by aborting an answer that has begun. */
   protected fail(status: number, kind: string, detail: string, retryAfterMs?: number): void {
     if (this.#isOver) return;
     const { started } = this.exchange;
@@ -355,7 +360,7 @@
     this.finish({ status: started ? 0 : status, kind, detail: detail.slice(0, MAX_DETAIL_LENGTH) });
   }
 
-  /** The call is over. */
+  /** Ends the call: logs and counts it, and releases what it holds. */
   protected finish(end: CallEnd): void {
     if (this.#isOver) return;
     this.#isOver = true;
@@ -371,7 +376,7 @@
     this.exchange.releaseCall();
   }
 
-  /** Moves the call from a runner that is silent and fails other requests too. */
+  /** Fails the attempt if its runner stays silent and fails other requests too, so that the call is sent elsewhere. */
   #watchForSilence(attempt: RunnerAttempt, delayMs: number): void {
     const { clock } = this.parts.context;
     this.#cancelSilenceTimer();
--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -1,4 +1,4 @@
-/** One try of a call at one runner: what was sent, and what its answer means. */
+/** One attempt of a call at one runner: sends the request, and interprets the answer. */
 import type { CallContext } from "../../ports/call-protocol.ts";
 import {
   type HttpAnswerHead,
@@ -19,16 +19,16 @@
 import type { RunnerConnections } from "../runners/runner-connections.ts";
 import type { CallLog } from "../telemetry/call-log.ts";
 
-/** Why a try gave no answer. */
+/** Why an attempt got no answer. */
 export type AttemptFailure =
-  /** No connection: nothing was sent. */
+  /** There was no connection, so nothing was sent. */
   | { readonly type: "unreachable"; readonly detail: string }
-  /** The runner says that it has not run the request and never will. */
+  /** The runner states that it has not run the request and never will. */
   | { readonly type: "notRun"; readonly status: number }
   /** The request may have run, or be running. */
   | { readonly type: "broken"; readonly detail: string };
 
-/** What becomes of a try. After `onEnd` or `onFailed` nothing more comes. */
+/** Receives the answer to an attempt. Nothing is called after `onEnd` or `onFailed`. */
 export interface AttemptListener {
   onHead(head: HttpAnswerHead): void;
   onData(chunk: Buffer): void;
@@ -36,7 +36,7 @@
   onFailed(failure: AttemptFailure): void;
 }
 
-/** What all tries of the calls of a gateway share. */
+/** The dependencies that all calls of a gateway and their attempts share. */
 export interface AttemptParts {
   readonly context: GatewayContext;
   readonly board: RunnerBoard;
@@ -46,38 +46,37 @@
   readonly buffers: BufferLimiter;
 }
 
-/** What one try sends. */
+/** What an attempt sends, and what is known about it. */
 export interface AttemptRequest {
   readonly exchange: CallerExchange;
   readonly call: CallContext;
   readonly body: Buffer;
-  /** Time that the runner is given, in ms. */
+  /** Time limit for the runner, in ms. */
   readonly deadlineMs: number;
   readonly lastEventId: number | undefined;
-  /** Whether the answer comes event by event. */
+  /** Whether the answer is a stream of events. */
   readonly streaming: boolean;
-  /** Silence after which the try speaks against its runner, in ms. */
+  /** Time without an answer after which the attempt counts against its runner, in ms. */
   readonly silenceTimeoutMs: number;
-  /** Whether a dispatcher has placed it. */
+  /** Whether a dispatcher granted a place for it. */
   readonly isLeased: boolean;
-  /** Among requests that wait at the runner; undefined where nothing is known of it. */
+  /** The urgency among the requests that wait at the runner; undefined if unknown. */
   readonly urgency: Urgency | undefined;
-  /** For whom the request is made; undefined where it needs no key. */
+  /** The tenant of the request; undefined if the route needs no key. */
   readonly tenant: TenantName | undefined;
-  /** Whether the runner must not see what authorizes the caller. */
+  /** Whether the caller's key must be hidden from the runner. */
   readonly hidesKey: boolean;
-  /** The kind of work: its route. */
+  /** The kind of work, as which its duration is recorded: the name of its route. */
   readonly work: string;
-  /** Whether the runner is believed to hold most of the prompt. */
+  /** Whether the runner is expected to hold most of the prompt. */
   readonly isCached: boolean;
 }
 
 const MISDIRECTED = 421;
 const FIRST_SERVER_ERROR = 500;
-/** Streams of fewer events say little of their runner's pace. */
+/** Minimum number of events for a stream's timing to be recorded: fewer say little about the runner's speed. */
 const MIN_TIMED_EVENTS = 3;
 
-/** See the module's comment. */
 export class RunnerAttempt implements HttpExchangeListener {
   readonly runner: RunnerEntry;
   readonly #parts: AttemptParts;
@@ -85,13 +84,13 @@
   readonly #listener: AttemptListener;
   readonly #exchange: HttpExchange;
   readonly #pending: PendingRequest;
-  /** Requests at the runner when this one came. */
+  /** Requests at the runner when this one was sent. */
   readonly #load: number;
   #isOver = false;
   #status = 0;
   #firstByteMs = 0;
   #chunkCount = 0;
-  /** Status of an answer that says that nothing was run; its body is read and dropped. */
+  /** Status of an answer which states that the request was not run; its body is read and discarded. */
   #notRunStatus: number | undefined;
 
   constructor(parts: AttemptParts, runner: RunnerEntry, request: AttemptRequest, listener: AttemptListener) {
@@ -117,29 +116,29 @@
     );
   }
 
-  /** Gives the try up; the runner is told by the end of the connection. */
+  /** Abandons the attempt; the runner learns of it by the end of the connection. */
   abort(): void {
     if (this.#isOver) return;
     this.#finish("abandoned");
     this.#exchange.abort();
   }
 
-  /** Reads no more of the answer for now. */
+  /** Stops reading the answer until `resume` is called. */
   pause(): void {
     if (!this.#isOver) this.#exchange.pause();
   }
 
-  /** Reads the answer on. */
+  /** Continues to read the answer. */
   resume(): void {
     if (!this.#isOver) this.#exchange.resume();
   }
 
-  /** Whether nothing of an answer has come. */
+  /** Whether no part of an answer has arrived. */
   get silent(): boolean {
     return !this.#isOver && !this.#pending.answered;
   }
 
-  /** Takes the runner's silence for a failure. */
+  /** Fails the attempt because of the runner's silence. */
   failAsSilent(): void {
     if (this.#isOver) return;
     this.#exchange.abort();
@@ -198,7 +197,7 @@
     this.#parts.context.metrics.tryEnded(outcome, nowMs - this.#pending.startedAtMs);
   }
 
-  /** Events of a stream come as they are made; another answer is one step. */
+  /** Records how long the runner took. Events of a stream arrive as they are made; any other answer counts as one step. */
   #recordTiming(): void {
     const { streaming, work, isCached, call } = this.#request;
     if (streaming && this.#chunkCount < MIN_TIMED_EVENTS) return;
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -1,6 +1,6 @@
 /**
- * A call whose answer is a stream of events: a turn of a program, or a stream of its own. Events are passed on as they
- * come, whole ones only, so that a stream that breaks can go on at the event after the last one.
+ * A call whose answer is a stream of events: a turn of a program, or a stream outside of programs. Events are forwarded as
+ * they arrive, and only as a whole, so that a broken stream can be resumed at the event after the last one.
  */
 
 import type { HttpAnswerHead } from "../../ports/http/http-exchange.ts";
@@ -20,17 +20,16 @@
 import type { AttemptFailure, AttemptListener, AttemptParts } from "./runner-attempt.ts";
 
 /**
- * Longest wait for a place, in ms. Callers take a stream that stays silent for much longer for lost, and their new try would
- * begin behind all others.
+ * Maximum wait for a place, in ms. Callers give up a stream that stays silent for much longer, and their retry would be
+ * queued behind all others.
  */
 const MAX_PLACE_WAIT_MS = 1_500;
 const PAYMENT_REQUIRED = 402;
 const NOT_FOUND = 404;
 const FIRST_FAILURE_STATUS = 300;
-/** Output and input bytes are kept as they came. */
+/** Maps each byte to one character and back, so that inputs and outputs are retained byte for byte. */
 const ENCODING = "latin1";
 
-/** See the module's comment. */
 export class StreamedCall extends RoutedCall {
   readonly #partitions: PartitionClient;
   readonly #splitter = new EventSplitter();
@@ -51,7 +50,7 @@
 
   protected override begin(): void {
     this.exchange.onRoom(() => this.#setRunnerPaused(false));
-    // The answer is kept whole, and what an earlier try has handed to the caller is not known here.
+    // The whole answer must be retained, but the part that an earlier attempt sent to the caller is not known here.
     if (this.route.retainsTurns && this.#lastEventId !== undefined) {
       return this.refuse("cannot-resume", "Send the turn again from its start.");
     }
@@ -70,7 +69,7 @@
   }
 
   #sendTo(runner: RunnerEntry): void {
-    // A stream that has begun goes on: what it still brings is of use to the caller.
+    // A stream that has begun is resumed in any case: the events that still arrive are of use to the caller.
     if (this.#eventCount === 0 && !this.hasTimeFor(runner))
       return this.#giveUp("no time is left for another runner");
     this.#splitter.reset();
@@ -101,7 +100,7 @@
     if (this.#admitted) void this.#partitions.end(this.#endRequest());
   }
 
-  /** Whether the owner of the program's partition has to be asked. */
+  /** Whether the owner of the program's partition has to admit the turn. */
   get #requiresAdmission(): boolean {
     const { program } = this.call;
     return program !== undefined && (program.tokenBudget !== undefined || this.route.retainsTurns);
@@ -139,12 +138,12 @@
     else if (this.#admitted) this.onFinished();
   }
 
-  /** Nobody knows that of programs whose turns no owner admits: none of their turns is taken for the first. */
+  /** Unknown for programs whose turns no owner admits: none of their turns is treated as the first. */
   protected override get hasBegun(): boolean {
     return !this.#requiresAdmission || this.#preferred !== undefined;
   }
 
-  /** Whether the turn goes on with a program, or the runners have a place for one more. */
+  /** Whether the turn's program has begun, or the runners have capacity for another program. */
   protected override mayBegin(): boolean {
     if (this.hasBegun) return true;
     const { board, context } = this.parts;
@@ -188,21 +187,24 @@
     }
   }
 
-  /** Takes what was said before; it is held twice, as it came and joined with the caller's input. */
+  /** Sets the history of the turn. It is held in memory twice: as it was received, and joined with the caller's input. */
   #setHistory(history: readonly Uint8Array[]): void {
     this.#history = history;
     const bytes = history.reduce((sum, { length }) => sum + length, 0);
     this.exchange.buffers.add("bodies", 2 * bytes);
   }
 
-  /** A stream goes on where it ran, as long as that runner is there: another one would be one more that runs it. */
+  /**
+   * The runner at which a broken stream is resumed: the one that ran it, as long as that runner is available. Any other
+   * would be one more runner that runs the turn.
+   */
   #runnerToResume(): RunnerEntry | undefined {
     const last = this.#lastRunner;
     if (last === undefined || this.excluded.has(last) || this.silent.has(last)) return undefined;
     return this.mayHaveRun.has(last) ? this.parts.board.ready(last) : undefined;
   }
 
-  /** How many runners more may run the turn; those that are gone do not count. */
+  /** How many more runners may run the turn; earlier ones that are gone do not count. */
   get #runnersLeft(): number {
     const { board } = this.parts;
     const present = [...this.mayHaveRun].filter((id) => board.listed(id) && !this.excluded.has(id));
@@ -248,7 +250,7 @@
     this.exchange.buffers.add("outputs", event.data.length);
   }
 
-  /** Has the runner wait while its caller takes too little, or go on. */
+  /** Pauses the runner's answer while the caller reads too little of it, or resumes it. */
   #setRunnerPaused(isPaused: boolean): void {
     const { buffers } = this.exchange;
     if (buffers.holdsRunner === isPaused) return;
@@ -266,7 +268,7 @@
     this.exchange.start(head.status, calls.headersForCaller(head.rawHeaders));
   }
 
-  /** The runner itself answered with a failure. */
+  /** Forwards a failure that the runner answered; within a stream that has begun, it counts as a broken stream. */
   #forwardFailure(runner: RunnerEntry, head: HttpAnswerHead | undefined, body: Buffer): void {
     this.attempt = undefined;
     if (this.#sentHead || !head) {
@@ -288,7 +290,7 @@
     this.finish({ status: this.#sentHead?.status ?? 0, kind: "answered" });
   }
 
-  /** Has the turn kept before its answer ends. */
+  /** Has the turn stored before its answer ends; returns false if the call has ended without that. */
   async #retain(): Promise<boolean> {
     const atMs = this.elapsedMs;
     this.record.retention = { heldBy: "nobody", atMs };
@@ -301,7 +303,7 @@
     };
     const { requestId } = this.call;
     const isStored = await this.#partitions.store(requestId, content, Math.max(0, this.leftMs));
-    // The caller has gone, or its time is over: the owner was told then.
+    // The caller has disconnected, or the deadline has passed: the owner was told then.
     if (this.isOver) return false;
     this.#recordRetention(isStored ? "store" : "nobody", atMs);
     if (!isStored) {
@@ -313,7 +315,7 @@
     return true;
   }
 
-  /** Tokens that the caller was handed. */
+  /** Tokens that were sent to the caller. */
   get #tokens(): number {
     return this.#eventCount * (this.pool.engine?.tokensPerEvent ?? 1);
   }
--- a/test/contract/gateway-parts.test.ts
+++ b/test/contract/gateway-parts.test.ts
@@ -1,4 +1,4 @@
-/** The pure parts of a gateway. */
+/** The components of a gateway that need no network, store or clock. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { PeerLiveness } from "../../src/coordination/liveness/index.ts";
@@ -12,22 +12,22 @@
 const CANDIDATES = ["a", "b", "c", "d"].map((name, index) => ({ name, hash: 0x9e3779b9 * (index + 1) }));
 
 describe("preferred owner", () => {
-  it("is the same for everybody, in whatever order candidates are known", () => {
+  it("is the same in whatever order candidates are known", () => {
     for (let partition = 0; partition < 64; partition += 1) {
       const owner = preferredOwner(partition, CANDIDATES);
       expect(preferredOwner(partition, [...CANDIDATES].reverse())).toEqual(owner);
     }
   });
 
-  it("moves only the partitions of a candidate that goes", () => {
-    const left = CANDIDATES.slice(1);
+  it("moves only the partitions of a removed candidate", () => {
+    const remaining = CANDIDATES.slice(1);
     for (let partition = 0; partition < 64; partition += 1) {
       const before = preferredOwner(partition, CANDIDATES);
-      if (before !== "a") expect(preferredOwner(partition, left)).toEqual(before);
+      if (before !== "a") expect(preferredOwner(partition, remaining)).toEqual(before);
     }
   });
 
-  it("spreads partitions", () => {
+  it("spreads partitions evenly", () => {
     const counts = new Map<string, number>();
     for (let partition = 0; partition < 400; partition += 1) {
       const owner = preferredOwner(partition, CANDIDATES) ?? "";
@@ -36,20 +36,20 @@
     for (const count of counts.values()) expect(count > 60 && count < 140).toEqual(true);
   });
 
-  it("is nobody when there is no candidate", () => {
+  it("is undefined when there is no candidate", () => {
     expect(preferredOwner(1, [])).toEqual(undefined);
   });
 });
 
 describe("ownership map", () => {
-  it("believes the newest epoch, in whatever order it hears", () => {
+  it("keeps the owner of the newest epoch, in whatever order owners are recorded", () => {
     const owners = new OwnershipMap();
     expect(owners.recordOwner(1, { instance: "new", epoch: 7 })).toEqual(true);
     expect(owners.recordOwner(1, { instance: "old", epoch: 5 })).toEqual(false);
     expect(owners.owner(1)?.instance).toEqual("new");
   });
 
-  it("forgets an owner only if it still is the one", () => {
+  it("forgets an owner only if it is still the current one", () => {
     const owners = new OwnershipMap();
     owners.recordOwner(1, { instance: "a", epoch: 1 });
     owners.forget(1, "b");
@@ -58,7 +58,7 @@
     expect(owners.owner(1)).toEqual(undefined);
   });
 
-  it("drops what an owner names no more, and nothing of the others", () => {
+  it("drops the partitions that an owner no longer reports, and none of other owners", () => {
     const owners = new OwnershipMap();
     owners.recordAllOwned("a", [
       [1, 1],
@@ -97,7 +97,7 @@
     expect(liveness.isAlive("a", 1_600)).toEqual(true);
   });
 
-  it("takes a refused connection for an end at once", () => {
+  it("treats a refused connection as the end of the peer at once", () => {
     const liveness = new PeerLiveness(SUSPECT_MS);
     liveness.recordHeartbeat("a", 0);
     liveness.recordRefusedConnection("a");
@@ -111,7 +111,7 @@
     expect(liveness.isAlive("a", 1)).toEqual(false);
   });
 
-  it("suspects nobody for silence while this node itself stood still", () => {
+  it("suspects no peer because of silence while this node itself was paused", () => {
     const liveness = new PeerLiveness(SUSPECT_MS);
     liveness.recordHeartbeat("a", 0);
     liveness.recordHeartbeat("refused", 0);
@@ -147,7 +147,7 @@
   const routes = [ROUTE, { ...ROUTE, name: "longer", pathPrefix: "/a/b/" }];
   const table = new RouteTable({ version: 1, routes, pools: [], limits, tenants: undefined });
 
-  it("takes the longest prefix of the host", () => {
+  it("selects the longest matching prefix of the host", () => {
     expect(table.find("h", "/a/b/c")?.name).toEqual("longer");
     expect(table.find("h", "/a/c")?.name).toEqual("r");
   });
@@ -176,7 +176,7 @@
     expect(first).toEqual(900);
   });
 
-  it("keeps turns of a program together, and spreads its other calls", () => {
+  it("keeps the turns of a program in one pool, and spreads its other calls", () => {
     const calls = ["1", "2", "3"].map((requestId) => ({
       requestId,
       affinityKey: undefined,
@@ -193,11 +193,11 @@
 describe("event splitter", () => {
   const text = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\nda";
 
-  it("gives the same events however the bytes are cut", () => {
-    for (let cut = 0; cut <= text.length; cut += 1) {
+  it("returns the same events however the bytes are split", () => {
+    for (let splitAt = 0; splitAt <= text.length; splitAt += 1) {
       const splitter = new EventSplitter();
-      const first = splitter.push(Buffer.from(text.slice(0, cut)));
-      const events = [...first, ...splitter.push(Buffer.from(text.slice(cut)))];
+      const first = splitter.push(Buffer.from(text.slice(0, splitAt)));
+      const events = [...first, ...splitter.push(Buffer.from(text.slice(splitAt)))];
       expect(events.map((event) => [event.id, event.data])).toEqual([
         [1, "a"],
         [2, "b\nc"],
@@ -208,8 +208,8 @@
   });
 });
 
-describe("what an owner says of itself", () => {
-  it("takes back what it no longer names, and only that", () => {
+describe("an owner's report of its partitions", () => {
+  it("withdraws the partitions that it no longer lists, and only those", () => {
     const owners = new OwnershipMap();
     owners.recordAllOwned("a", [
       [1, 5],
--- a/test/contract/support/gateway-parts.ts
+++ b/test/contract/support/gateway-parts.ts
@@ -1,4 +1,4 @@
-/** A gateway's context for tests of its parts, before the stand-in of the platform's store. */
+/** Creates the context of a gateway for tests of its components, with a client of a stand-in for the platform's store. */
 import { pino } from "pino";
 import { callProtocol } from "../../../platform/call-headers.ts";
 import { entryProtocol } from "../../../platform/entry-protocol.ts";
@@ -12,9 +12,9 @@
 import { SeededRandomSource } from "../../../src/runtime/random-source.ts";
 import { loadTextHash } from "../../../src/runtime/text-hash.ts";
 
-const UNUSED = "127.0.0.1:1";
+const UNUSED_ADDRESS = "127.0.0.1:1";
 
-/** A client of the store at an address. */
+/** Creates a client of the store at an address. */
 export function storeClient(address: string, timeoutMs = 200): HttpRowStore {
   const pool = openPool(address, {
     connections: 8,
@@ -26,7 +26,7 @@
   return new HttpRowStore(pool, new SystemClock(), timeoutMs);
 }
 
-/** The context of a gateway of this name. */
+/** Creates the context of a gateway with this name. */
 export async function gatewayContext(
   name: string,
   storeAddress: string,
@@ -36,7 +36,12 @@
     name,
     region: "region",
     zone: "zone-a",
-    listen: { callers: UNUSED, readiness: UNUSED, directory: UNUSED, peers: UNUSED },
+    listen: {
+      callers: UNUSED_ADDRESS,
+      readiness: UNUSED_ADDRESS,
+      directory: UNUSED_ADDRESS,
+      peers: UNUSED_ADDRESS,
+    },
     store: storeAddress,
     partitions: 4,
   });
