--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -5,10 +5,10 @@
 import { spreadKey } from "../../scheduling/routing/spread-key.ts";
 import type { Tenant } from "../../scheduling/routing/tenant.ts";
 import type { CallerExchange } from "../ingress/caller-exchange.ts";
-import type { CallerHead } from "../ingress/caller-head.ts";
-import type { CallerProblem } from "../ingress/caller-problem.ts";
-import type { HeadVerdict } from "../ingress/head-verdict.ts";
-import { NO_ROOM } from "../ingress/no-room.ts";
+import { INSUFFICIENT_MEMORY } from "../ingress/insufficient-memory.ts";
+import type { ProblemResponse } from "../ingress/problem-response.ts";
+import type { RequestHead } from "../ingress/request-head.ts";
+import type { RequestVerdict } from "../ingress/request-verdict.ts";
 import type { PartitionClient } from "../partitions/partition-client.ts";
 import type { RateClient } from "../rates/rate-client.ts";
 import type { RateVerdict } from "../rates/rate-verdict.ts";
@@ -21,19 +21,19 @@
 import type { AttemptParts } from "./runner-attempt.ts";
 import { StreamedCall } from "./streamed-call.ts";
 
-const STARTING: CallerProblem = {
+const STARTING: ProblemResponse = {
   status: 503,
   kind: "starting",
   detail: "This gateway knows no configuration yet.",
   retryAfterMs: 250,
 };
-const NO_IDENTIFIER: CallerProblem = {
+const NO_IDENTIFIER: ProblemResponse = {
   status: 400,
   kind: "invalid-request",
   detail: "The request has no identifier.",
 };
-const NO_ROUTE: CallerProblem = { status: 404, kind: "no-route", detail: "No route leads there." };
-const UNKNOWN_KEY: CallerProblem = {
+const NO_ROUTE: ProblemResponse = { status: 404, kind: "no-route", detail: "No route leads there." };
+const UNKNOWN_KEY: ProblemResponse = {
   status: 401,
   kind: "unknown-key",
   detail: "The request needs the key of a tenant.",
@@ -42,12 +42,12 @@
  * Other gateways have the newest configuration, or will have it soon. The retry delay is therefore the time to open a new
  * connection.
  */
-const STALE_CONFIGURATION: CallerProblem = {
+const STALE_CONFIGURATION: ProblemResponse = {
   status: 503,
   kind: "configuration-stale",
   detail: "This gateway cannot be sure that the key is still valid.",
   retryAfterMs: 150,
-  goElsewhere: true,
+  closesConnection: true,
 };
 /** Fraction of a call's timeout for which the owner of its tenant's limit is looked for; the rest is for the runner. */
 const MAX_OWNER_WAIT_FRACTION = 0.5;
@@ -95,7 +95,7 @@
   }
 
   /** Decides by a request's head whether the request is accepted. */
-  decide(head: CallerHead): HeadVerdict {
+  decide(head: RequestHead): RequestVerdict {
     const routes = this.#routes();
     if (!routes) return { type: "refuse", problem: STARTING };
     const call = this.#parts.context.platform.calls.describeCall(head.headers);
@@ -107,9 +107,10 @@
     if (needsKey && !this.#canTrustKeys()) return this.#refuse(STALE_CONFIGURATION, call, route, routes);
     const tenant = needsKey && call.key !== undefined ? routes.tenantOf(call.key) : undefined;
     if (needsKey && !tenant) return this.#refuse(UNKNOWN_KEY, call, route, routes);
-    if (this.#parts.buffers.refuses(head.bodyBytes)) return this.#refuse(NO_ROOM, call, route, routes);
+    if (this.#parts.buffers.refuses(head.bodyBytes))
+      return this.#refuse(INSUFFICIENT_MEMORY, call, route, routes);
     const destination = { call, route, pool, tenant };
-    return { type: "take", run: (exchange) => void this.#admit(exchange, destination, routes) };
+    return { type: "accept", run: (exchange) => void this.#admit(exchange, destination, routes) };
   }
 
   /** Runs a call if its tenant's limit admits it. */
@@ -173,18 +174,18 @@
 
   /** Refuses a request and logs the refusal. */
   #refuse(
-    problem: CallerProblem,
+    problem: ProblemResponse,
     call: CallContext,
     route: Route | undefined,
     routes: RouteTable,
-  ): HeadVerdict {
+  ): RequestVerdict {
     this.#logRefusal(problem, { call, route }, routes);
     return { type: "refuse", problem };
   }
 
   /** Logs and counts a request that is refused before it runs. */
   #logRefusal(
-    { status, kind, detail }: CallerProblem,
+    { status, kind, detail }: ProblemResponse,
     { call, route, tenant, rate }: RefusedCall,
     { configuration }: RouteTable,
   ): void {
@@ -199,7 +200,7 @@
   }
 }
 
-function problemOf(verdict: Exclude<RateVerdict, { type: "granted" }>): CallerProblem {
+function problemOf(verdict: Exclude<RateVerdict, { type: "granted" }>): ProblemResponse {
   if (verdict.type === "unavailable") {
     const { detail } = verdict;
     return { status: 503, kind: "unavailable", detail, retryAfterMs: OWNER_RETRY_AFTER_MS };
--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -354,7 +354,7 @@
   protected fail(status: number, kind: string, detail: string, retryAfterMs?: number): void {
     if (this.#isOver) return;
     const { started } = this.exchange;
-    if (started) this.exchange.breakOff();
+    if (started) this.exchange.abort();
     else
       this.exchange.refuse({ status, kind, detail, ...(retryAfterMs === undefined ? {} : { retryAfterMs }) });
     this.finish({ status: started ? 0 : status, kind, detail: detail.slice(0, MAX_DETAIL_LENGTH) });
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -49,7 +49,7 @@
   }
 
   protected override begin(): void {
-    this.exchange.onRoom(() => this.#setRunnerPaused(false));
+    this.exchange.onDrain(() => this.#setRunnerPaused(false));
     // The whole answer must be retained, but the part that an earlier attempt sent to the caller is not known here.
     if (this.route.retainsTurns && this.#lastEventId !== undefined) {
       return this.refuse("cannot-resume", "Send the turn again from its start.");
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -14,7 +14,7 @@
 import type { GatewayContext } from "./gateway-context.ts";
 import type { GatewayMessage, GatewayRpcSchema, GatewayState } from "./gateway-messages.ts";
 import type { GatewaySettings } from "./gateway-settings.ts";
-import { EntryServer } from "./ingress/entry-server.ts";
+import { DirectoryServer } from "./ingress/directory-server.ts";
 import { IngressServer } from "./ingress/ingress-server.ts";
 import { HeadroomWatch } from "./members/headroom-watch.ts";
 import { MemberDirectory } from "./members/member-directory.ts";
@@ -58,7 +58,7 @@
   readonly #ingress: IngressServer;
   /** Undefined where callers are told of all gateways alike. */
   readonly #headroom: HeadroomWatch | undefined;
-  readonly #entry: EntryServer;
+  readonly #entry: DirectoryServer;
   readonly #callLog: CallLog;
   readonly #health: StoreHealth;
   readonly #store: RelayedRowStore;
@@ -97,7 +97,7 @@
     this.#ingress = new IngressServer(context, this.#buffers);
     const { byHeadroom } = context.settings.balance;
     if (byHeadroom) this.#headroom = new HeadroomWatch(context, () => this.#ingress.active);
-    this.#entry = new EntryServer(context, this.#members, () => this.state === "ready");
+    this.#entry = new DirectoryServer(context, this.#members, () => this.state === "ready");
     const client = new PartitionClient(context, this.#members, this.#partitions, this.#rpc, health);
     this.#callLog = new CallLog(context.log, context.clock);
     this.#health = health;
--- a/src/gateway/ingress/caller-exchange.ts
+++ b/src/gateway/ingress/caller-exchange.ts
@@ -5,17 +5,17 @@
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from "node:http";
 import type { RawHeaders } from "../../ports/call-protocol.ts";
 import type { CallerBuffers } from "../buffers/caller-buffers.ts";
-import type { CallerHead } from "./caller-head.ts";
-import type { CallerProblem } from "./caller-problem.ts";
+import type { ProblemResponse } from "./problem-response.ts";
+import type { RequestHead } from "./request-head.ts";
 
-const HTTP_PROBLEM = "application/json";
+const JSON_CONTENT_TYPE = "application/json";
 const MS_PER_S = 1_000;
 const NO_BODY = Buffer.alloc(0);
 /** What the system is handed at a time, in bytes. */
-const PIECE_BYTES = 32_768;
+const MAX_WRITE_BYTES = 32_768;
 
 /** See the module's comment. */
-export class CallerExchange implements CallerHead {
+export class CallerExchange implements RequestHead {
   readonly method: string;
   /** Path and query as the caller sent them. */
   readonly target: string;
@@ -29,13 +29,13 @@
   /** What is held for this request. */
   readonly buffers: CallerBuffers;
   readonly #response: ServerResponse;
-  readonly #endsConnection: () => boolean;
+  readonly #shouldCloseConnection: () => boolean;
   #body: Buffer;
   #ended = false;
   #gone = false;
   #cut = false;
   #onGone: () => void = () => undefined;
-  #onRoom: () => void = () => undefined;
+  #onDrain: () => void = () => undefined;
   /** What the system has not been handed yet, oldest first. */
   #queue: Buffer[] = [];
   #queuedBytes = 0;
@@ -43,15 +43,15 @@
 
   /**
    * @param buffers counts what is held for the request
-   * @param endsConnection whether an answer that begins now is the last on its connection
+   * @param shouldCloseConnection whether an answer that begins now is the last on its connection
    */
   constructor(
     request: IncomingMessage,
     response: ServerResponse,
     body: Buffer,
-    head: CallerHead,
+    head: RequestHead,
     buffers: CallerBuffers,
-    endsConnection: () => boolean,
+    shouldCloseConnection: () => boolean,
   ) {
     this.method = request.method ?? "GET";
     this.target = request.url ?? "/";
@@ -64,15 +64,15 @@
     this.buffers = buffers;
     this.arrivedAtMs = head.arrivedAtMs;
     this.#response = response;
-    this.#endsConnection = endsConnection;
+    this.#shouldCloseConnection = shouldCloseConnection;
     buffers.setProgress({
       unreadBytes: () => this.#unreadBytes,
       transferredBytes: () => this.#writtenBytes - this.#unreadBytes,
       isWaitingForCaller: () => this.#unreadBytes > 0,
-      cut: () => this.#cutOff(),
+      cut: () => this.#cutConnection(),
     });
-    response.on("drain", () => this.#handOver());
-    response.on("close", () => this.#closed());
+    response.on("drain", () => this.#flushQueue());
+    response.on("close", () => this.#onClose());
     if (response.destroyed || request.socket.destroyed) this.#gone = true;
   }
 
@@ -113,9 +113,9 @@
   }
 
   /** Sets what is called when there is room again for what waits for the caller. */
-  onRoom(action: () => void): void {
-    this.#onRoom = action;
-    this.buffers.onUpdate = () => this.#noteRoom();
+  onDrain(action: () => void): void {
+    this.#onDrain = action;
+    this.buffers.onUpdate = () => this.#checkDrained();
   }
 
   /** The call is over: the body is not needed any more. */
@@ -127,8 +127,8 @@
   /** Sends a whole answer. */
   answer(status: number, headers: RawHeaders, body: Buffer): void {
     if (this.#ended || this.#gone) return;
-    this.#writeHead(status, withLength(headers, body.length));
-    if (body.length > PIECE_BYTES) {
+    this.#writeHead(status, withContentLength(headers, body.length));
+    if (body.length > MAX_WRITE_BYTES) {
       this.write(body);
       this.end();
       return;
@@ -136,14 +136,14 @@
     this.#ended = true;
     this.#writtenBytes += body.length;
     this.#response.end(body);
-    this.#countUnread();
+    this.#recordUnreadBytes();
   }
 
   /** Tells the caller why the system has no answer for it. */
-  refuse(problem: CallerProblem): void {
-    const { status, kind, detail, retryAfterMs, goElsewhere } = problem;
-    if (goElsewhere) this.#response.shouldKeepAlive = false;
-    const headers = ["Content-Type", HTTP_PROBLEM];
+  refuse(problem: ProblemResponse): void {
+    const { status, kind, detail, retryAfterMs, closesConnection } = problem;
+    if (closesConnection) this.#response.shouldKeepAlive = false;
+    const headers = ["Content-Type", JSON_CONTENT_TYPE];
     if (retryAfterMs !== undefined) headers.push("Retry-After", (retryAfterMs / MS_PER_S).toFixed(3));
     this.answer(status, headers, Buffer.from(JSON.stringify({ error: kind, detail })));
   }
@@ -151,17 +151,17 @@
   /** Sends the head of an answer that comes in pieces. */
   start(status: number, headers: RawHeaders): void {
     if (this.#ended || this.#gone) return;
-    this.#writeHead(status, withoutLength(headers));
+    this.#writeHead(status, withoutContentLength(headers));
   }
 
   /** Sends a piece. */
   write(chunk: Buffer): void {
     if (this.#ended || this.#gone) return;
     this.#writtenBytes += chunk.length;
-    if (this.#queue.length === 0 && chunk.length <= PIECE_BYTES && !this.#response.writableNeedDrain)
+    if (this.#queue.length === 0 && chunk.length <= MAX_WRITE_BYTES && !this.#response.writableNeedDrain)
       this.#response.write(chunk);
     else this.#enqueue(chunk);
-    this.#countUnread();
+    this.#recordUnreadBytes();
   }
 
   /** The answer is whole. */
@@ -172,14 +172,14 @@
   }
 
   /** Ends the connection so that the answer cannot be taken for a whole one. */
-  breakOff(): void {
+  abort(): void {
     if (this.#ended) return;
     this.#ended = true;
     this.#response.destroy();
   }
 
   #writeHead(status: number, headers: string[]): void {
-    if (this.#endsConnection()) this.#response.shouldKeepAlive = false;
+    if (this.#shouldCloseConnection()) this.#response.shouldKeepAlive = false;
     this.#response.writeHead(status, headers);
   }
 
@@ -187,47 +187,47 @@
     return this.#queuedBytes + this.#response.writableLength;
   }
 
-  #countUnread(): void {
+  #recordUnreadBytes(): void {
     this.buffers.set("answers", this.#unreadBytes);
   }
 
   /** Keeps a chunk in pieces of a size at which the caller can be seen to take them. */
   #enqueue(chunk: Buffer): void {
-    for (let start = 0; start < chunk.length; start += PIECE_BYTES)
-      this.#queue.push(chunk.subarray(start, start + PIECE_BYTES));
+    for (let start = 0; start < chunk.length; start += MAX_WRITE_BYTES)
+      this.#queue.push(chunk.subarray(start, start + MAX_WRITE_BYTES));
     this.#queuedBytes += chunk.length;
-    if (!this.#response.writableNeedDrain) this.#handOver();
+    if (!this.#response.writableNeedDrain) this.#flushQueue();
   }
 
   /** The system takes more. */
-  #handOver(): void {
+  #flushQueue(): void {
     if (this.#response.destroyed) return;
-    let taken = 0;
-    while (taken < this.#queue.length) {
-      const piece = this.#queue[taken] as Buffer;
-      taken += 1;
+    let writtenCount = 0;
+    while (writtenCount < this.#queue.length) {
+      const piece = this.#queue[writtenCount] as Buffer;
+      writtenCount += 1;
       this.#queuedBytes -= piece.length;
       if (!this.#response.write(piece)) break;
     }
-    this.#queue.splice(0, taken);
-    if (taken > 0 && this.#ended && this.#queue.length === 0) this.#response.end();
-    this.#countUnread();
-    this.#noteRoom();
+    this.#queue.splice(0, writtenCount);
+    if (writtenCount > 0 && this.#ended && this.#queue.length === 0) this.#response.end();
+    this.#recordUnreadBytes();
+    this.#checkDrained();
   }
 
-  #noteRoom(): void {
-    if (this.#unreadBytes <= this.buffers.readAheadBytes / 2) this.#onRoom();
+  #checkDrained(): void {
+    if (this.#unreadBytes <= this.buffers.readAheadBytes / 2) this.#onDrain();
   }
 
   /** The caller takes nothing: what waits for it is dropped. */
-  #cutOff(): void {
+  #cutConnection(): void {
     this.#cut = true;
     this.#response.destroy();
     // What the call does until the connection has closed must not reach it any more.
-    this.#closed();
+    this.#onClose();
   }
 
-  #closed(): void {
+  #onClose(): void {
     this.#queue = [];
     this.#queuedBytes = 0;
     this.buffers.close();
@@ -237,7 +237,7 @@
   }
 }
 
-function withoutLength(headers: RawHeaders): string[] {
+function withoutContentLength(headers: RawHeaders): string[] {
   const kept: string[] = [];
   for (let index = 0; index < headers.length; index += 2) {
     if (headers[index]?.toLowerCase() === "content-length") continue;
@@ -246,6 +246,6 @@
   return kept;
 }
 
-function withLength(headers: RawHeaders, length: number): string[] {
-  return [...withoutLength(headers), "Content-Length", String(length)];
+function withContentLength(headers: RawHeaders, length: number): string[] {
+  return [...withoutContentLength(headers), "Content-Length", String(length)];
 }
--- a/src/gateway/ingress/entry-server.ts
+++ b/src/gateway/ingress/directory-server.ts
@@ -10,7 +10,7 @@
 const JSON_TYPE = { "Content-Type": "application/json" };
 
 /** See the module's comment. */
-export class EntryServer {
+export class DirectoryServer {
   readonly #context: GatewayContext;
   readonly #members: MemberDirectory;
   readonly #isReady: () => boolean;
--- a/src/gateway/ingress/ingress-server.ts
+++ b/src/gateway/ingress/ingress-server.ts
@@ -6,29 +6,29 @@
 import { CallerBuffers } from "../buffers/caller-buffers.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { CallerExchange } from "./caller-exchange.ts";
-import type { CallerHead } from "./caller-head.ts";
-import type { CallerProblem } from "./caller-problem.ts";
-import type { HeadVerdict } from "./head-verdict.ts";
-import { NO_ROOM } from "./no-room.ts";
+import { INSUFFICIENT_MEMORY } from "./insufficient-memory.ts";
+import type { ProblemResponse } from "./problem-response.ts";
 import { readBody } from "./read-body.ts";
+import type { RequestHead } from "./request-head.ts";
+import type { RequestVerdict } from "./request-verdict.ts";
 
 const MAX_HEADER_BYTES = 65_536;
-const CONNECTIONS_CHECK_MS = 1_000;
+const CONNECTION_CHECK_INTERVAL_MS = 1_000;
 /** Added to the idle time that callers are told, so that a request crosses no close. */
 const IDLE_MARGIN_MS = 1_000;
 const NO_BODY = Buffer.alloc(0);
-const BODY_TOO_LARGE: CallerProblem = {
+const BODY_TOO_LARGE: ProblemResponse = {
   status: 413,
   kind: "body-too-large",
   detail: "The body is over the limit.",
 };
 /** Until somebody decides about requests. */
-const STARTING: HeadVerdict = {
+const STARTING: RequestVerdict = {
   type: "refuse",
   problem: { status: 503, kind: "starting", detail: "This gateway starts.", retryAfterMs: 250 },
 };
 /** Bounds before a configuration is known. */
-const FIRST_LIMITS: CallerLimits = {
+const INITIAL_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
   headerTimeoutMs: 5_000,
@@ -38,26 +38,26 @@
 /** See the module's comment. */
 export class IngressServer {
   readonly #context: GatewayContext;
-  readonly #pool: BufferLimiter;
+  readonly #limiter: BufferLimiter;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
-  #limits = FIRST_LIMITS;
+  #limits = INITIAL_LIMITS;
   #active = 0;
   #stopping = false;
   /** Called with the head of each request. */
-  onHead: (head: CallerHead) => HeadVerdict = () => STARTING;
+  onHead: (head: RequestHead) => RequestVerdict = () => STARTING;
 
-  constructor(context: GatewayContext, pool: BufferLimiter) {
+  constructor(context: GatewayContext, limiter: BufferLimiter) {
     this.#context = context;
-    this.#pool = pool;
+    this.#limiter = limiter;
     this.#server = createServer({
       maxHeaderSize: MAX_HEADER_BYTES,
-      connectionsCheckingInterval: CONNECTIONS_CHECK_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
       requestTimeout: 0,
       keepAlive: true,
       noDelay: true,
     });
-    this.#applyLimits(FIRST_LIMITS);
+    this.#applyLimits(INITIAL_LIMITS);
     this.#server.on("request", (request, response) => void this.#serve(request, response));
     this.#server.on("connection", (socket) => {
       this.#sockets.add(socket);
@@ -110,21 +110,21 @@
       this.#active -= 1;
     });
     const head = headOf(request, arrivedAtMs);
-    const buffers = new CallerBuffers(this.#pool);
+    const buffers = new CallerBuffers(this.#limiter);
     response.on("close", () => buffers.close());
-    const exchangeWith = (body: Buffer) =>
+    const createExchange = (body: Buffer) =>
       new CallerExchange(request, response, body, head, buffers, () => this.#stopping);
     const verdict = this.onHead(head);
-    if (verdict.type === "refuse") return exchangeWith(NO_BODY).refuse(verdict.problem);
+    if (verdict.type === "refuse") return createExchange(NO_BODY).refuse(verdict.problem);
     const outcome = await readBody(request, this.#limits.bodyBytes, buffers);
     if (outcome.type === "broken") return;
-    if (outcome.type === "noRoom") return exchangeWith(NO_BODY).refuse(NO_ROOM);
-    if (outcome.type === "tooLarge") return exchangeWith(NO_BODY).refuse(BODY_TOO_LARGE);
-    verdict.run(exchangeWith(outcome.body));
+    if (outcome.type === "noMemory") return createExchange(NO_BODY).refuse(INSUFFICIENT_MEMORY);
+    if (outcome.type === "tooLarge") return createExchange(NO_BODY).refuse(BODY_TOO_LARGE);
+    verdict.run(createExchange(outcome.body));
   }
 }
 
-function headOf(request: IncomingMessage, arrivedAtMs: number): CallerHead {
+function headOf(request: IncomingMessage, arrivedAtMs: number): RequestHead {
   const { headers } = request;
   const host = (headers.host ?? "").split(":", 1)[0]?.toLowerCase() ?? "";
   const path = (request.url ?? "/").split("?", 1)[0] as string;
--- a/src/gateway/ingress/caller-problem.ts
+++ b/src/gateway/ingress/problem-response.ts
@@ -1,5 +1,5 @@
 /** What a caller is told when the system itself answers. */
-export interface CallerProblem {
+export interface ProblemResponse {
   readonly status: number;
   /** A standard word for the kind of problem. */
   readonly kind: string;
@@ -7,5 +7,5 @@
   /** When to come back, in ms. */
   readonly retryAfterMs?: number;
   /** Another gateway may do better: the connection ends with the answer. */
-  readonly goElsewhere?: boolean;
+  readonly closesConnection?: boolean;
 }
--- a/src/gateway/ingress/read-body.ts
+++ b/src/gateway/ingress/read-body.ts
@@ -6,7 +6,7 @@
   | { readonly type: "body"; readonly body: Buffer }
   | { readonly type: "tooLarge" }
   /** There is no memory for it. */
-  | { readonly type: "noRoom" }
+  | { readonly type: "noMemory" }
   /** The caller left, or broke the protocol, before the body was whole. */
   | { readonly type: "broken" };
 
@@ -25,7 +25,7 @@
       isWaitingForCaller: () => length > 0,
       cut: () => request.destroy(),
     });
-    const refuse = (type: "tooLarge" | "noRoom") => {
+    const refuse = (type: "tooLarge" | "noMemory") => {
       resolve({ type });
       chunks.length = 0;
       buffers.releaseCall();
@@ -37,11 +37,11 @@
       if (length > limitBytes) return refuse("tooLarge");
       chunks.push(chunk);
       buffers.add("bodies", chunk.length);
-      if (buffers.exhausted) refuse("noRoom");
+      if (buffers.exhausted) refuse("noMemory");
     });
     request.on("end", () => {
-      const [only] = chunks;
-      resolve({ type: "body", body: chunks.length === 1 && only ? only : Buffer.concat(chunks) });
+      const [firstChunk] = chunks;
+      resolve({ type: "body", body: chunks.length === 1 && firstChunk ? firstChunk : Buffer.concat(chunks) });
     });
     request.on("error", () => resolve({ type: "broken" }));
     request.on("close", () => resolve({ type: "broken" }));
--- a/src/gateway/ingress/caller-head.ts
+++ b/src/gateway/ingress/request-head.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 
 /** What of a request is known before its body has been read. */
-export interface CallerHead {
+export interface RequestHead {
   readonly host: string;
   /** Path without the query. */
   readonly path: string;
--- a/test/contract/caller-exchange.test.ts
+++ b/test/contract/caller-exchange.test.ts
@@ -8,49 +8,49 @@
 import { CallerExchange } from "../../src/gateway/ingress/caller-exchange.ts";
 import { gatewayContext } from "./support/gateway-parts.ts";
 
-const MOST_BYTES = 1_000_000;
+const MAX_HELD_BYTES = 1_000_000;
 /** More than is read ahead for one caller. */
 const CHUNK = Buffer.alloc(100_000, "x");
 
 /** A connection whose other side takes a write only when the test says so. */
-class LateConnection extends Duplex {
-  taken = "";
-  #take: (() => void) | undefined;
+class SlowConnection extends Duplex {
+  received = "";
+  #completeWrite: (() => void) | undefined;
 
   override _read(): void {}
 
   override _write(chunk: Buffer, _encoding: string, done: () => void): void {
-    this.#take = () => {
-      this.taken += chunk.toString("latin1");
+    this.#completeWrite = () => {
+      this.received += chunk.toString("latin1");
       done();
     };
   }
 
   /** Takes what was written, as often as there is something. */
-  async takeAll(): Promise<void> {
+  async receiveAll(): Promise<void> {
     for (;;) {
       await new Promise((resolve) => setImmediate(resolve));
-      const take = this.#take;
-      if (!take) return;
-      this.#take = undefined;
-      take();
+      const completeWrite = this.#completeWrite;
+      if (!completeWrite) return;
+      this.#completeWrite = undefined;
+      completeWrite();
     }
   }
 }
 
 describe("an answer whose caller reads late", () => {
   let server: Server;
-  let pool: BufferLimiter;
+  let limiter: BufferLimiter;
   let buffers: CallerBuffers;
-  let connection: LateConnection;
+  let connection: SlowConnection;
   let exchange: CallerExchange;
 
   beforeEach(async () => {
     const context = await gatewayContext("gateway", "127.0.0.1:1");
-    const settings = { ...context.settings, buffers: { mostBytes: MOST_BYTES, memoryMb: 1 } };
-    pool = new BufferLimiter({ ...context, settings });
-    buffers = new CallerBuffers(pool);
-    connection = new LateConnection();
+    const settings = { ...context.settings, buffers: { mostBytes: MAX_HELD_BYTES, memoryMb: 1 } };
+    limiter = new BufferLimiter({ ...context, settings });
+    buffers = new CallerBuffers(limiter);
+    connection = new SlowConnection();
     server = createServer();
     exchange = await new Promise((resolve) => {
       server.on("request", (request, response) => {
@@ -71,32 +71,34 @@
     exchange.start(200, []);
     for (const letter of ["x", "y", "z"]) exchange.write(Buffer.alloc(100_000, letter));
     exchange.end();
-    expect(pool.heldFor("answers") >= 300_000).toEqual(true);
-    await connection.takeAll();
-    const letters = connection.taken.slice(connection.taken.indexOf("\r\n\r\n")).replaceAll(/[^xyz]/g, "");
+    expect(limiter.heldFor("answers") >= 300_000).toEqual(true);
+    await connection.receiveAll();
+    const letters = connection.received
+      .slice(connection.received.indexOf("\r\n\r\n"))
+      .replaceAll(/[^xyz]/g, "");
     const expected = "x".repeat(100_000) + "y".repeat(100_000) + "z".repeat(100_000);
     expect(letters === expected).toEqual(true);
-    expect(connection.taken.endsWith("0\r\n\r\n")).toEqual(true);
-    expect([exchange.gone, pool.heldBytes]).toEqual([false, 0]);
+    expect(connection.received.endsWith("0\r\n\r\n")).toEqual(true);
+    expect([exchange.gone, limiter.heldBytes]).toEqual([false, 0]);
   });
 
   it("comes whole in one piece as well", async () => {
     exchange.answer(200, [], CHUNK);
-    await connection.takeAll();
-    expect(connection.taken.endsWith(`\r\n\r\n${CHUNK.toString("latin1")}`)).toEqual(true);
-    expect(pool.heldBytes).toEqual(0);
+    await connection.receiveAll();
+    expect(connection.received.endsWith(`\r\n\r\n${CHUNK.toString("latin1")}`)).toEqual(true);
+    expect(limiter.heldBytes).toEqual(0);
   });
 
   it("is full until the caller has taken enough", async () => {
-    let room = 0;
-    exchange.onRoom(() => {
-      room += 1;
+    let drains = 0;
+    exchange.onDrain(() => {
+      drains += 1;
     });
     exchange.start(200, []);
     exchange.write(CHUNK);
-    expect([exchange.isFull, room]).toEqual([true, 0]);
-    await connection.takeAll();
-    expect([exchange.isFull, room > 0]).toEqual([false, true]);
+    expect([exchange.isFull, drains]).toEqual([true, 0]);
+    await connection.receiveAll();
+    expect([exchange.isFull, drains > 0]).toEqual([false, true]);
   });
 
   it("counts as idle only while nothing is taken, and is dropped when it is cut", async () => {
@@ -112,14 +114,14 @@
     exchange.write(CHUNK);
     buffers.update(250);
     expect(buffers.idleMs >= 500).toEqual(true);
-    const taking = connection.takeAll();
+    const receiving = connection.receiveAll();
     await new Promise((resolve) => setImmediate(resolve));
     await new Promise((resolve) => setImmediate(resolve));
     buffers.update(250);
     expect(buffers.idleMs).toEqual(0);
     buffers.cut();
     exchange.write(CHUNK);
-    expect([isGone, exchange.wasCut, pool.heldBytes]).toEqual([true, true, 0]);
-    await taking;
+    expect([isGone, exchange.wasCut, limiter.heldBytes]).toEqual([true, true, 0]);
+    await receiving;
   });
 });
