--- a/src/gateway/ingress/caller-exchange.ts
+++ b/src/gateway/ingress/caller-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One request of a caller and its answer. What the caller does not take yet waits here, so that it can be seen whether it
- * takes anything: the system is handed only a little at a time.
+ * One request of a caller and its answer. Data that the caller has not read yet is queued here, and only a little at a time
+ * is passed to the operating system, so that the gateway can see whether the caller reads at all.
  */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from "node:http";
 import type { RawHeaders } from "../../ports/call-protocol.ts";
@@ -11,10 +11,9 @@
 const JSON_CONTENT_TYPE = "application/json";
 const MS_PER_S = 1_000;
 const NO_BODY = Buffer.alloc(0);
-/** What the system is handed at a time, in bytes. */
+/** Maximum number of bytes that are passed to the operating system at a time. */
 const MAX_WRITE_BYTES = 32_768;
 
-/** See the module's comment. */
 export class CallerExchange implements RequestHead {
   readonly method: string;
   /** Path and query as the caller sent them. */
@@ -24,9 +23,9 @@
   readonly headers: IncomingHttpHeaders;
   readonly bodyBytes: number;
   readonly rawHeaders: RawHeaders;
-  /** Of the monotonic clock. */
+  /** Arrival time by the monotonic clock, in ms. */
   readonly arrivedAtMs: number;
-  /** What is held for this request. */
+  /** Counts the bytes that are held for this request. */
   readonly buffers: CallerBuffers;
   readonly #response: ServerResponse;
   readonly #shouldCloseConnection: () => boolean;
@@ -36,14 +35,14 @@
   #cut = false;
   #onGone: () => void = () => undefined;
   #onDrain: () => void = () => undefined;
-  /** What the system has not been handed yet, oldest first. */
+  /** Pieces that have not been passed to the operating system yet, oldest first. */
   #queue: Buffer[] = [];
   #queuedBytes = 0;
   #writtenBytes = 0;
 
   /**
-   * @param buffers counts what is held for the request
-   * @param shouldCloseConnection whether an answer that begins now is the last on its connection
+   * @param buffers counts the bytes that are held for the request
+   * @param shouldCloseConnection whether an answer that starts now must be the last on its connection
    */
   constructor(
     request: IncomingMessage,
@@ -76,55 +75,55 @@
     if (response.destroyed || request.socket.destroyed) this.#gone = true;
   }
 
-  /** The request's body, until the call is over. */
+  /** The request's body; empty once the call is over. */
   get body(): Buffer {
     return this.#body;
   }
 
-  /** Whether the connection was ended because the caller took nothing. */
+  /** Whether the connection was ended because the caller read nothing. */
   get wasCut(): boolean {
     return this.#cut;
   }
 
-  /** Whether so much waits for the caller that nothing more should be fetched for it. */
+  /** Whether so much data waits for the caller that no more should be read from the runner. */
   get isFull(): boolean {
     return this.#unreadBytes > this.buffers.readAheadBytes;
   }
 
-  /** Whether the caller has left before its answer was whole. */
+  /** Whether the caller disconnected before its answer was complete. */
   get gone(): boolean {
     return this.#gone;
   }
 
-  /** Whether the head of an answer has left. */
+  /** Whether the head of an answer has been sent. */
   get started(): boolean {
     return this.#response.headersSent;
   }
 
-  /** Whether the answer is whole, or was broken off. */
+  /** Whether the answer is complete or was aborted. */
   get ended(): boolean {
     return this.#ended;
   }
 
-  /** Sets what is called when the caller leaves early. */
+  /** Sets what is called when the caller disconnects early; called at once if it already has. */
   onGone(action: () => void): void {
     this.#onGone = action;
     if (this.#gone) action();
   }
 
-  /** Sets what is called when there is room again for what waits for the caller. */
+  /** Sets what is called when the caller has read enough for more data to be buffered. */
   onDrain(action: () => void): void {
     this.#onDrain = action;
     this.buffers.onUpdate = () => this.#checkDrained();
   }
 
-  /** The call is over: the body is not needed any more. */
+  /** Releases the request's body and what else is held for the call, which is over. */
   releaseCall(): void {
     this.#body = NO_BODY;
     this.buffers.releaseCall();
   }
 
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   answer(status: number, headers: RawHeaders, body: Buffer): void {
     if (this.#ended || this.#gone) return;
     this.#writeHead(status, withContentLength(headers, body.length));
@@ -139,7 +138,7 @@
     this.#recordUnreadBytes();
   }
 
-  /** Tells the caller why the system has no answer for it. */
+  /** Sends an answer of the gateway itself. */
   refuse(problem: ProblemResponse): void {
     const { status, kind, detail, retryAfterMs, closesConnection } = problem;
     if (closesConnection) this.#response.shouldKeepAlive = false;
@@ -148,13 +147,13 @@
     this.answer(status, headers, Buffer.from(JSON.stringify({ error: kind, detail })));
   }
 
-  /** Sends the head of an answer that comes in pieces. */
+  /** Sends the head of an answer whose body follows in pieces. */
   start(status: number, headers: RawHeaders): void {
     if (this.#ended || this.#gone) return;
     this.#writeHead(status, withoutContentLength(headers));
   }
 
-  /** Sends a piece. */
+  /** Sends a piece of the body. */
   write(chunk: Buffer): void {
     if (this.#ended || this.#gone) return;
     this.#writtenBytes += chunk.length;
@@ -164,14 +163,14 @@
     this.#recordUnreadBytes();
   }
 
-  /** The answer is whole. */
+  /** Ends an answer that is complete. */
   end(): void {
     if (this.#ended || this.#gone) return;
     this.#ended = true;
     if (this.#queue.length === 0) this.#response.end();
   }
 
-  /** Ends the connection so that the answer cannot be taken for a whole one. */
+  /** Ends the connection, so that the caller cannot mistake the answer for a complete one. */
   abort(): void {
     if (this.#ended) return;
     this.#ended = true;
@@ -191,7 +190,7 @@
     this.buffers.set("answers", this.#unreadBytes);
   }
 
-  /** Keeps a chunk in pieces of a size at which the caller can be seen to take them. */
+  /** Queues a chunk in pieces that are small enough to see the caller's progress. */
   #enqueue(chunk: Buffer): void {
     for (let start = 0; start < chunk.length; start += MAX_WRITE_BYTES)
       this.#queue.push(chunk.subarray(start, start + MAX_WRITE_BYTES));
@@ -199,7 +198,7 @@
     if (!this.#response.writableNeedDrain) this.#flushQueue();
   }
 
-  /** The system takes more. */
+  /** Writes queued pieces until the operating system accepts no more. */
   #flushQueue(): void {
     if (this.#response.destroyed) return;
     let writtenCount = 0;
@@ -219,11 +218,11 @@
     if (this.#unreadBytes <= this.buffers.readAheadBytes / 2) this.#onDrain();
   }
 
-  /** The caller takes nothing: what waits for it is dropped. */
+  /** Ends the connection of a caller that reads nothing, and drops the data that waits for it. */
   #cutConnection(): void {
     this.#cut = true;
     this.#response.destroy();
-    // What the call does until the connection has closed must not reach it any more.
+    // The connection closes later, and nothing that the call does until then may reach the caller.
     this.#onClose();
   }
 
--- a/src/gateway/ingress/directory-server.ts
+++ b/src/gateway/ingress/directory-server.ts
@@ -1,4 +1,4 @@
-/** Answers the questions about the system itself: whether this gateway is ready, and which addresses to use. */
+/** Answers readiness checks of this gateway, and queries for the gateway addresses that callers should use. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { MemberDirectory } from "../members/member-directory.ts";
@@ -9,7 +9,6 @@
 const UNAVAILABLE = 503;
 const JSON_TYPE = { "Content-Type": "application/json" };
 
-/** See the module's comment. */
 export class DirectoryServer {
   readonly #context: GatewayContext;
   readonly #members: MemberDirectory;
@@ -22,7 +21,7 @@
     this.#isReady = isReady;
   }
 
-  /** Listens at each address once. */
+  /** Listens on each of the addresses; one that is given twice counts once. */
   async listen(addresses: readonly string[]): Promise<void> {
     for (const address of new Set(addresses)) {
       const server = createServer((request, response) => this.#serve(request, response));
--- a/src/gateway/ingress/ingress-server.ts
+++ b/src/gateway/ingress/ingress-server.ts
@@ -1,4 +1,7 @@
-/** Takes callers' requests over HTTP: asks by the head whether to, reads the body, hands both on. A planned stop ends connections between requests. */
+/**
+ * Serves callers' requests over HTTP: has each request accepted or refused by its head, reads the body, and passes both on.
+ * A planned stop closes connections between requests.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { CallerLimits } from "../../scheduling/routing/routing-configuration.ts";
@@ -14,7 +17,7 @@
 
 const MAX_HEADER_BYTES = 65_536;
 const CONNECTION_CHECK_INTERVAL_MS = 1_000;
-/** Added to the idle time that callers are told, so that a request crosses no close. */
+/** Added to the idle timeout that callers are told, so that no request is sent while its connection is being closed. */
 const IDLE_MARGIN_MS = 1_000;
 const NO_BODY = Buffer.alloc(0);
 const BODY_TOO_LARGE: ProblemResponse = {
@@ -22,12 +25,12 @@
   kind: "body-too-large",
   detail: "The body is over the limit.",
 };
-/** Until somebody decides about requests. */
+/** The verdict on requests until `onHead` is set. */
 const STARTING: RequestVerdict = {
   type: "refuse",
   problem: { status: 503, kind: "starting", detail: "This gateway starts.", retryAfterMs: 250 },
 };
-/** Bounds before a configuration is known. */
+/** The limits until a configuration is known. */
 const INITIAL_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
@@ -35,7 +38,6 @@
   idleTimeoutMs: 15_000,
 };
 
-/** See the module's comment. */
 export class IngressServer {
   readonly #context: GatewayContext;
   readonly #limiter: BufferLimiter;
@@ -44,7 +46,7 @@
   #limits = INITIAL_LIMITS;
   #active = 0;
   #stopping = false;
-  /** Called with the head of each request. */
+  /** Decides on each request by its head. */
   onHead: (head: RequestHead) => RequestVerdict = () => STARTING;
 
   constructor(context: GatewayContext, limiter: BufferLimiter) {
@@ -65,34 +67,34 @@
     });
   }
 
-  /** Requests that have no whole answer yet. */
+  /** The number of requests whose answer is not complete yet. */
   get active(): number {
     return this.#active;
   }
 
-  /** Connections of callers. */
+  /** The number of connections of callers. */
   get connections(): number {
     return this.#sockets.size;
   }
 
-  /** Listens at `IP:port`. */
+  /** Listens on `IP:port`. */
   listen(address: string): Promise<void> {
     return listenAt(this.#server, address);
   }
 
-  /** Puts the operators' limits in force. */
+  /** Applies the limits that operators configured. */
   setLimits(limits: CallerLimits): void {
     this.#limits = limits;
     this.#applyLimits(limits);
   }
 
-  /** From now on, every answer ends its connection, and connections at rest are ended. */
+  /** Begins a planned stop: from now on, every answer closes its connection, and idle connections are closed. */
   beginStop(): void {
     this.#stopping = true;
     this.#server.closeIdleConnections();
   }
 
-  /** Takes no new connections. */
+  /** Accepts no new connections, and closes idle ones. */
   stopListening(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
@@ -132,7 +134,7 @@
   return { host, path, headers, bodyBytes, arrivedAtMs };
 }
 
-/** Makes a server listen at `IP:port`. */
+/** Makes a server listen on `IP:port`. */
 export function listenAt(server: Server, address: string): Promise<void> {
   const [host, port] = address.split(":");
   return new Promise((resolve, reject) => {
--- a/src/gateway/ingress/insufficient-memory.ts
+++ b/src/gateway/ingress/insufficient-memory.ts
@@ -1,8 +1,8 @@
 import type { ProblemResponse } from "./problem-response.ts";
 
 /**
- * There is no memory for a request. The shortage is this gateway's alone, so that the time to come back is that of a new
- * connection, which is likely to lead to another one.
+ * The answer when there is no memory for a request. Only this gateway is short of memory, so the retry delay is the time to
+ * open a new connection, which is likely to lead to another gateway.
  */
 export const INSUFFICIENT_MEMORY: ProblemResponse = {
   status: 503,
--- a/src/gateway/ingress/problem-response.ts
+++ b/src/gateway/ingress/problem-response.ts
@@ -1,11 +1,11 @@
-/** What a caller is told when the system itself answers. */
+/** An answer to a caller that comes from the gateway itself, because no runner's answer can be forwarded. */
 export interface ProblemResponse {
   readonly status: number;
-  /** A standard word for the kind of problem. */
+  /** The standard identifier of the kind of problem. */
   readonly kind: string;
   readonly detail: string;
-  /** When to come back, in ms. */
+  /** Delay after which the caller should retry, in ms. */
   readonly retryAfterMs?: number;
-  /** Another gateway may do better: the connection ends with the answer. */
+  /** Whether the connection is closed after the answer, since another gateway may be able to serve the request. */
   readonly closesConnection?: boolean;
 }
--- a/src/gateway/ingress/read-body.ts
+++ b/src/gateway/ingress/read-body.ts
@@ -5,12 +5,12 @@
 export type BodyOutcome =
   | { readonly type: "body"; readonly body: Buffer }
   | { readonly type: "tooLarge" }
-  /** There is no memory for it. */
+  /** There is no memory for the body. */
   | { readonly type: "noMemory" }
-  /** The caller left, or broke the protocol, before the body was whole. */
+  /** The caller disconnected, or violated the protocol, before the body was complete. */
   | { readonly type: "broken" };
 
-/** Reads a whole body of at most `limitBytes`, as far as there is memory for it. */
+/** Reads a complete body of at most `limitBytes`, if there is memory for it. */
 export function readBody(
   request: IncomingMessage,
   limitBytes: number,
--- a/src/gateway/ingress/request-verdict.ts
+++ b/src/gateway/ingress/request-verdict.ts
@@ -1,9 +1,9 @@
 import type { CallerExchange } from "./caller-exchange.ts";
 import type { ProblemResponse } from "./problem-response.ts";
 
-/** What the head of a request decides. */
+/** Whether a request is accepted; decided by its head. */
 export type RequestVerdict =
-  /** Nobody reads the body. */
+  /** The body is not read. */
   | { readonly type: "refuse"; readonly problem: ProblemResponse }
-  /** Once the body is there, the request is carried out. */
+  /** The request is run once its body has been read. */
   | { readonly type: "accept"; readonly run: (exchange: CallerExchange) => void };
--- a/test/contract/caller-exchange.test.ts
+++ b/test/contract/caller-exchange.test.ts
@@ -1,4 +1,4 @@
-/** What waits for a caller that reads late: over a connection of which the test takes what it likes. */
+/** Answers to a caller that reads slowly, over a connection of which the test decides when data is read. */
 import { createServer, type Server } from "node:http";
 import { Duplex } from "node:stream";
 import { afterEach, beforeEach, describe, it } from "node:test";
@@ -9,10 +9,10 @@
 import { gatewayContext } from "./support/gateway-parts.ts";
 
 const MAX_HELD_BYTES = 1_000_000;
-/** More than is read ahead for one caller. */
+/** More than is buffered for one caller before its runner has to wait. */
 const CHUNK = Buffer.alloc(100_000, "x");
 
-/** A connection whose other side takes a write only when the test says so. */
+/** A connection whose other side completes a write only when the test says so. */
 class SlowConnection extends Duplex {
   received = "";
   #completeWrite: (() => void) | undefined;
@@ -26,7 +26,7 @@
     };
   }
 
-  /** Takes what was written, as often as there is something. */
+  /** Completes writes until none is pending. */
   async receiveAll(): Promise<void> {
     for (;;) {
       await new Promise((resolve) => setImmediate(resolve));
@@ -38,7 +38,7 @@
   }
 }
 
-describe("an answer whose caller reads late", () => {
+describe("an answer to a caller that reads slowly", () => {
   let server: Server;
   let limiter: BufferLimiter;
   let buffers: CallerBuffers;
@@ -67,7 +67,7 @@
     server.close();
   });
 
-  it("comes whole, in order, also when its end came long before", async () => {
+  it("arrives complete and in order, even if it was ended long before", async () => {
     exchange.start(200, []);
     for (const letter of ["x", "y", "z"]) exchange.write(Buffer.alloc(100_000, letter));
     exchange.end();
@@ -82,14 +82,14 @@
     expect([exchange.gone, limiter.heldBytes]).toEqual([false, 0]);
   });
 
-  it("comes whole in one piece as well", async () => {
+  it("arrives complete if it is sent in one piece", async () => {
     exchange.answer(200, [], CHUNK);
     await connection.receiveAll();
     expect(connection.received.endsWith(`\r\n\r\n${CHUNK.toString("latin1")}`)).toEqual(true);
     expect(limiter.heldBytes).toEqual(0);
   });
 
-  it("is full until the caller has taken enough", async () => {
+  it("is full until the caller has read enough", async () => {
     let drains = 0;
     exchange.onDrain(() => {
       drains += 1;
@@ -101,7 +101,7 @@
     expect([exchange.isFull, drains > 0]).toEqual([false, true]);
   });
 
-  it("counts as idle only while nothing is taken, and is dropped when it is cut", async () => {
+  it("counts as idle only while nothing is read, and is dropped when it is cut", async () => {
     let isGone = false;
     exchange.onGone(() => {
       isGone = true;
