--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -1,56 +1,59 @@
-/** Takes each caller's request to its route, and has it carried out. */
+/** Finds the route of each caller's request, checks whether the caller may send it, and runs the call. */
 import type { CallContext } from "../../ports/call-protocol.ts";
 import { poolSelectionKey } from "../../scheduling/routing/pool-selection-key.ts";
 import { choosePool, type RouteTable } from "../../scheduling/routing/route-table.ts";
 import type { Route, RunnerPool } from "../../scheduling/routing/routing-configuration.ts";
 import type { Tenant } from "../../scheduling/routing/tenant.ts";
 import type { CallerExchange } from "../ingress/caller-exchange.ts";
-import type { CallerHead } from "../ingress/caller-head.ts";
-import type { CallerProblem } from "../ingress/caller-problem.ts";
-import type { HeadVerdict } from "../ingress/head-verdict.ts";
-import { NO_ROOM } from "../ingress/no-room.ts";
+import { INSUFFICIENT_MEMORY } from "../ingress/insufficient-memory.ts";
+import type { ProblemResponse } from "../ingress/problem-response.ts";
+import type { RequestHead } from "../ingress/request-head.ts";
+import type { RequestVerdict } from "../ingress/request-verdict.ts";
 import type { PartitionClient } from "../partitions/partition-client.ts";
 import type { RateClient } from "../rates/rate-client.ts";
 import type { RateVerdict } from "../rates/rate-verdict.ts";
 import { CallRecord } from "../telemetry/call-record.ts";
 import type { RateRecord } from "../telemetry/rate-record.ts";
-import { callTimeMs } from "./call-time.ts";
+import { BufferedCall } from "./buffered-call.ts";
+import { callTimeoutMs } from "./call-timeout.ts";
 import { OWNER_RETRY_AFTER_MS } from "./owner-retry.ts";
-import { PlainCall } from "./plain-call.ts";
-import type { CallStart } from "./routed-call.ts";
+import type { RoutedRequest } from "./routed-call.ts";
 import type { AttemptParts } from "./runner-attempt.ts";
 import { StreamedCall } from "./streamed-call.ts";
 
-const STARTING: CallerProblem = {
+const STARTING: ProblemResponse = {
   status: 503,
   kind: "starting",
   detail: "This gateway knows no configuration yet.",
   retryAfterMs: 250,
 };
-const NO_IDENTIFIER: CallerProblem = {
+const NO_IDENTIFIER: ProblemResponse = {
   status: 400,
   kind: "invalid-request",
   detail: "The request has no identifier.",
 };
-const NO_ROUTE: CallerProblem = { status: 404, kind: "no-route", detail: "No route leads there." };
-const UNKNOWN_KEY: CallerProblem = {
+const NO_ROUTE: ProblemResponse = { status: 404, kind: "no-route", detail: "No route leads there." };
+const UNKNOWN_KEY: ProblemResponse = {
   status: 401,
   kind: "unknown-key",
   detail: "The request needs the key of a tenant.",
 };
-/** The time to come back is that of a new connection: other gateways know the newest configuration, or will soon. */
-const UNTRUSTED: CallerProblem = {
+/**
+ * Other gateways have the newest configuration, or will have it soon. The retry delay is therefore the time to open a new
+ * connection.
+ */
+const STALE_CONFIGURATION: ProblemResponse = {
   status: 503,
   kind: "configuration-stale",
   detail: "This gateway cannot be sure that the key is still valid.",
   retryAfterMs: 150,
-  goElsewhere: true,
+  closesConnection: true,
 };
-/** Part of a request's time for which the owner of its tenant's limit is looked for; the rest is for the runner. */
-const LOOKING_PART = 0.5;
+/** Fraction of a call's timeout for which the owner of its tenant's limit is looked for; the rest is for the runner. */
+const MAX_OWNER_WAIT_FRACTION = 0.5;
 const HASH_RANGE = 2 ** 32;
 
-/** Where a request goes, and for whom. */
+/** The route and the runner pool of a call, and its tenant. */
 interface Destination {
   readonly call: CallContext;
   readonly route: Route;
@@ -58,7 +61,7 @@
   readonly tenant: Tenant | undefined;
 }
 
-/** What is known of a request that is refused before it is carried out. */
+/** What is known about a request that is refused before it runs. */
 interface RefusedCall {
   readonly call: CallContext;
   readonly route: Route | undefined;
@@ -66,34 +69,33 @@
   readonly rate?: RateRecord;
 }
 
-/** See the module's comment. */
 export class CallService {
   readonly #parts: AttemptParts;
   readonly #partitions: PartitionClient;
   readonly #rates: RateClient;
   readonly #routes: () => RouteTable | undefined;
-  readonly #trustsKeys: () => boolean;
+  readonly #canTrustKeys: () => boolean;
 
   /**
    * @param routes the routes in force; undefined while this gateway cannot serve
-   * @param trustsKeys whether the keys of the configuration in force can't have been taken away long ago
+   * @param canTrustKeys whether the keys of the configuration in force may be trusted: none was revoked long ago
    */
   constructor(
     parts: AttemptParts,
     partitions: PartitionClient,
     rates: RateClient,
     routes: () => RouteTable | undefined,
-    trustsKeys: () => boolean,
+    canTrustKeys: () => boolean,
   ) {
     this.#parts = parts;
     this.#partitions = partitions;
     this.#rates = rates;
     this.#routes = routes;
-    this.#trustsKeys = trustsKeys;
+    this.#canTrustKeys = canTrustKeys;
   }
 
-  /** Decides by a request's head whether it is carried out. */
-  decide(head: CallerHead): HeadVerdict {
+  /** Decides by a request's head whether the request is accepted. */
+  decide(head: RequestHead): RequestVerdict {
     const routes = this.#routes();
     if (!routes) return { type: "refuse", problem: STARTING };
     const call = this.#parts.context.platform.calls.describeCall(head.headers);
@@ -102,21 +104,25 @@
     const pool = route && this.#poolOf(route, routes, call);
     if (!route || !pool) return this.#refuse(NO_ROUTE, call, undefined, routes);
     const needsKey = routes.needsKey(route);
-    if (needsKey && !this.#trustsKeys()) return this.#refuse(UNTRUSTED, call, route, routes);
+    if (needsKey && !this.#canTrustKeys()) return this.#refuse(STALE_CONFIGURATION, call, route, routes);
     const tenant = needsKey && call.key !== undefined ? routes.tenantOf(call.key) : undefined;
     if (needsKey && !tenant) return this.#refuse(UNKNOWN_KEY, call, route, routes);
-    if (this.#parts.buffers.refuses(head.bodyBytes)) return this.#refuse(NO_ROOM, call, route, routes);
+    if (this.#parts.buffers.refuses(head.bodyBytes))
+      return this.#refuse(INSUFFICIENT_MEMORY, call, route, routes);
     const destination = { call, route, pool, tenant };
-    return { type: "take", run: (exchange) => void this.#admit(exchange, destination, routes) };
+    return { type: "accept", run: (exchange) => void this.#admit(exchange, destination, routes) };
   }
 
-  /** Carries a request out once its tenant may send it. */
+  /** Runs a call if its tenant's limit admits it. */
   async #admit(exchange: CallerExchange, destination: Destination, routes: RouteTable): Promise<void> {
     const { tenant, call, route } = destination;
     if (tenant?.limit === undefined) return this.#run(exchange, destination, routes, undefined);
     const { clock, metrics, settings } = this.#parts.context;
     const askedAtMs = clock.monotonicMs();
-    const waitMs = Math.min(settings.timing.ownerWaitMs, callTimeMs(call, route) * LOOKING_PART);
+    const waitMs = Math.min(
+      settings.timing.ownerWaitMs,
+      callTimeoutMs(call, route) * MAX_OWNER_WAIT_FRACTION,
+    );
     const { version } = routes.configuration;
     const verdict = await this.#rates.admit(tenant, version, askedAtMs + waitMs);
     const elapsedMs = clock.monotonicMs() - askedAtMs;
@@ -129,7 +135,7 @@
     };
     if (verdict.type === "granted") return this.#run(exchange, destination, routes, rate);
     const problem = problemOf(verdict);
-    this.#note(problem, { call, route, tenant, rate }, routes);
+    this.#logRefusal(problem, { call, route, tenant, rate }, routes);
     exchange.refuse(problem);
   }
 
@@ -142,7 +148,7 @@
     const { tenants, version } = routes.configuration;
     const hidesKey = tenants !== undefined;
     const rank = routes.rankOf(route, tenant);
-    const start: CallStart = {
+    const request: RoutedRequest = {
       exchange,
       call,
       route,
@@ -155,8 +161,8 @@
     };
     const routed =
       route.kind === "streaming"
-        ? new StreamedCall(this.#parts, this.#partitions, start)
-        : new PlainCall(this.#parts, start);
+        ? new StreamedCall(this.#parts, this.#partitions, request)
+        : new BufferedCall(this.#parts, request);
     routed.run();
   }
 
@@ -166,20 +172,20 @@
     return name === undefined ? undefined : routes.pool(name);
   }
 
-  /** Refuses a request, with a line in the log. */
+  /** Refuses a request and logs the refusal. */
   #refuse(
-    problem: CallerProblem,
+    problem: ProblemResponse,
     call: CallContext,
     route: Route | undefined,
     routes: RouteTable,
-  ): HeadVerdict {
-    this.#note(problem, { call, route }, routes);
+  ): RequestVerdict {
+    this.#logRefusal(problem, { call, route }, routes);
     return { type: "refuse", problem };
   }
 
-  /** A line in the log for a request that is refused before it is carried out. */
-  #note(
-    { status, kind, detail }: CallerProblem,
+  /** Logs and counts a request that is refused before it runs. */
+  #logRefusal(
+    { status, kind, detail }: ProblemResponse,
     { call, route, tenant, rate }: RefusedCall,
     { configuration }: RouteTable,
   ): void {
@@ -194,7 +200,7 @@
   }
 }
 
-function problemOf(verdict: Exclude<RateVerdict, { type: "granted" }>): CallerProblem {
+function problemOf(verdict: Exclude<RateVerdict, { type: "granted" }>): ProblemResponse {
   if (verdict.type === "unavailable") {
     const { detail } = verdict;
     return { status: 503, kind: "unavailable", detail, retryAfterMs: OWNER_RETRY_AFTER_MS };
--- a/src/gateway/ingress/caller-exchange.ts
+++ b/src/gateway/ingress/caller-exchange.ts
@@ -1,21 +1,20 @@
 /**
- * One request of a caller and its answer. What the caller does not take yet waits here, so that it can be seen whether it
- * takes anything: the system is handed only a little at a time.
+ * One request of a caller and its answer. Data that the caller has not read yet is queued here, and only a little at a time
+ * is passed to the operating system, so that the gateway can see whether the caller reads at all.
  */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from "node:http";
 import type { RawHeaders } from "../../ports/call-protocol.ts";
 import type { CallerBuffers } from "../buffers/caller-buffers.ts";
-import type { CallerHead } from "./caller-head.ts";
-import type { CallerProblem } from "./caller-problem.ts";
+import type { ProblemResponse } from "./problem-response.ts";
+import type { RequestHead } from "./request-head.ts";
 
-const HTTP_PROBLEM = "application/json";
+const JSON_CONTENT_TYPE = "application/json";
 const MS_PER_S = 1_000;
 const NO_BODY = Buffer.alloc(0);
-/** What the system is handed at a time, in bytes. */
-const PIECE_BYTES = 32_768;
+/** Maximum number of bytes that are passed to the operating system at a time. */
+const MAX_WRITE_BYTES = 32_768;
 
-/** See the module's comment. */
-export class CallerExchange implements CallerHead {
+export class CallerExchange implements RequestHead {
   readonly method: string;
   /** Path and query as the caller sent them. */
   readonly target: string;
@@ -24,34 +23,34 @@
   readonly headers: IncomingHttpHeaders;
   readonly bodyBytes: number;
   readonly rawHeaders: RawHeaders;
-  /** Of the monotonic clock. */
+  /** Arrival time by the monotonic clock, in ms. */
   readonly arrivedAtMs: number;
-  /** What is held for this request. */
+  /** Counts the bytes that are held for this request. */
   readonly buffers: CallerBuffers;
   readonly #response: ServerResponse;
-  readonly #endsConnection: () => boolean;
+  readonly #shouldCloseConnection: () => boolean;
   #body: Buffer;
   #ended = false;
   #gone = false;
   #cut = false;
   #onGone: () => void = () => undefined;
-  #onRoom: () => void = () => undefined;
-  /** What the system has not been handed yet, oldest first. */
+  #onDrain: () => void = () => undefined;
+  /** Pieces that have not been passed to the operating system yet, oldest first. */
   #queue: Buffer[] = [];
   #queuedBytes = 0;
   #writtenBytes = 0;
 
   /**
-   * @param buffers counts what is held for the request
-   * @param endsConnection whether an answer that begins now is the last on its connection
+   * @param buffers counts the bytes that are held for the request
+   * @param shouldCloseConnection whether an answer that starts now must be the last on its connection
    */
   constructor(
     request: IncomingMessage,
     response: ServerResponse,
     body: Buffer,
-    head: CallerHead,
+    head: RequestHead,
     buffers: CallerBuffers,
-    endsConnection: () => boolean,
+    shouldCloseConnection: () => boolean,
   ) {
     this.method = request.method ?? "GET";
     this.target = request.url ?? "/";
@@ -64,71 +63,71 @@
     this.buffers = buffers;
     this.arrivedAtMs = head.arrivedAtMs;
     this.#response = response;
-    this.#endsConnection = endsConnection;
+    this.#shouldCloseConnection = shouldCloseConnection;
     buffers.setProgress({
       unreadBytes: () => this.#unreadBytes,
       transferredBytes: () => this.#writtenBytes - this.#unreadBytes,
       isWaitingForCaller: () => this.#unreadBytes > 0,
-      cut: () => this.#cutOff(),
+      cut: () => this.#cutConnection(),
     });
-    response.on("drain", () => this.#handOver());
-    response.on("close", () => this.#closed());
+    response.on("drain", () => this.#flushQueue());
+    response.on("close", () => this.#onClose());
     if (response.destroyed || request.socket.destroyed) this.#gone = true;
   }
 
-  /** The request's body, until the call is over. */
+  /** The request's body; empty once the call is over. */
   get body(): Buffer {
     return this.#body;
   }
 
-  /** Whether the connection was ended because the caller took nothing. */
+  /** Whether the connection was ended because the caller read nothing. */
   get wasCut(): boolean {
     return this.#cut;
   }
 
-  /** Whether so much waits for the caller that nothing more should be fetched for it. */
+  /** Whether so much data waits for the caller that no more should be read from the runner. */
   get isFull(): boolean {
     return this.#unreadBytes > this.buffers.readAheadBytes;
   }
 
-  /** Whether the caller has left before its answer was whole. */
+  /** Whether the caller disconnected before its answer was complete. */
   get gone(): boolean {
     return this.#gone;
   }
 
-  /** Whether the head of an answer has left. */
+  /** Whether the head of an answer has been sent. */
   get started(): boolean {
     return this.#response.headersSent;
   }
 
-  /** Whether the answer is whole, or was broken off. */
+  /** Whether the answer is complete or was aborted. */
   get ended(): boolean {
     return this.#ended;
   }
 
-  /** Sets what is called when the caller leaves early. */
+  /** Sets what is called when the caller disconnects early; called at once if it already has. */
   onGone(action: () => void): void {
     this.#onGone = action;
     if (this.#gone) action();
   }
 
-  /** Sets what is called when there is room again for what waits for the caller. */
-  onRoom(action: () => void): void {
-    this.#onRoom = action;
-    this.buffers.onUpdate = () => this.#noteRoom();
+  /** Sets what is called when the caller has read enough for more data to be buffered. */
+  onDrain(action: () => void): void {
+    this.#onDrain = action;
+    this.buffers.onUpdate = () => this.#checkDrained();
   }
 
-  /** The call is over: the body is not needed any more. */
+  /** Releases the request's body and what else is held for the call, which is over. */
   releaseCall(): void {
     this.#body = NO_BODY;
     this.buffers.releaseCall();
   }
 
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   answer(status: number, headers: RawHeaders, body: Buffer): void {
     if (this.#ended || this.#gone) return;
-    this.#writeHead(status, withLength(headers, body.length));
-    if (body.length > PIECE_BYTES) {
+    this.#writeHead(status, withContentLength(headers, body.length));
+    if (body.length > MAX_WRITE_BYTES) {
       this.write(body);
       this.end();
       return;
@@ -136,50 +135,50 @@
     this.#ended = true;
     this.#writtenBytes += body.length;
     this.#response.end(body);
-    this.#countUnread();
+    this.#recordUnreadBytes();
   }
 
-  /** Tells the caller why the system has no answer for it. */
-  refuse(problem: CallerProblem): void {
-    const { status, kind, detail, retryAfterMs, goElsewhere } = problem;
-    if (goElsewhere) this.#response.shouldKeepAlive = false;
-    const headers = ["Content-Type", HTTP_PROBLEM];
+  /** Sends an answer of the gateway itself. */
+  refuse(problem: ProblemResponse): void {
+    const { status, kind, detail, retryAfterMs, closesConnection } = problem;
+    if (closesConnection) this.#response.shouldKeepAlive = false;
+    const headers = ["Content-Type", JSON_CONTENT_TYPE];
     if (retryAfterMs !== undefined) headers.push("Retry-After", (retryAfterMs / MS_PER_S).toFixed(3));
     this.answer(status, headers, Buffer.from(JSON.stringify({ error: kind, detail })));
   }
 
-  /** Sends the head of an answer that comes in pieces. */
+  /** Sends the head of an answer whose body follows in pieces. */
   start(status: number, headers: RawHeaders): void {
     if (this.#ended || this.#gone) return;
-    this.#writeHead(status, withoutLength(headers));
+    this.#writeHead(status, withoutContentLength(headers));
   }
 
-  /** Sends a piece. */
+  /** Sends a piece of the body. */
   write(chunk: Buffer): void {
     if (this.#ended || this.#gone) return;
     this.#writtenBytes += chunk.length;
-    if (this.#queue.length === 0 && chunk.length <= PIECE_BYTES && !this.#response.writableNeedDrain)
+    if (this.#queue.length === 0 && chunk.length <= MAX_WRITE_BYTES && !this.#response.writableNeedDrain)
       this.#response.write(chunk);
     else this.#enqueue(chunk);
-    this.#countUnread();
+    this.#recordUnreadBytes();
   }
 
-  /** The answer is whole. */
+  /** Ends an answer that is complete. */
   end(): void {
     if (this.#ended || this.#gone) return;
     this.#ended = true;
     if (this.#queue.length === 0) this.#response.end();
   }
 
-  /** Ends the connection so that the answer cannot be taken for a whole one. */
-  breakOff(): void {
+  /** Ends the connection, so that the caller cannot mistake the answer for a complete one. */
+  abort(): void {
     if (this.#ended) return;
     this.#ended = true;
     this.#response.destroy();
   }
 
   #writeHead(status: number, headers: string[]): void {
-    if (this.#endsConnection()) this.#response.shouldKeepAlive = false;
+    if (this.#shouldCloseConnection()) this.#response.shouldKeepAlive = false;
     this.#response.writeHead(status, headers);
   }
 
@@ -187,47 +186,47 @@
     return this.#queuedBytes + this.#response.writableLength;
   }
 
-  #countUnread(): void {
+  #recordUnreadBytes(): void {
     this.buffers.set("answers", this.#unreadBytes);
   }
 
-  /** Keeps a chunk in pieces of a size at which the caller can be seen to take them. */
+  /** Queues a chunk in pieces that are small enough to see the caller's progress. */
   #enqueue(chunk: Buffer): void {
-    for (let start = 0; start < chunk.length; start += PIECE_BYTES)
-      this.#queue.push(chunk.subarray(start, start + PIECE_BYTES));
+    for (let start = 0; start < chunk.length; start += MAX_WRITE_BYTES)
+      this.#queue.push(chunk.subarray(start, start + MAX_WRITE_BYTES));
     this.#queuedBytes += chunk.length;
-    if (!this.#response.writableNeedDrain) this.#handOver();
+    if (!this.#response.writableNeedDrain) this.#flushQueue();
   }
 
-  /** The system takes more. */
-  #handOver(): void {
+  /** Writes queued pieces until the operating system accepts no more. */
+  #flushQueue(): void {
     if (this.#response.destroyed) return;
-    let taken = 0;
-    while (taken < this.#queue.length) {
-      const piece = this.#queue[taken] as Buffer;
-      taken += 1;
+    let writtenCount = 0;
+    while (writtenCount < this.#queue.length) {
+      const piece = this.#queue[writtenCount] as Buffer;
+      writtenCount += 1;
       this.#queuedBytes -= piece.length;
       if (!this.#response.write(piece)) break;
     }
-    this.#queue.splice(0, taken);
-    if (taken > 0 && this.#ended && this.#queue.length === 0) this.#response.end();
-    this.#countUnread();
-    this.#noteRoom();
+    this.#queue.splice(0, writtenCount);
+    if (writtenCount > 0 && this.#ended && this.#queue.length === 0) this.#response.end();
+    this.#recordUnreadBytes();
+    this.#checkDrained();
   }
 
-  #noteRoom(): void {
-    if (this.#unreadBytes <= this.buffers.readAheadBytes / 2) this.#onRoom();
+  #checkDrained(): void {
+    if (this.#unreadBytes <= this.buffers.readAheadBytes / 2) this.#onDrain();
   }
 
-  /** The caller takes nothing: what waits for it is dropped. */
-  #cutOff(): void {
+  /** Ends the connection of a caller that reads nothing, and drops the data that waits for it. */
+  #cutConnection(): void {
     this.#cut = true;
     this.#response.destroy();
-    // What the call does until the connection has closed must not reach it any more.
-    this.#closed();
+    // The connection closes later, and nothing that the call does until then may reach the caller.
+    this.#onClose();
   }
 
-  #closed(): void {
+  #onClose(): void {
     this.#queue = [];
     this.#queuedBytes = 0;
     this.buffers.close();
@@ -237,7 +236,7 @@
   }
 }
 
-function withoutLength(headers: RawHeaders): string[] {
+function withoutContentLength(headers: RawHeaders): string[] {
   const kept: string[] = [];
   for (let index = 0; index < headers.length; index += 2) {
     if (headers[index]?.toLowerCase() === "content-length") continue;
@@ -246,6 +245,6 @@
   return kept;
 }
 
-function withLength(headers: RawHeaders, length: number): string[] {
-  return [...withoutLength(headers), "Content-Length", String(length)];
+function withContentLength(headers: RawHeaders, length: number): string[] {
+  return [...withoutContentLength(headers), "Content-Length", String(length)];
 }
--- a/src/gateway/ingress/ingress-server.ts
+++ b/src/gateway/ingress/ingress-server.ts
@@ -1,4 +1,7 @@
-/** Takes callers' requests over HTTP: asks by the head whether to, reads the body, hands both on. A planned stop ends connections between requests. */
+/**
+ * Serves callers' requests over HTTP: has each request accepted or refused by its head, reads the body, and passes both on.
+ * A planned stop closes connections between requests.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { CallerLimits } from "../../scheduling/routing/routing-configuration.ts";
@@ -6,58 +9,57 @@
 import { CallerBuffers } from "../buffers/caller-buffers.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import { CallerExchange } from "./caller-exchange.ts";
-import type { CallerHead } from "./caller-head.ts";
-import type { CallerProblem } from "./caller-problem.ts";
-import type { HeadVerdict } from "./head-verdict.ts";
-import { NO_ROOM } from "./no-room.ts";
+import { INSUFFICIENT_MEMORY } from "./insufficient-memory.ts";
+import type { ProblemResponse } from "./problem-response.ts";
 import { readBody } from "./read-body.ts";
+import type { RequestHead } from "./request-head.ts";
+import type { RequestVerdict } from "./request-verdict.ts";
 
 const MAX_HEADER_BYTES = 65_536;
-const CONNECTIONS_CHECK_MS = 1_000;
-/** Added to the idle time that callers are told, so that a request crosses no close. */
+const CONNECTION_CHECK_INTERVAL_MS = 1_000;
+/** Added to the idle timeout that callers are told, so that no request is sent while its connection is being closed. */
 const IDLE_MARGIN_MS = 1_000;
 const NO_BODY = Buffer.alloc(0);
-const BODY_TOO_LARGE: CallerProblem = {
+const BODY_TOO_LARGE: ProblemResponse = {
   status: 413,
   kind: "body-too-large",
   detail: "The body is over the limit.",
 };
-/** Until somebody decides about requests. */
-const STARTING: HeadVerdict = {
+/** The verdict on requests until `onHead` is set. */
+const STARTING: RequestVerdict = {
   type: "refuse",
   problem: { status: 503, kind: "starting", detail: "This gateway starts.", retryAfterMs: 250 },
 };
-/** Bounds before a configuration is known. */
-const FIRST_LIMITS: CallerLimits = {
+/** The limits until a configuration is known. */
+const INITIAL_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 15_000,
 };
 
-/** See the module's comment. */
 export class IngressServer {
   readonly #context: GatewayContext;
-  readonly #pool: BufferLimiter;
+  readonly #limiter: BufferLimiter;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
-  #limits = FIRST_LIMITS;
+  #limits = INITIAL_LIMITS;
   #active = 0;
   #stopping = false;
-  /** Called with the head of each request. */
-  onHead: (head: CallerHead) => HeadVerdict = () => STARTING;
+  /** Decides on each request by its head. */
+  onHead: (head: RequestHead) => RequestVerdict = () => STARTING;
 
-  constructor(context: GatewayContext, pool: BufferLimiter) {
+  constructor(context: GatewayContext, limiter: BufferLimiter) {
     this.#context = context;
-    this.#pool = pool;
+    this.#limiter = limiter;
     this.#server = createServer({
       maxHeaderSize: MAX_HEADER_BYTES,
-      connectionsCheckingInterval: CONNECTIONS_CHECK_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
       requestTimeout: 0,
       keepAlive: true,
       noDelay: true,
     });
-    this.#applyLimits(FIRST_LIMITS);
+    this.#applyLimits(INITIAL_LIMITS);
     this.#server.on("request", (request, response) => void this.#serve(request, response));
     this.#server.on("connection", (socket) => {
       this.#sockets.add(socket);
@@ -65,34 +67,34 @@
     });
   }
 
-  /** Requests that have no whole answer yet. */
+  /** The number of requests whose answer is not complete yet. */
   get active(): number {
     return this.#active;
   }
 
-  /** Connections of callers. */
+  /** The number of connections of callers. */
   get connections(): number {
     return this.#sockets.size;
   }
 
-  /** Listens at `IP:port`. */
+  /** Listens on `IP:port`. */
   listen(address: string): Promise<void> {
     return listenAt(this.#server, address);
   }
 
-  /** Puts the operators' limits in force. */
+  /** Applies the limits that operators configured. */
   setLimits(limits: CallerLimits): void {
     this.#limits = limits;
     this.#applyLimits(limits);
   }
 
-  /** From now on, every answer ends its connection, and connections at rest are ended. */
+  /** Begins a planned stop: from now on, every answer closes its connection, and idle connections are closed. */
   beginStop(): void {
     this.#stopping = true;
     this.#server.closeIdleConnections();
   }
 
-  /** Takes no new connections. */
+  /** Accepts no new connections, and closes idle ones. */
   stopListening(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
@@ -110,21 +112,21 @@
       this.#active -= 1;
     });
     const head = headOf(request, arrivedAtMs);
-    const buffers = new CallerBuffers(this.#pool);
+    const buffers = new CallerBuffers(this.#limiter);
     response.on("close", () => buffers.close());
-    const exchangeWith = (body: Buffer) =>
+    const createExchange = (body: Buffer) =>
       new CallerExchange(request, response, body, head, buffers, () => this.#stopping);
     const verdict = this.onHead(head);
-    if (verdict.type === "refuse") return exchangeWith(NO_BODY).refuse(verdict.problem);
+    if (verdict.type === "refuse") return createExchange(NO_BODY).refuse(verdict.problem);
     const outcome = await readBody(request, this.#limits.bodyBytes, buffers);
     if (outcome.type === "broken") return;
-    if (outcome.type === "noRoom") return exchangeWith(NO_BODY).refuse(NO_ROOM);
-    if (outcome.type === "tooLarge") return exchangeWith(NO_BODY).refuse(BODY_TOO_LARGE);
-    verdict.run(exchangeWith(outcome.body));
+    if (outcome.type === "noMemory") return createExchange(NO_BODY).refuse(INSUFFICIENT_MEMORY);
+    if (outcome.type === "tooLarge") return createExchange(NO_BODY).refuse(BODY_TOO_LARGE);
+    verdict.run(createExchange(outcome.body));
   }
 }
 
-function headOf(request: IncomingMessage, arrivedAtMs: number): CallerHead {
+function headOf(request: IncomingMessage, arrivedAtMs: number): RequestHead {
   const { headers } = request;
   const host = (headers.host ?? "").split(":", 1)[0]?.toLowerCase() ?? "";
   const path = (request.url ?? "/").split("?", 1)[0] as string;
@@ -132,7 +134,7 @@
   return { host, path, headers, bodyBytes, arrivedAtMs };
 }
 
-/** Makes a server listen at `IP:port`. */
+/** Makes a server listen on `IP:port`. */
 export function listenAt(server: Server, address: string): Promise<void> {
   const [host, port] = address.split(":");
   return new Promise((resolve, reject) => {
--- a/src/gateway/ingress/read-body.ts
+++ b/src/gateway/ingress/read-body.ts
@@ -5,12 +5,12 @@
 export type BodyOutcome =
   | { readonly type: "body"; readonly body: Buffer }
   | { readonly type: "tooLarge" }
-  /** There is no memory for it. */
-  | { readonly type: "noRoom" }
-  /** The caller left, or broke the protocol, before the body was whole. */
+  /** There is no memory for the body. */
+  | { readonly type: "noMemory" }
+  /** The caller disconnected, or violated the protocol, before the body was complete. */
   | { readonly type: "broken" };
 
-/** Reads a whole body of at most `limitBytes`, as far as there is memory for it. */
+/** Reads a complete body of at most `limitBytes`, if there is memory for it. */
 export function readBody(
   request: IncomingMessage,
   limitBytes: number,
@@ -25,7 +25,7 @@
       isWaitingForCaller: () => length > 0,
       cut: () => request.destroy(),
     });
-    const refuse = (type: "tooLarge" | "noRoom") => {
+    const refuse = (type: "tooLarge" | "noMemory") => {
       resolve({ type });
       chunks.length = 0;
       buffers.releaseCall();
@@ -37,11 +37,11 @@
       if (length > limitBytes) return refuse("tooLarge");
       chunks.push(chunk);
       buffers.add("bodies", chunk.length);
-      if (buffers.exhausted) refuse("noRoom");
+      if (buffers.exhausted) refuse("noMemory");
     });
     request.on("end", () => {
-      const [only] = chunks;
-      resolve({ type: "body", body: chunks.length === 1 && only ? only : Buffer.concat(chunks) });
+      const [firstChunk] = chunks;
+      resolve({ type: "body", body: chunks.length === 1 && firstChunk ? firstChunk : Buffer.concat(chunks) });
     });
     request.on("error", () => resolve({ type: "broken" }));
     request.on("close", () => resolve({ type: "broken" }));
