--- a/bench/mutations/node-mutations.ts
+++ b/bench/mutations/node-mutations.ts
@@ -31,8 +31,8 @@
     edits: [
       {
         file: "src/coordination/shard-group/leadership.ts",
-        from: "held[majoritySize(this.#state.membership.current) - 1] ?? 0",
-        to: "held[0] ?? 0",
+        from: "matchIndexes[majoritySize(this.#state.membership.current) - 1] ?? 0",
+        to: "matchIndexes[0] ?? 0",
       },
       {
         file: "src/coordination/shard-group/leadership.ts",
--- a/src/coordination/shard-group/election.ts
+++ b/src/coordination/shard-group/election.ts
@@ -11,7 +11,7 @@
   readonly #onElected: (nowMs: number) => void;
   readonly #hasMajority: (nowMs: number) => boolean;
   #votes = new Set<string>();
-  #preVoteRound = false;
+  #isPreVote = false;
 
   /**
    * @param onElected called when this replica has won
@@ -32,7 +32,7 @@
     this.#state.postponeElection(nowMs);
     if (!this.#state.isVoter) return;
     if (this.#state.role !== "candidate" || this.#state.leader) this.#state.setRole("candidate", undefined);
-    this.#preVoteRound = true;
+    this.#isPreVote = true;
     this.#votes = new Set([this.#state.self.instance]);
     this.#requestVotes(this.#state.term + 1, true, false);
     this.#countVotes(nowMs);
@@ -41,7 +41,7 @@
   #startElection(nowMs: number, transfer: boolean): void {
     this.#state.term += 1;
     this.#state.votedFor = this.#state.self.instance;
-    this.#preVoteRound = false;
+    this.#isPreVote = false;
     this.#votes = new Set([this.#state.self.instance]);
     this.#state.postponeElection(nowMs);
     this.#state.setRole("candidate", undefined);
@@ -66,7 +66,7 @@
 
   /** Another replica asks for this one's vote. */
   onVoteRequest(request: VoteRequest, nowMs: number): void {
-    if (!request.transfer && this.#hearsLiveLeader(nowMs)) return;
+    if (!request.transfer && this.#hasLiveLeader(nowMs)) return;
     if (request.term > this.#state.term && !request.preVote)
       this.#state.becomeFollower(request.term, undefined, nowMs);
     const granted = this.#mayVoteFor(request);
@@ -85,35 +85,36 @@
 
   #mayVoteFor(request: VoteRequest): boolean {
     if (request.term < this.#state.term) return false;
-    const free = this.#state.votedFor === undefined || this.#state.votedFor === request.candidate.instance;
-    if (!request.preVote && !free) return false;
+    const voteAvailable =
+      this.#state.votedFor === undefined || this.#state.votedFor === request.candidate.instance;
+    if (!request.preVote && !voteAvailable) return false;
     if (request.preVote && request.term === this.#state.term) return false;
     if (request.lastTerm !== this.#state.log.lastTerm) return request.lastTerm > this.#state.log.lastTerm;
     return request.lastIndex >= this.#state.log.lastIndex;
   }
 
   /** A voter that hears its leader, and a leader that hears its majority, ignore candidates. */
-  #hearsLiveLeader(nowMs: number): boolean {
+  #hasLiveLeader(nowMs: number): boolean {
     if (this.#state.role === "leader") return this.#hasMajority(nowMs);
-    return nowMs - this.#state.lastLeaderContactMs < this.#state.options.electionTimeoutMs;
+    return nowMs - this.#state.lastLeaderMessageMs < this.#state.options.electionTimeoutMs;
   }
 
   /** Another replica has answered. */
   onVoteResponse(response: VoteResponse, nowMs: number): void {
     if (this.#state.role !== "candidate" || !response.granted) return;
-    if (response.preVote !== this.#preVoteRound) return;
-    const expectedTerm = this.#preVoteRound ? this.#state.term + 1 : this.#state.term;
+    if (response.preVote !== this.#isPreVote) return;
+    const expectedTerm = this.#isPreVote ? this.#state.term + 1 : this.#state.term;
     if (response.term !== expectedTerm) return;
     this.#votes.add(response.voter);
     this.#countVotes(nowMs);
   }
 
   #countVotes(nowMs: number): void {
-    const given = this.#state.membership.current.voters.filter((voter) =>
+    const voteCount = this.#state.membership.current.voters.filter((voter) =>
       this.#votes.has(voter.instance),
     ).length;
-    if (given < majoritySize(this.#state.membership.current)) return;
-    if (this.#preVoteRound) this.#startElection(nowMs, false);
+    if (voteCount < majoritySize(this.#state.membership.current)) return;
+    if (this.#isPreVote) this.#startElection(nowMs, false);
     else this.#onElected(nowMs);
   }
 
--- a/src/coordination/shard-group/following.ts
+++ b/src/coordination/shard-group/follower-replication.ts
@@ -3,7 +3,7 @@
 import type { ReplicaState } from "./replica-state.ts";
 
 /** The follower's side of replication: takes in what a leader sends, and answers how far its journal agrees. */
-export class Following<Command> {
+export class FollowerReplication<Command> {
   readonly #state: ReplicaState<Command>;
 
   constructor(state: ReplicaState<Command>) {
@@ -14,10 +14,10 @@
   onAppendRequest(request: AppendRequest<Command>, nowMs: number): void {
     if (request.term < this.#state.term) return this.#answerAppend(request.leader, false, 0);
     this.#followLeader(request.leader, nowMs);
-    const heldTerm = this.#state.log.termAt(request.previousIndex);
-    const behindTruncation = request.previousIndex < this.#state.log.truncatedIndex;
-    if (!behindTruncation && heldTerm !== request.previousTerm) {
-      return this.#answerAppend(request.leader, false, this.#matchHint(request.previousIndex));
+    const localTerm = this.#state.log.termAt(request.previousIndex);
+    const precedesTruncation = request.previousIndex < this.#state.log.truncatedIndex;
+    if (!precedesTruncation && localTerm !== request.previousTerm) {
+      return this.#answerAppend(request.leader, false, this.#lastPossibleMatch(request.previousIndex));
     }
     if (this.#state.log.merge(request.entries)) this.#state.membership.refresh();
     else this.#state.membership.observe(request.entries);
@@ -27,13 +27,13 @@
   }
 
   /** The last index that could match: never an uncommitted one that has just been found to differ. */
-  #matchHint(previousIndex: number): number {
+  #lastPossibleMatch(previousIndex: number): number {
     if (previousIndex > this.#state.log.lastIndex) return this.#state.log.lastIndex;
     return Math.max(this.#state.commitIndex, previousIndex - 1 - this.#state.options.maxEntriesPerAppend, 0);
   }
 
   #followLeader(leader: Member, nowMs: number): void {
-    this.#state.lastLeaderContactMs = nowMs;
+    this.#state.lastLeaderMessageMs = nowMs;
     if (this.#state.role !== "follower" || this.#state.leader?.instance !== leader.instance) {
       this.#state.becomeFollower(this.#state.term, leader, nowMs);
     }
--- a/src/coordination/shard-group/leadership.ts
+++ b/src/coordination/shard-group/leadership.ts
@@ -6,7 +6,7 @@
 import type { ReplicaState } from "./replica-state.ts";
 
 /** Election time-outs for which a removed replica is still told of its removal. */
-const REMOVED_PATIENCE = 5;
+const REMOVED_REPLICA_GRACE_ELECTION_TIMEOUTS = 5;
 
 /** The leader's side of replication: sends entries and heartbeats, and commits what a majority holds. */
 export class Leadership<Command> {
@@ -32,13 +32,13 @@
   }
 
   /** How far behind the journal's end a replica is, in entries; undefined when not leading or not a replica. */
-  lagOf(instance: string): number | undefined {
+  lagInEntries(instance: string): number | undefined {
     const progress = this.#state.followers.get(instance);
     return progress && this.#state.log.lastIndex - progress.matchIndex;
   }
 
   /** Milliseconds since a replica last answered this leader; undefined when not leading or not a replica. */
-  silenceOf(instance: string, nowMs: number): number | undefined {
+  timeSinceResponseMs(instance: string, nowMs: number): number | undefined {
     const progress = this.#state.followers.get(instance);
     return progress && nowMs - progress.lastResponseMs;
   }
@@ -81,12 +81,12 @@
   }
 
   /** This replica has been elected. */
-  begin(nowMs: number): void {
+  becomeLeader(nowMs: number): void {
     this.#state.followers.clear();
     this.#state.setRole("leader", this.#state.self);
     this.syncFollowers(nowMs);
     this.#termStartIndex = this.append({ type: "leaderStart" }).index;
-    this.#nextHeartbeatMs = this.#heartbeatAfter(nowMs);
+    this.#nextHeartbeatMs = this.#nextHeartbeatTime(nowMs);
     this.flush(nowMs);
   }
 
@@ -94,8 +94,8 @@
   tick(nowMs: number): void {
     if (!this.hasMajority(nowMs)) return this.#state.becomeFollower(this.#state.term, undefined, nowMs);
     if (nowMs < this.#nextHeartbeatMs) return;
-    this.#nextHeartbeatMs = this.#heartbeatAfter(nowMs);
-    this.#forgetRemoved(nowMs);
+    this.#nextHeartbeatMs = this.#nextHeartbeatTime(nowMs);
+    this.#dropRemovedFollowers(nowMs);
     for (const progress of this.#state.followers.values()) {
       if (!this.#sendEntries(progress, nowMs)) this.#sendAppend(progress, nowMs, 0);
     }
@@ -105,12 +105,12 @@
   hasMajority(nowMs: number): boolean {
     if (this.#state.role !== "leader") return false;
     const self = this.#state.self.instance;
-    const heard = this.#state.membership.current.voters.filter((voter) => {
+    const responsive = this.#state.membership.current.voters.filter((voter) => {
       if (voter.instance === self) return true;
-      const silence = this.silenceOf(voter.instance, nowMs);
-      return silence !== undefined && silence < this.#state.options.electionTimeoutMs;
+      const silenceMs = this.timeSinceResponseMs(voter.instance, nowMs);
+      return silenceMs !== undefined && silenceMs < this.#state.options.electionTimeoutMs;
     });
-    return heard.length >= majoritySize(this.#state.membership.current);
+    return responsive.length >= majoritySize(this.#state.membership.current);
   }
 
   /** Adds an entry to the journal; nothing is sent before {@link flush}. */
@@ -121,23 +121,24 @@
   }
 
   /** A replica that was removed is told so before it is forgotten, unless it stays silent. */
-  #forgetRemoved(nowMs: number): void {
+  #dropRemovedFollowers(nowMs: number): void {
     const members = allMembers(this.#state.membership.current);
     for (const [instance, progress] of this.#state.followers) {
       if (members.some((member) => member.instance === instance)) continue;
-      const told = progress.matchIndex >= this.#state.membership.currentIndex;
-      const silent =
-        nowMs - progress.lastResponseMs > REMOVED_PATIENCE * this.#state.options.electionTimeoutMs;
-      if (told || silent) this.#state.followers.delete(instance);
+      const notified = progress.matchIndex >= this.#state.membership.currentIndex;
+      const timedOut =
+        nowMs - progress.lastResponseMs >
+        REMOVED_REPLICA_GRACE_ELECTION_TIMEOUTS * this.#state.options.electionTimeoutMs;
+      if (notified || timedOut) this.#state.followers.delete(instance);
     }
   }
 
   /** Begins to follow the progress of replicas that are new. */
   syncFollowers(nowMs: number): void {
-    const wanted = allMembers(this.#state.membership.current).filter(
+    const otherMembers = allMembers(this.#state.membership.current).filter(
       (member) => member.instance !== this.#state.self.instance,
     );
-    for (const member of wanted) {
+    for (const member of otherMembers) {
       if (this.#state.followers.has(member.instance)) continue;
       this.#state.followers.set(
         member.instance,
@@ -199,13 +200,13 @@
   /** Commits what a majority of the voters holds. Only entries of this term are counted (Raft, section 5.4.2). */
   #advanceCommit(nowMs: number): void {
     if (this.#state.role !== "leader") return;
-    const held = this.#state.membership.current.voters.map((voter) =>
+    const matchIndexes = this.#state.membership.current.voters.map((voter) =>
       voter.instance === this.#state.self.instance
         ? this.#state.log.lastIndex
         : (this.#state.followers.get(voter.instance)?.matchIndex ?? 0),
     );
-    held.sort((left, right) => right - left);
-    const candidate = held[majoritySize(this.#state.membership.current) - 1] ?? 0;
+    matchIndexes.sort((left, right) => right - left);
+    const candidate = matchIndexes[majoritySize(this.#state.membership.current) - 1] ?? 0;
     if (candidate <= this.#state.commitIndex || this.#state.log.termAt(candidate) !== this.#state.term)
       return;
     this.#state.commitTo(candidate);
@@ -220,7 +221,7 @@
   }
 
   /** All groups on a clock send their heartbeats at the same moments, so that a driver can gather them. */
-  #heartbeatAfter(nowMs: number): number {
+  #nextHeartbeatTime(nowMs: number): number {
     const { heartbeatIntervalMs } = this.#state.options;
     return (Math.floor(nowMs / heartbeatIntervalMs) + 1) * heartbeatIntervalMs;
   }
--- a/src/coordination/shard-group/membership-tracker.ts
+++ b/src/coordination/shard-group/membership-tracker.ts
@@ -52,7 +52,7 @@
   }
 
   /** Must be called before the journal is truncated at `index`. */
-  beforeTruncation(index: number): void {
+  prepareTruncation(index: number): void {
     this.#base = this.at(index);
   }
 
--- a/src/coordination/shard-group/replica-state.ts
+++ b/src/coordination/shard-group/replica-state.ts
@@ -27,7 +27,7 @@
   leader: Member | undefined;
   commitIndex = 0;
   electionDeadlineMs: number;
-  lastLeaderContactMs = Number.NEGATIVE_INFINITY;
+  lastLeaderMessageMs = Number.NEGATIVE_INFINITY;
   readonly #random: ReturnType<typeof xoroshiro128plus>;
   #effects: ShardGroupEffect<Command>[] = [];
 
--- a/src/coordination/shard-group/replicated-log.ts
+++ b/src/coordination/shard-group/replicated-log.ts
@@ -25,7 +25,7 @@
   }
 
   /** Number of entries held in memory. */
-  get length(): number {
+  get entryCount(): number {
     return this.#entries.length;
   }
 
@@ -52,9 +52,9 @@
     let overwrote = false;
     for (const entry of entries) {
       if (entry.index <= this.#truncatedIndex) continue;
-      const held = this.termAt(entry.index);
-      if (held === entry.term) continue;
-      if (held !== undefined) {
+      const localTerm = this.termAt(entry.index);
+      if (localTerm === entry.term) continue;
+      if (localTerm !== undefined) {
         this.#entries.length = entry.index - this.#truncatedIndex - 1;
         overwrote = true;
       }
--- a/src/coordination/shard-group/shard-group.ts
+++ b/src/coordination/shard-group/shard-group.ts
@@ -13,7 +13,7 @@
  */
 import type { ShardGroupEffect, ShardRole } from "./effects.ts";
 import { Election } from "./election.ts";
-import { Following } from "./following.ts";
+import { FollowerReplication } from "./follower-replication.ts";
 import { Leadership } from "./leadership.ts";
 import { isVoter, type Member, type Membership } from "./member.ts";
 import type { ShardGroupMessage } from "./messages.ts";
@@ -29,17 +29,17 @@
   readonly #state: ReplicaState<Command>;
   readonly #election: Election<Command>;
   readonly #leadership: Leadership<Command>;
-  readonly #following: Following<Command>;
+  readonly #followerReplication: FollowerReplication<Command>;
 
   constructor(options: ShardGroupOptions, nowMs: number) {
     const state = new ReplicaState<Command>(resolveShardGroupOptions(options), nowMs);
     const leadership = new Leadership(state);
     this.#state = state;
     this.#leadership = leadership;
-    this.#following = new Following(state);
+    this.#followerReplication = new FollowerReplication(state);
     this.#election = new Election(
       state,
-      (electedMs) => leadership.begin(electedMs),
+      (electedMs) => leadership.becomeLeader(electedMs),
       (askedMs) => leadership.hasMajority(askedMs),
     );
   }
@@ -97,7 +97,7 @@
 
   /** Entries held in memory. */
   get heldEntries(): number {
-    return this.#state.log.length;
+    return this.#state.log.entryCount;
   }
 
   /**
@@ -122,13 +122,13 @@
   }
 
   /** How far behind the journal's end a replica is, in entries; undefined when not leading or not a replica. */
-  lagOf(instance: string): number | undefined {
-    return this.#leadership.lagOf(instance);
+  lagInEntries(instance: string): number | undefined {
+    return this.#leadership.lagInEntries(instance);
   }
 
   /** Milliseconds since a replica last answered this leader; undefined when not leading or not a replica. */
-  silenceOf(instance: string, nowMs: number): number | undefined {
-    return this.#leadership.silenceOf(instance, nowMs);
+  timeSinceResponseMs(instance: string, nowMs: number): number | undefined {
+    return this.#leadership.timeSinceResponseMs(instance, nowMs);
   }
 
   /** Hands over the effects gathered since the last call. */
@@ -183,7 +183,7 @@
   /** Drops applied entries up to `index` from memory. Followers further behind are then sent a snapshot. */
   truncate(index: number): void {
     const upTo = Math.min(index, this.#state.commitIndex);
-    this.#state.membership.beforeTruncation(upTo);
+    this.#state.membership.prepareTruncation(upTo);
     this.#state.log.truncate(upTo);
   }
 
@@ -197,11 +197,11 @@
       case "voteResponse":
         return this.#election.onVoteResponse(message, nowMs);
       case "appendRequest":
-        return this.#following.onAppendRequest(message, nowMs);
+        return this.#followerReplication.onAppendRequest(message, nowMs);
       case "appendResponse":
         return this.#leadership.onAppendResponse(message, nowMs);
       case "snapshotRequest":
-        return this.#following.onSnapshotRequest(message, nowMs);
+        return this.#followerReplication.onSnapshotRequest(message, nowMs);
       case "transferRequest":
         return this.#election.onTransferRequest(message.term, nowMs);
     }
--- a/src/node/shard-steward.ts
+++ b/src/node/shard-steward.ts
@@ -160,7 +160,8 @@
       self: self.instance,
       membership: replica.membership,
       wanted,
-      isCaughtUp: (instance) => (replica.group.lagOf(instance) ?? Number.POSITIVE_INFINITY) <= CAUGHT_UP_LAG,
+      isCaughtUp: (instance) =>
+        (replica.group.lagInEntries(instance) ?? Number.POSITIVE_INFINITY) <= CAUGHT_UP_LAG,
     });
     if (step.type === "change") this.#change(replica, step.membership, nowMs);
     if (step.type === "transfer") replica.group.transferLeadership(step.to);
@@ -184,7 +185,7 @@
 
   #isDead(replica: ShardReplica, member: Member, nowMs: number): boolean {
     if (member.instance === this.#context.self.instance) return false;
-    const silenceMs = replica.group.silenceOf(member.instance, nowMs) ?? 0;
+    const silenceMs = replica.group.timeSinceResponseMs(member.instance, nowMs) ?? 0;
     return silenceMs > this.#context.settings.timing.deadAfterMs;
   }
 
--- a/test/contract/shard-group.test.ts
+++ b/test/contract/shard-group.test.ts
@@ -5,20 +5,20 @@
 
 const SETTLE_MS = 2_000;
 
-function startedWithLeader(names: readonly string[]): GroupNetwork {
+function startGroup(names: readonly string[]): GroupNetwork {
   const network = GroupNetwork.start(names);
   network.advance(SETTLE_MS);
   return network;
 }
 
-function leaderName(network: GroupNetwork): string {
+function leaderOf(network: GroupNetwork): string {
   const leader = network.leader();
   if (!leader) throw new Error("There is no leader.");
   return leader.member.instance;
 }
 
 describe("shard group", () => {
-  const FAULTS: [string, (network: GroupNetwork, leader: string) => void][] = [
+  const FAULT_CASES: [string, (network: GroupNetwork, leader: string) => void][] = [
     ["no fault", () => undefined],
     [
       "a dead leader",
@@ -36,24 +36,24 @@
     [
       "a leader that hears nobody",
       (network, leader) => {
-        for (const name of network.replicas.keys()) network.cuts.add(`${name}>${leader}`);
+        for (const name of network.replicas.keys()) network.brokenLinks.add(`${name}>${leader}`);
       },
     ],
     [
       "a leader that reaches nobody",
       (network, leader) => {
-        for (const name of network.replicas.keys()) network.cuts.add(`${leader}>${name}`);
+        for (const name of network.replicas.keys()) network.brokenLinks.add(`${leader}>${name}`);
       },
     ],
   ];
 
-  for (const [name, bringAbout] of FAULTS) {
+  for (const [name, injectFault] of FAULT_CASES) {
     it(`keeps what was committed and goes on with ${name}`, () => {
-      const network = startedWithLeader(["a", "b", "c"]);
+      const network = startGroup(["a", "b", "c"]);
       network.propose("before");
       network.advance(200);
-      const leader = leaderName(network);
-      bringAbout(network, leader);
+      const leader = leaderOf(network);
+      injectFault(network, leader);
       network.advance(SETTLE_MS * 2);
       expect(network.propose("after")).toEqual(true);
       network.advance(SETTLE_MS);
@@ -62,8 +62,8 @@
   }
 
   it("commits nothing without a majority, and its leader steps down", () => {
-    const network = startedWithLeader(["a", "b", "c"]);
-    const leader = leaderName(network);
+    const network = startGroup(["a", "b", "c"]);
+    const leader = leaderOf(network);
     for (const name of network.replicas.keys()) {
       if (name !== leader) network.get(name).alive = false;
     }
@@ -74,64 +74,64 @@
   });
 
   it("does not let a frozen leader propose after it wakes", () => {
-    const network = startedWithLeader(["a", "b", "c"]);
-    const frozen = network.get(leaderName(network));
+    const network = startGroup(["a", "b", "c"]);
+    const frozen = network.get(leaderOf(network));
     expect(frozen.group.hasMajority(network.nowMs)).toEqual(true);
     expect(frozen.group.hasMajority(network.nowMs + SETTLE_MS)).toEqual(false);
     expect(frozen.group.propose("late", network.nowMs + SETTLE_MS)).toEqual(undefined);
   });
 
   it("brings an empty replica up to date by a snapshot, and lets it vote", () => {
-    const network = startedWithLeader(["a", "b", "c"]);
+    const network = startGroup(["a", "b", "c"]);
     for (let count = 0; count < 20; count++) network.propose(`entry ${count}`);
     network.advance(200);
-    const leader = network.get(leaderName(network));
+    const leader = network.get(leaderOf(network));
     leader.group.truncate(leader.appliedIndex - 2);
-    const fresh = network.add("d");
+    const newReplica = network.add("d");
     const { voters } = leader.group.membership;
-    leader.group.proposeMembership({ voters, learners: [fresh.member] }, network.nowMs);
+    leader.group.proposeMembership({ voters, learners: [newReplica.member] }, network.nowMs);
     network.advance(1_000);
-    expect(fresh.applied).toEqual(leader.applied);
-    leader.group.proposeMembership({ voters: [...voters, fresh.member], learners: [] }, network.nowMs);
+    expect(newReplica.applied).toEqual(leader.applied);
+    leader.group.proposeMembership({ voters: [...voters, newReplica.member], learners: [] }, network.nowMs);
     network.advance(1_000);
     expect(leader.group.membership.voters.length).toEqual(4);
   });
 
   it("does not change two voters at once, or before the last change is committed", () => {
-    const network = startedWithLeader(["a", "b", "c"]);
-    const leader = network.get(leaderName(network));
+    const network = startGroup(["a", "b", "c"]);
+    const leader = network.get(leaderOf(network));
     const { voters } = leader.group.membership;
-    const two = { voters: [voters[0]], learners: [] };
-    const one = { voters: voters.slice(1), learners: [] };
-    expect(leader.group.proposeMembership(two, network.nowMs)).toEqual(undefined);
-    expect(leader.group.proposeMembership(one, network.nowMs) === undefined).toEqual(false);
+    const twoRemoved = { voters: [voters[0]], learners: [] };
+    const oneRemoved = { voters: voters.slice(1), learners: [] };
+    expect(leader.group.proposeMembership(twoRemoved, network.nowMs)).toEqual(undefined);
+    expect(leader.group.proposeMembership(oneRemoved, network.nowMs) === undefined).toEqual(false);
     expect(leader.group.proposeMembership({ voters, learners: [] }, network.nowMs)).toEqual(undefined);
   });
 
   it("hands leadership over without losing an entry", () => {
-    const network = startedWithLeader(["a", "b", "c"]);
+    const network = startGroup(["a", "b", "c"]);
     network.propose("before");
     network.advance(200);
-    const before = leaderName(network);
+    const before = leaderOf(network);
     network.get(before).group.transferLeadership();
-    network.run(network.get(before));
+    network.executeEffects(network.get(before));
     network.deliverAll();
     network.advance(100);
-    expect(leaderName(network) === before).toEqual(false);
+    expect(leaderOf(network) === before).toEqual(false);
     expect(network.leader()?.applied).toEqual(["before"]);
   });
 
   it("keeps a late duplicate of a snapshot from dropping acknowledged entries", () => {
-    const network = startedWithLeader(["a", "b", "c"]);
+    const network = startGroup(["a", "b", "c"]);
     network.propose("one");
     network.advance(200);
-    const leader = network.get(leaderName(network));
+    const leader = network.get(leaderOf(network));
     const follower = [...network.replicas.values()].find((replica) => replica !== leader);
     const lastBefore = follower?.group.lastIndex ?? 0;
     network.propose("two");
     network.deliverAll();
     leader.group.provideSnapshot(follower?.member ?? leader.member, lastBefore, ["one"]);
-    network.run(leader);
+    network.executeEffects(leader);
     network.deliverAll();
     expect(follower?.group.lastIndex).toEqual(leader.group.lastIndex);
   });
@@ -154,13 +154,13 @@
           const to = names[Math.floor(value / 3) % 3];
           if (type === "advance") network.advance(value);
           else if (type === "propose") network.propose(`command ${value}`);
-          else if (type === "cut") network.cuts.add(`${from}>${to}`);
-          else if (type === "heal") network.cuts.clear();
-          else network.disturb(value, type);
-          expectSamePrefixes(network);
+          else if (type === "cut") network.brokenLinks.add(`${from}>${to}`);
+          else if (type === "heal") network.brokenLinks.clear();
+          else network.disturbMessage(value, type);
+          expectConsistentPrefixes(network);
         }
         for (const leaders of network.leadersByTerm.values()) expect(leaders.size).toEqual(1);
-        network.cuts.clear();
+        network.brokenLinks.clear();
         network.advance(SETTLE_MS * 3);
         expect(network.propose("last")).toEqual(true);
       }),
@@ -170,7 +170,7 @@
 });
 
 /** Whatever two replicas have applied, one is the beginning of the other. */
-function expectSamePrefixes(network: GroupNetwork): void {
+function expectConsistentPrefixes(network: GroupNetwork): void {
   const applied = [...network.replicas.values()].map((replica) => replica.applied);
   for (const left of applied) {
     for (const right of applied) {
--- a/test/contract/support/group-network.ts
+++ b/test/contract/support/group-network.ts
@@ -37,7 +37,7 @@
 /** Replicas of one shard on a clock and network that a test moves by hand. */
 export class GroupNetwork {
   readonly replicas = new Map<string, TestReplica>();
-  readonly cuts = new Set<string>();
+  readonly brokenLinks = new Set<string>();
   nowMs = 0;
   /** Terms with the leader that was seen in each. */
   readonly leadersByTerm = new Map<number, Set<string>>();
@@ -51,7 +51,7 @@
     const voters = [...network.replicas.values()].map((replica) => replica.member);
     for (const replica of network.replicas.values()) {
       replica.group.bootstrap(voters);
-      network.run(replica);
+      network.executeEffects(replica);
     }
     return network;
   }
@@ -76,9 +76,9 @@
     const endMs = this.nowMs + ms;
     while (this.nowMs < endMs) {
       this.nowMs += TICK_MS;
-      for (const replica of this.#living()) {
+      for (const replica of this.#liveReplicas()) {
         replica.group.tick(this.nowMs);
-        this.run(replica);
+        this.executeEffects(replica);
       }
       this.deliverAll();
     }
@@ -94,9 +94,9 @@
   }
 
   /** Delivers, drops or doubles one message in flight; `pick` chooses which. */
-  disturb(pick: number, action: "deliver" | "drop" | "double"): void {
+  disturbMessage(messageNumber: number, action: "deliver" | "drop" | "double"): void {
     if (this.#inFlight.length === 0) return;
-    const position = pick % this.#inFlight.length;
+    const position = messageNumber % this.#inFlight.length;
     const [message] = this.#inFlight.splice(position, 1);
     if (action === "drop") return;
     if (action === "double") this.#inFlight.push(message);
@@ -105,7 +105,7 @@
 
   /** The only living leader that is ready. */
   leader(): TestReplica | undefined {
-    return this.#living().find((replica) => replica.group.isReadyLeader);
+    return this.#liveReplicas().find((replica) => replica.group.isReadyLeader);
   }
 
   /** Proposes at the leader; returns whether a leader took it. */
@@ -113,12 +113,12 @@
     const leader = this.leader();
     if (!leader?.group.propose(command, this.nowMs)) return false;
     leader.group.flush(this.nowMs);
-    this.run(leader);
+    this.executeEffects(leader);
     return true;
   }
 
   /** Carries out what a replica's group asked for. */
-  run(replica: TestReplica): void {
+  executeEffects(replica: TestReplica): void {
     for (const effect of replica.group.takeEffects()) {
       if (effect.type === "send") {
         this.#inFlight.push({
@@ -136,7 +136,7 @@
         replica.appliedIndex = effect.lastIndex;
       } else if (effect.type === "snapshotNeeded") {
         replica.group.provideSnapshot(effect.to, replica.appliedIndex, [...replica.applied]);
-        this.run(replica);
+        this.executeEffects(replica);
       } else if (effect.role === "leader") {
         const leaders = this.leadersByTerm.get(effect.term) ?? new Set();
         this.leadersByTerm.set(effect.term, leaders.add(replica.member.instance));
@@ -144,14 +144,14 @@
     }
   }
 
-  #living(): TestReplica[] {
+  #liveReplicas(): TestReplica[] {
     return [...this.replicas.values()].filter((replica) => replica.alive);
   }
 
   #deliver({ from, to, message }: InFlight): void {
     const target = this.replicas.get(to);
-    if (!target?.alive || this.cuts.has(`${from}>${to}`)) return;
+    if (!target?.alive || this.brokenLinks.has(`${from}>${to}`)) return;
     target.group.receive(structuredClone(message), this.nowMs);
-    this.run(target);
+    this.executeEffects(target);
   }
 }
