--- a/src/coordination/shard-group/election.ts
+++ b/src/coordination/shard-group/election.ts
@@ -3,8 +3,8 @@
 import type { ReplicaState } from "./replica-state.ts";
 
 /**
- * One replica's part in elections: pre-votes, so that a replica that was cut off does not disturb the others when it is
- * back; votes, one a term; and elections that the leader itself asks for when it hands over.
+ * Elections as seen by one replica: pre-votes, which keep a replica that was partitioned away from disrupting the group
+ * when it reconnects; votes, one per term; and elections that the leader requests to transfer its leadership.
  */
 export class Election<Command> {
   readonly #state: ReplicaState<Command>;
@@ -15,7 +15,7 @@
 
   /**
    * @param onElected called when this replica has won
-   * @param hasMajority whether this replica leads and a majority answered it lately
+   * @param hasMajority whether this replica leads and a majority has responded to it recently
    */
   constructor(
     state: ReplicaState<Command>,
@@ -27,7 +27,10 @@
     this.#hasMajority = hasMajority;
   }
 
-  /** Asks whether an election would be won; the term stays as it is until then. */
+  /**
+   * Starts a pre-vote, which finds out whether this replica would win an election. The term increases only when it
+   * would.
+   */
   startPreVote(nowMs: number): void {
     this.#state.postponeElection(nowMs);
     if (!this.#state.isVoter) return;
@@ -64,7 +67,7 @@
     }
   }
 
-  /** Another replica asks for this one's vote. */
+  /** Handles a vote request from another replica. */
   onVoteRequest(request: VoteRequest, nowMs: number): void {
     if (!request.transfer && this.#hasLiveLeader(nowMs)) return;
     if (request.term > this.#state.term && !request.preVote)
@@ -93,13 +96,16 @@
     return request.lastIndex >= this.#state.log.lastIndex;
   }
 
-  /** A voter that hears its leader, and a leader that hears its majority, ignore candidates. */
+  /**
+   * Whether to ignore candidates: a follower does while it hears from its leader, a leader while it hears from a
+   * majority.
+   */
   #hasLiveLeader(nowMs: number): boolean {
     if (this.#state.role === "leader") return this.#hasMajority(nowMs);
     return nowMs - this.#state.lastLeaderMessageMs < this.#state.options.electionTimeoutMs;
   }
 
-  /** Another replica has answered. */
+  /** Handles the response to a vote request. */
   onVoteResponse(response: VoteResponse, nowMs: number): void {
     if (this.#state.role !== "candidate" || !response.granted) return;
     if (response.preVote !== this.#isPreVote) return;
@@ -118,7 +124,7 @@
     else this.#onElected(nowMs);
   }
 
-  /** The leader asks this replica to take over. */
+  /** Handles the leader's request to take over leadership. */
   onTransferRequest(term: number, nowMs: number): void {
     if (term !== this.#state.term || this.#state.role === "leader") return;
     if (this.#state.isVoter) this.#startElection(nowMs, true);
--- a/src/coordination/shard-group/follower-progress.ts
+++ b/src/coordination/shard-group/follower-progress.ts
@@ -1,15 +1,15 @@
 import type { Member } from "./member.ts";
 
-/** What a leader knows of one other replica. */
+/** Replication state that a leader keeps for one other replica. */
 export class FollowerProgress {
   readonly member: Member;
-  /** Next entry to send; runs ahead of what is acknowledged. */
+  /** Index of the next entry to send; may be ahead of the acknowledged entries. */
   nextIndex: number;
-  /** Last entry known to be held. */
+  /** Index of the last entry that the replica is known to have. */
   matchIndex = 0;
-  /** When the replica last answered in this term. */
+  /** When the replica last responded in this term. */
   lastResponseMs: number;
-  /** When a snapshot was last asked for, so that one replica does not cause a storm of them. */
+  /** When a snapshot was last requested for the replica; limits how often one replica causes a snapshot. */
   snapshotRequestedMs = Number.NEGATIVE_INFINITY;
 
   constructor(member: Member, nextIndex: number, nowMs: number) {
@@ -18,13 +18,13 @@
     this.lastResponseMs = nowMs;
   }
 
-  /** The replica holds everything up to `matchIndex`. */
+  /** Records that the replica has every entry up to `matchIndex`. */
   acknowledge(matchIndex: number): void {
     this.matchIndex = Math.max(this.matchIndex, matchIndex);
     this.nextIndex = Math.max(this.nextIndex, this.matchIndex + 1);
   }
 
-  /** The replica lacks the entry before `nextIndex`; it could match at most `hintIndex`. */
+  /** Records that the replica lacks the entry before `nextIndex`; its log matches up to `hintIndex` at most. */
   reject(hintIndex: number): void {
     const retryFrom = Math.max(this.matchIndex, hintIndex) + 1;
     this.nextIndex = Math.min(this.nextIndex, retryFrom);
--- a/src/coordination/shard-group/follower-replication.ts
+++ b/src/coordination/shard-group/follower-replication.ts
@@ -2,7 +2,7 @@
 import type { AppendRequest, SnapshotRequest } from "./messages.ts";
 import type { ReplicaState } from "./replica-state.ts";
 
-/** The follower's side of replication: takes in what a leader sends, and answers how far its journal agrees. */
+/** The follower's side of replication: stores what the leader sends and reports up to which index the logs match. */
 export class FollowerReplication<Command> {
   readonly #state: ReplicaState<Command>;
 
@@ -10,7 +10,7 @@
     this.#state = state;
   }
 
-  /** The leader sends entries, or a sign of life. */
+  /** Handles entries or a heartbeat from a leader. */
   onAppendRequest(request: AppendRequest<Command>, nowMs: number): void {
     if (request.term < this.#state.term) return this.#answerAppend(request.leader, false, 0);
     this.#followLeader(request.leader, nowMs);
@@ -26,7 +26,10 @@
     this.#answerAppend(request.leader, true, matchIndex);
   }
 
-  /** The last index that could match: never an uncommitted one that has just been found to differ. */
+  /**
+   * Returns the last index at which the logs may match. It excludes an uncommitted entry that was just found to
+   * differ.
+   */
   #lastPossibleMatch(previousIndex: number): number {
     if (previousIndex > this.#state.log.lastIndex) return this.#state.log.lastIndex;
     return Math.max(this.#state.commitIndex, previousIndex - 1 - this.#state.options.maxEntriesPerAppend, 0);
@@ -50,12 +53,15 @@
     });
   }
 
-  /** The leader sends a whole state, because this replica is too far behind its journal. */
+  /**
+   * Handles a snapshot, which the leader sends when this replica lacks entries that were truncated from the leader's
+   * log.
+   */
   onSnapshotRequest(request: SnapshotRequest, nowMs: number): void {
     if (request.term < this.#state.term) return this.#answerAppend(request.leader, false, 0);
     this.#followLeader(request.leader, nowMs);
     if (this.#state.log.termAt(request.lastIndex) === request.lastTerm) {
-      // A late duplicate: entries after it may already be acknowledged, so nothing may be dropped.
+      // A late duplicate of a snapshot. Entries after it may already be acknowledged, so nothing may be dropped.
       this.#state.commitTo(request.lastIndex);
     } else if (request.lastIndex > this.#state.commitIndex) {
       this.#state.log.reset(request.lastIndex, request.lastTerm);
--- a/src/coordination/shard-group/leadership.ts
+++ b/src/coordination/shard-group/leadership.ts
@@ -5,10 +5,10 @@
 import type { ProposedAt } from "./proposed-at.ts";
 import type { ReplicaState } from "./replica-state.ts";
 
-/** Election time-outs for which a removed replica is still told of its removal. */
+/** Number of election time-outs without a response after which the leader stops notifying a removed replica. */
 const REMOVED_REPLICA_GRACE_ELECTION_TIMEOUTS = 5;
 
-/** The leader's side of replication: sends entries and heartbeats, and commits what a majority holds. */
+/** The leader's side of replication: sends entries and heartbeats, and commits entries that a majority has stored. */
 export class Leadership<Command> {
   readonly #state: ReplicaState<Command>;
   #nextHeartbeatMs = 0;
@@ -19,25 +19,31 @@
   }
 
   /**
-   * Whether this replica leads and has committed an entry of its own term: only then does its applied state
-   * hold everything that earlier leaders committed.
+   * Whether this replica leads and has committed an entry of its own term. Only then does its applied state
+   * include everything that earlier leaders committed.
    */
   get isReady(): boolean {
     return this.#state.role === "leader" && this.#state.commitIndex >= this.#termStartIndex;
   }
 
-  /** Whether a change of membership may be proposed now. */
+  /** Whether a membership change may be proposed now. */
   get canChangeMembership(): boolean {
     return this.isReady && this.#state.membership.currentIndex <= this.#state.commitIndex;
   }
 
-  /** How far behind the journal's end a replica is, in entries; undefined when not leading or not a replica. */
+  /**
+   * Returns how many entries a replica is behind the end of the log; undefined when this is not the leader or it is
+   * no replica.
+   */
   lagInEntries(instance: string): number | undefined {
     const progress = this.#state.followers.get(instance);
     return progress && this.#state.log.lastIndex - progress.matchIndex;
   }
 
-  /** Milliseconds since a replica last answered this leader; undefined when not leading or not a replica. */
+  /**
+   * Returns the time since a replica last responded to this leader; undefined when this is not the leader or it is no
+   * replica.
+   */
   timeSinceResponseMs(instance: string, nowMs: number): number | undefined {
     const progress = this.#state.followers.get(instance);
     return progress && nowMs - progress.lastResponseMs;
@@ -50,7 +56,10 @@
     this.#advanceCommit(nowMs);
   }
 
-  /** Asks the follower that is furthest ahead to take over. It is asked only when it holds the whole journal. */
+  /**
+   * Asks a voter that has the whole log to take over: the `preferred` one if possible. Returns it, or undefined if
+   * there is none.
+   */
   transfer(preferred?: string): Member | undefined {
     if (this.#state.role !== "leader") return undefined;
     const caughtUp = [...this.#state.followers.values()].filter(
@@ -64,7 +73,9 @@
     return target.member;
   }
 
-  /** Answers a `snapshotNeeded` effect. `lastIndex` is the last index that `state` includes. */
+  /**
+   * Sends the snapshot that a `snapshotNeeded` effect requested. `lastIndex` is the last index included in `state`.
+   */
   provideSnapshot(to: Member, lastIndex: number, state: unknown): void {
     const lastTerm = this.#state.log.termAt(lastIndex);
     if (this.#state.role !== "leader" || lastTerm === undefined) return;
@@ -80,7 +91,7 @@
     });
   }
 
-  /** This replica has been elected. */
+  /** Starts the leadership of this replica after it has won an election. */
   becomeLeader(nowMs: number): void {
     this.#state.followers.clear();
     this.#state.setRole("leader", this.#state.self);
@@ -90,7 +101,7 @@
     this.flush(nowMs);
   }
 
-  /** Sends heartbeats when they are due; steps down without a majority. */
+  /** Sends heartbeats when they are due. Steps down when the majority is lost. */
   tick(nowMs: number): void {
     if (!this.hasMajority(nowMs)) return this.#state.becomeFollower(this.#state.term, undefined, nowMs);
     if (nowMs < this.#nextHeartbeatMs) return;
@@ -101,7 +112,7 @@
     }
   }
 
-  /** See `ShardGroup.hasMajority`. */
+  /** Whether this replica leads and a majority has responded to it within the election time-out. */
   hasMajority(nowMs: number): boolean {
     if (this.#state.role !== "leader") return false;
     const self = this.#state.self.instance;
@@ -113,14 +124,16 @@
     return responsive.length >= majoritySize(this.#state.membership.current);
   }
 
-  /** Adds an entry to the journal; nothing is sent before {@link flush}. */
+  /** Appends an entry to the log. It is sent by the next {@link flush}. */
   append(payload: EntryPayload<Command>): ProposedAt {
     const entry = this.#state.log.append(this.#state.term, payload);
     this.#state.membership.observe([entry]);
     return { index: entry.index, term: entry.term };
   }
 
-  /** A replica that was removed is told so before it is forgotten, unless it stays silent. */
+  /**
+   * Drops removed replicas that have received the entry of their removal, or that have not responded for too long.
+   */
   #dropRemovedFollowers(nowMs: number): void {
     const members = allMembers(this.#state.membership.current);
     for (const [instance, progress] of this.#state.followers) {
@@ -133,7 +146,7 @@
     }
   }
 
-  /** Begins to follow the progress of replicas that are new. */
+  /** Starts to track the progress of new replicas. */
   syncFollowers(nowMs: number): void {
     const otherMembers = allMembers(this.#state.membership.current).filter(
       (member) => member.instance !== this.#state.self.instance,
@@ -147,7 +160,10 @@
     }
   }
 
-  /** Sends what the follower lacks, within the bound on entries in flight. Returns whether anything was sent. */
+  /**
+   * Sends the entries that the follower lacks, up to the limit on entries in flight. Returns whether anything was
+   * sent.
+   */
   #sendEntries(progress: FollowerProgress, nowMs: number): boolean {
     let sent = false;
     const limit = progress.matchIndex + this.#state.options.maxEntriesInFlight;
@@ -186,7 +202,7 @@
     this.#state.emit({ type: "snapshotNeeded", to: progress.member });
   }
 
-  /** A follower has answered. */
+  /** Handles a follower's response to entries, a heartbeat or a snapshot. */
   onAppendResponse(response: AppendResponse, nowMs: number): void {
     const progress = this.#state.followers.get(response.follower);
     if (this.#state.role !== "leader" || response.term !== this.#state.term || !progress) return;
@@ -197,7 +213,9 @@
     if (this.#state.role === "leader") this.#sendEntries(progress, nowMs);
   }
 
-  /** Commits what a majority of the voters holds. Only entries of this term are counted (Raft, section 5.4.2). */
+  /**
+   * Commits what a majority of the voters has stored. Only entries of this term are counted (Raft, section 5.4.2).
+   */
   #advanceCommit(nowMs: number): void {
     if (this.#state.role !== "leader") return;
     const matchIndexes = this.#state.membership.current.voters.map((voter) =>
@@ -220,7 +238,7 @@
     }
   }
 
-  /** All groups on a clock send their heartbeats at the same moments, so that a driver can gather them. */
+  /** All groups that share a clock send their heartbeats at the same times, so that the driver can batch them. */
   #nextHeartbeatTime(nowMs: number): number {
     const { heartbeatIntervalMs } = this.#state.options;
     return (Math.floor(nowMs / heartbeatIntervalMs) + 1) * heartbeatIntervalMs;
--- a/src/coordination/shard-group/log-entry.ts
+++ b/src/coordination/shard-group/log-entry.ts
@@ -1,16 +1,20 @@
 import type { Membership } from "./member.ts";
 
-/** What an entry carries: a command for the shard's state, a change of replicas, or a leader's first entry. */
+/**
+ * The content of an entry: a command for the shard's state, a membership change, or the first entry of a new leader.
+ */
 export type EntryPayload<Command> =
   | { readonly type: "command"; readonly command: Command }
   | { readonly type: "membership"; readonly membership: Membership }
   | { readonly type: "leaderStart" };
 
-/** One entry of the replicated journal. Index and term identify it; two entries with both equal are equal. */
+/**
+ * One entry of the replicated log. Index and term identify it: two entries with the same index and term are equal.
+ */
 export interface LogEntry<Command> {
-  /** Position in the journal, from 1, without gaps. */
+  /** Position in the log, from 1, without gaps. */
   readonly index: number;
-  /** Term of the leader that wrote the entry. */
+  /** Term of the leader that appended the entry. */
   readonly term: number;
   readonly payload: EntryPayload<Command>;
 }
--- a/src/coordination/shard-group/member.ts
+++ b/src/coordination/shard-group/member.ts
@@ -1,8 +1,8 @@
 /**
  * Identity of one replica of a shard group.
  *
- * Machines keep nothing, so a process that restarts is a new member: `instance` is unique per boot.
- * A vote or a log entry that a member acknowledged can therefore never be forgotten by "the same" member.
+ * Replicas have no persistent storage, so a restarted process is a new member: `instance` is unique per boot.
+ * A member therefore never loses a vote or a log entry that it has acknowledged.
  */
 export interface Member {
   /** Unique per boot, for example `node-a#k3f9x2`. */
@@ -13,23 +13,26 @@
   readonly zone: string;
 }
 
-/** The replicas of a shard group: voters decide, learners only copy the log until they have caught up. */
+/**
+ * The replicas of a shard group. Voters elect leaders and commit entries; learners only copy the log until they have
+ * caught up.
+ */
 export interface Membership {
   readonly voters: readonly Member[];
   readonly learners: readonly Member[];
 }
 
-/** Whether the instance votes in this membership. */
+/** Whether the instance is a voter in this membership. */
 export function isVoter(membership: Membership, instance: string): boolean {
   return membership.voters.some((member) => member.instance === instance);
 }
 
-/** Every replica, voters first. */
+/** Returns every replica, voters first. */
 export function allMembers(membership: Membership): readonly Member[] {
   return [...membership.voters, ...membership.learners];
 }
 
-/** The number of voters that form a majority. */
+/** Returns the number of voters that form a majority. */
 export function majoritySize(membership: Membership): number {
   return Math.floor(membership.voters.length / 2) + 1;
 }
--- a/src/coordination/shard-group/membership-tracker.ts
+++ b/src/coordination/shard-group/membership-tracker.ts
@@ -2,12 +2,12 @@
 import type { Membership } from "./member.ts";
 import type { ReplicatedLog } from "./replicated-log.ts";
 
-/** Nobody: what an empty replica knows before the leader tells it more. */
+/** The membership of an empty replica until it receives one from the leader. */
 export const EMPTY_MEMBERSHIP: Membership = { voters: [], learners: [] };
 
 /**
- * Finds the membership in force. By the rule of single-server changes it is the newest one in the journal,
- * committed or not; when the entry that brought it is overwritten, the one before is in force again.
+ * Tracks the membership in force. By the rule of single-server changes, this is the newest membership in the log,
+ * committed or not. When its entry is overwritten, the previous membership is in force again.
  */
 export class MembershipTracker<Command> {
   readonly #log: ReplicatedLog<Command>;
@@ -24,19 +24,19 @@
     return this.#current;
   }
 
-  /** Index of the entry that brought {@link current}. */
+  /** Index of the entry that contains {@link current}. */
   get currentIndex(): number {
     return this.#currentIndex;
   }
 
-  /** Looks at the whole journal again, after entries were overwritten. */
+  /** Searches the whole log again, after entries were overwritten. */
   refresh(): void {
     const newest = this.#newestAtOrBefore(this.#log.lastIndex);
     this.#current = newest?.membership ?? this.#base;
     this.#currentIndex = newest?.index ?? this.#log.truncatedIndex;
   }
 
-  /** Takes note of entries added at the end of the journal. */
+  /** Applies membership changes among entries that were appended to the log. */
   observe(entries: readonly LogEntry<Command>[]): void {
     for (const entry of entries) {
       const membership = membershipOf(entry);
@@ -46,17 +46,17 @@
     }
   }
 
-  /** The membership as of an entry that is still held or is the truncation point. */
+  /** Returns the membership as of an entry that is still in the log or is the truncation point. */
   at(index: number): Membership {
     return this.#newestAtOrBefore(index)?.membership ?? this.#base;
   }
 
-  /** Must be called before the journal is truncated at `index`. */
+  /** Must be called before the log is truncated at `index`. */
   prepareTruncation(index: number): void {
     this.#base = this.at(index);
   }
 
-  /** Starts over with the membership of a snapshot. */
+  /** Replaces the base membership by that of a snapshot. */
   reset(membership: Membership): void {
     this.#base = membership;
     this.refresh();
--- a/src/coordination/shard-group/messages.ts
+++ b/src/coordination/shard-group/messages.ts
@@ -1,7 +1,7 @@
 import type { LogEntry } from "./log-entry.ts";
 import type { Member, Membership } from "./member.ts";
 
-/** Asks for a vote. A pre-vote only asks whether a vote would be given, and changes no state. */
+/** Requests a vote. A pre-vote only asks whether a vote would be granted, and changes no state. */
 export interface VoteRequest {
   readonly type: "voteRequest";
   readonly term: number;
@@ -9,7 +9,7 @@
   readonly lastIndex: number;
   readonly lastTerm: number;
   readonly preVote: boolean;
-  /** Set when the leader asked this candidate to take over: voters then skip the check for a live leader. */
+  /** Set when the leader transfers leadership to this candidate: voters then skip the check for a live leader. */
   readonly transfer: boolean;
 }
 
@@ -22,7 +22,7 @@
   readonly preVote: boolean;
 }
 
-/** Replicates entries; with none it is the heartbeat. */
+/** Replicates entries. A request without entries is a heartbeat. */
 export interface AppendRequest<Command> {
   readonly type: "appendRequest";
   readonly term: number;
@@ -39,11 +39,11 @@
   readonly term: number;
   readonly follower: string;
   readonly success: boolean;
-  /** On success the last index known to match; on failure the last index the follower could match. */
+  /** On success, the last index known to match; on failure, the last index at which the logs may still match. */
   readonly matchIndex: number;
 }
 
-/** Replaces the whole state of a follower that is behind the leader's truncated journal. */
+/** Replaces the whole state of a follower that lacks entries which the leader has truncated from its log. */
 export interface SnapshotRequest {
   readonly type: "snapshotRequest";
   readonly term: number;
@@ -51,17 +51,17 @@
   readonly lastIndex: number;
   readonly lastTerm: number;
   readonly membership: Membership;
-  /** The state as the application's codec gives it; opaque here. */
+  /** The state as encoded by the application; opaque to the shard group. */
   readonly state: unknown;
 }
 
-/** The leader asks the receiver to stand for election at once, for a planned hand-over. */
+/** Sent by the leader to make the receiver start an election at once, for a planned transfer of leadership. */
 export interface TransferRequest {
   readonly type: "transferRequest";
   readonly term: number;
 }
 
-/** Every message between replicas of one shard group. */
+/** Any message between replicas of one shard group. */
 export type ShardGroupMessage<Command> =
   | VoteRequest
   | VoteResponse
--- a/src/coordination/shard-group/options.ts
+++ b/src/coordination/shard-group/options.ts
@@ -6,13 +6,16 @@
   readonly self: Member;
   /** Seed for the jitter of election time-outs; give each replica a different one. */
   readonly seed: number;
-  /** Time without a leader's message after which a replica stands for election, in ms. Jitter adds up to as much again. Default 1,000. */
+  /**
+   * Time without a message from a leader after which a replica starts an election, in ms. Random jitter adds up to
+   * 100 %. Default 1,000.
+   */
   readonly electionTimeoutMs?: number;
   /** Time between a leader's heartbeats, in ms. At most a quarter of the election time-out. Default 200. */
   readonly heartbeatIntervalMs?: number;
-  /** Entries in one append request. Default 64. */
+  /** Maximum number of entries in one append request. Default 64. */
   readonly maxEntriesPerAppend?: number;
-  /** Entries sent ahead of a follower's acknowledgement. Default 1,024. */
+  /** Maximum number of entries that are sent to a follower before it acknowledges them. Default 1,024. */
   readonly maxEntriesInFlight?: number;
 }
 
--- a/src/coordination/shard-group/replica-state.ts
+++ b/src/coordination/shard-group/replica-state.ts
@@ -9,19 +9,19 @@
 import { ReplicatedLog } from "./replicated-log.ts";
 
 /**
- * What the parts of a replica share: its place in the group, its journal, and the effects that they gather. Elections
- * ({@link Election}), the leader's side of replication ({@link Leadership}) and the follower's ({@link Following})
- * change it, one at a time.
+ * State that the parts of a replica share: its role and term, its log, and the effects to be carried out. It is
+ * changed by elections ({@link Election}), the leader's side of replication ({@link Leadership}) and the follower's
+ * side ({@link FollowerReplication}), one at a time.
  */
 export class ReplicaState<Command> {
   readonly options: ResolvedShardGroupOptions;
   readonly log = new ReplicatedLog<Command>();
   readonly membership = new MembershipTracker<Command>(this.log);
-  /** The other replicas, as their leader knows them; empty unless this replica leads. */
+  /** Replication progress of the other replicas by instance; empty unless this replica is the leader. */
   readonly followers = new Map<string, FollowerProgress>();
   role: ShardRole = "follower";
   term = 0;
-  /** The candidate that has this replica's vote in the current term. */
+  /** Instance of the candidate that this replica voted for in the current term. */
   votedFor: string | undefined;
   /** The leader of the current term, as far as this replica knows. */
   leader: Member | undefined;
@@ -42,12 +42,12 @@
     return this.options.self;
   }
 
-  /** Whether this replica votes. */
+  /** Whether this replica is a voter. */
   get isVoter(): boolean {
     return isVoter(this.membership.current, this.self.instance);
   }
 
-  /** Hands over the effects gathered since the last call. */
+  /** Returns the effects emitted since the last call. */
   takeEffects(): readonly ShardGroupEffect<Command>[] {
     const effects = this.#effects;
     this.#effects = [];
@@ -59,19 +59,19 @@
     this.#effects.push(effect);
   }
 
-  /** Sends a message to another replica. */
+  /** Emits an effect that sends a message to another replica. */
   send(to: Member, message: ShardGroupMessage<Command>): void {
     this.emit({ type: "send", to, message });
   }
 
-  /** Takes on a role in the current term. */
+  /** Changes the role in the current term. */
   setRole(role: ShardRole, leader: Member | undefined): void {
     this.role = role;
     this.leader = leader;
     this.emit({ type: "roleChanged", role, term: this.term, leader });
   }
 
-  /** Follows `leader`, or nobody yet, in a term that is not older than the current one. */
+  /** Becomes a follower of `leader`, if known, in a term that is not older than the current one. */
   becomeFollower(term: number, leader: Member | undefined, nowMs: number): void {
     if (term > this.term) {
       this.term = term;
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Commits the journal up to `index`; its entries are to be applied. */
+  /** Commits the log up to `index` and emits an effect that applies the newly committed entries. */
   commitTo(index: number): void {
     if (index <= this.commitIndex) return;
     const entries = this.log.slice(this.commitIndex + 1, index - this.commitIndex);
@@ -92,7 +92,7 @@
     this.emit({ type: "apply", entries });
   }
 
-  /** The next election starts no earlier than after another election time-out. */
+  /** Restarts the election time-out. */
   postponeElection(nowMs: number): void {
     this.electionDeadlineMs = nowMs + this.#randomElectionDelayMs();
   }
--- a/src/coordination/shard-group/replicated-log.ts
+++ b/src/coordination/shard-group/replicated-log.ts
@@ -1,15 +1,15 @@
 import type { EntryPayload, LogEntry } from "./log-entry.ts";
 
 /**
- * The journal of one replica: a run of entries after a truncation point.
- * Holds no opinion on what is committed.
+ * The log of one replica: consecutive entries after a truncation point.
+ * It does not track which entries are committed.
  */
 export class ReplicatedLog<Command> {
   #entries: LogEntry<Command>[] = [];
   #truncatedIndex = 0;
   #truncatedTerm = 0;
 
-  /** Index of the last entry, or of the truncation point when the journal is empty. */
+  /** Index of the last entry, or of the truncation point when the log is empty. */
   get lastIndex(): number {
     return this.#truncatedIndex + this.#entries.length;
   }
@@ -19,12 +19,12 @@
     return this.#entries.at(-1)?.term ?? this.#truncatedTerm;
   }
 
-  /** Index up to which entries have been dropped; they live on only in the applied state. */
+  /** Index up to which entries have been dropped; their effect is only in the applied state. */
   get truncatedIndex(): number {
     return this.#truncatedIndex;
   }
 
-  /** Number of entries held in memory. */
+  /** Number of entries in memory. */
   get entryCount(): number {
     return this.#entries.length;
   }
@@ -35,7 +35,7 @@
     return this.#entries[index - this.#truncatedIndex - 1]?.term;
   }
 
-  /** Writes a new entry at the end, as a leader does. */
+  /** Appends a new entry; only the leader does this. */
   append(term: number, payload: EntryPayload<Command>): LogEntry<Command> {
     const entry: LogEntry<Command> = { index: this.lastIndex + 1, term, payload };
     this.#entries.push(entry);
@@ -43,10 +43,10 @@
   }
 
   /**
-   * Takes over entries from the leader. An entry that conflicts with a held one removes that one and all after it.
-   * Entries already held, or truncated, are passed over.
+   * Adds entries received from the leader. An entry that conflicts with an existing one replaces it and removes all
+   * entries after it. Entries that already exist or were truncated are skipped.
    *
-   * @returns whether a held entry was overwritten
+   * @returns whether an existing entry was overwritten
    */
   merge(entries: readonly LogEntry<Command>[]): boolean {
     let overwrote = false;
@@ -63,13 +63,13 @@
     return overwrote;
   }
 
-  /** Up to `limit` entries from `index` on. */
+  /** Returns up to `limit` entries, starting at `index`. */
   slice(index: number, limit: number): readonly LogEntry<Command>[] {
     const start = index - this.#truncatedIndex - 1;
     return this.#entries.slice(start, start + limit);
   }
 
-  /** Held entries, newest first. */
+  /** Iterates over the entries in memory, newest first. */
   *newestFirst(): IterableIterator<LogEntry<Command>> {
     for (let position = this.#entries.length - 1; position >= 0; position--) yield this.#entries[position];
   }
@@ -83,7 +83,7 @@
     this.#truncatedTerm = term;
   }
 
-  /** Starts over after a snapshot. */
+  /** Empties the log and sets its truncation point, after a snapshot was restored. */
   reset(index: number, term: number): void {
     this.#entries = [];
     this.#truncatedIndex = index;
--- a/src/coordination/shard-group/shard-group.ts
+++ b/src/coordination/shard-group/shard-group.ts
@@ -1,13 +1,13 @@
 /**
- * One replica of a shard group: leader election by majority and a replicated journal, after Raft
+ * One replica of a shard group: leader election by majority and a replicated log, after Raft
  * (Ongaro and Ousterhout, 2014), with pre-votes, learners, single-server membership changes and planned
- * hand-over of leadership.
+ * transfer of leadership.
  *
- * The class is pure: time comes in as a value, and what must happen outside comes out as
+ * The class does no I/O: the current time is passed in as a value, and I/O is returned as
  * {@link ShardGroupEffect}s, which the driver carries out in order.
  *
- * Guarantees, as long as a majority of the voters lives and messages eventually pass:
- * - an entry reported by an `apply` effect is in every later leader's journal, at the same index;
+ * Guarantees, as long as a majority of the voters is alive and messages are eventually delivered:
+ * - an entry reported by an `apply` effect is in every later leader's log, at the same index;
  * - every replica applies the same entries in the same order;
  * - at most one leader exists in a term.
  */
@@ -21,10 +21,10 @@
 import type { ProposedAt } from "./proposed-at.ts";
 import { ReplicaState } from "./replica-state.ts";
 
-/** Term and index of the entry that every first member of a new group starts with. */
+/** Term of the first entry, with which every initial member of a new group starts. */
 const BOOTSTRAP_TERM = 1;
 
-/** See the module's comment. `Command` is what the embedding program replicates. */
+/** One replica of a shard group. `Command` is the type of the replicated commands. */
 export class ShardGroup<Command> {
   readonly #state: ReplicaState<Command>;
   readonly #election: Election<Command>;
@@ -44,7 +44,9 @@
     );
   }
 
-  /** Starts the first replicas of a group that has never existed: every one of them is given the same voters. */
+  /**
+   * Starts this replica as one of the initial members of a new group. Every initial member must get the same voters.
+   */
   bootstrap(voters: readonly Member[]): void {
     const { log, membership } = this.#state;
     this.#state.term = BOOTSTRAP_TERM;
@@ -54,8 +56,9 @@
   }
 
   /**
-   * Starts a group anew from a state that was kept elsewhere, after every replica was lost. All first members must be
-   * given the same; `term` must be above any that the lost group can have reached.
+   * Starts this replica as an initial member of a group that is recovered from a stored state, after every replica was
+   * lost. All initial members must get the same arguments. `term` must be higher than any term that the lost group can
+   * have reached.
    */
   bootstrapFrom(voters: readonly Member[], lastIndex: number, term: number): void {
     const { log, membership } = this.#state;
@@ -65,7 +68,7 @@
     this.#state.commitIndex = lastIndex;
   }
 
-  /** What this replica is. */
+  /** The current role of this replica. */
   get role(): ShardRole {
     return this.#state.role;
   }
@@ -90,62 +93,68 @@
     return this.#state.commitIndex;
   }
 
-  /** The last index in the journal. */
+  /** The last index in the log. */
   get lastIndex(): number {
     return this.#state.log.lastIndex;
   }
 
-  /** Entries held in memory. */
+  /** Number of log entries in memory. */
   get heldEntries(): number {
     return this.#state.log.entryCount;
   }
 
   /**
-   * Whether this replica leads and has committed an entry of its own term: only then does its applied state
-   * hold everything that earlier leaders committed.
+   * Whether this replica leads and has committed an entry of its own term. Only then does its applied state
+   * include everything that earlier leaders committed.
    */
   get isReadyLeader(): boolean {
     return this.#leadership.isReady;
   }
 
-  /** Whether a change of membership may be proposed now. */
+  /** Whether a membership change may be proposed now. */
   get canChangeMembership(): boolean {
     return this.#leadership.canChangeMembership;
   }
 
   /**
-   * Whether this replica leads and a majority answered it lately. Ask again after a pause, before acting:
-   * a process that was frozen wakes up sure that it still leads.
+   * Whether this replica leads and a majority has responded to it within the election time-out. Check this again after
+   * a pause of the process, before acting: a replica that was suspended keeps the leader role until its next tick.
    */
   hasMajority(nowMs: number): boolean {
     return this.#leadership.hasMajority(nowMs);
   }
 
-  /** How far behind the journal's end a replica is, in entries; undefined when not leading or not a replica. */
+  /**
+   * Returns how many entries a replica is behind the end of the log; undefined when this is not the leader or it is
+   * no replica.
+   */
   lagInEntries(instance: string): number | undefined {
     return this.#leadership.lagInEntries(instance);
   }
 
-  /** Milliseconds since a replica last answered this leader; undefined when not leading or not a replica. */
+  /**
+   * Returns the time since a replica last responded to this leader; undefined when this is not the leader or it is no
+   * replica.
+   */
   timeSinceResponseMs(instance: string, nowMs: number): number | undefined {
     return this.#leadership.timeSinceResponseMs(instance, nowMs);
   }
 
-  /** Hands over the effects gathered since the last call. */
+  /** Returns the effects emitted since the last call. */
   takeEffects(): readonly ShardGroupEffect<Command>[] {
     return this.#state.takeEffects();
   }
 
-  /** Must be called a few times per heartbeat interval, and first of all after a pause. */
+  /** Must be called a few times per heartbeat interval, and before any other method after a pause of the process. */
   tick(nowMs: number): void {
     if (this.#state.role === "leader") this.#leadership.tick(nowMs);
     else if (nowMs >= this.#state.electionDeadlineMs) this.#election.startPreVote(nowMs);
   }
 
   /**
-   * Adds a command to the journal. Nothing is sent before {@link flush}, so several proposals share a message.
+   * Appends a command to the log. It is sent by the next {@link flush}, so that several proposals share a message.
    *
-   * @returns where the entry stands, or undefined when this replica is not the leader or has lost its majority
+   * @returns the position of the entry, or undefined when this replica is not the leader or has lost its majority
    */
   propose(command: Command, nowMs: number): ProposedAt | undefined {
     if (!this.hasMajority(nowMs)) return undefined;
@@ -153,9 +162,9 @@
   }
 
   /**
-   * Adds a change of replicas to the journal. At most one voter may be added or removed at a time.
+   * Appends a membership change to the log. At most one voter may be added or removed at a time.
    *
-   * @returns where the entry stands, or undefined when it may not be proposed now
+   * @returns the position of the entry, or undefined when the change may not be proposed now
    */
   proposeMembership(membership: Membership, nowMs: number): ProposedAt | undefined {
     if (!this.hasMajority(nowMs) || !this.canChangeMembership) return undefined;
@@ -170,24 +179,29 @@
     this.#leadership.flush(nowMs);
   }
 
-  /** Asks the follower that is furthest ahead to take over. It is asked only when it holds the whole journal. */
+  /**
+   * Asks a voter that has the whole log to take over: the `preferred` one if possible. Returns it, or undefined if
+   * there is none.
+   */
   transferLeadership(preferred?: string): Member | undefined {
     return this.#leadership.transfer(preferred);
   }
 
-  /** Answers a `snapshotNeeded` effect. `lastIndex` is the last index that `state` includes. */
+  /**
+   * Sends the snapshot that a `snapshotNeeded` effect requested. `lastIndex` is the last index included in `state`.
+   */
   provideSnapshot(to: Member, lastIndex: number, state: unknown): void {
     this.#leadership.provideSnapshot(to, lastIndex, state);
   }
 
-  /** Drops applied entries up to `index` from memory. Followers further behind are then sent a snapshot. */
+  /** Drops applied entries up to `index` from memory. Followers that still need them are sent a snapshot. */
   truncate(index: number): void {
     const upTo = Math.min(index, this.#state.commitIndex);
     this.#state.membership.prepareTruncation(upTo);
     this.#state.log.truncate(upTo);
   }
 
-  /** Takes in a message from another replica. */
+  /** Handles a message from another replica. */
   receive(message: ShardGroupMessage<Command>, nowMs: number): void {
     if (message.type === "voteRequest") return this.#election.onVoteRequest(message, nowMs);
     if (message.term > this.#state.term && !isGrantedPreVote(message)) {
@@ -208,7 +222,7 @@
   }
 }
 
-/** A granted pre-vote carries the term asked for, which nobody has entered yet. */
+/** The response to a granted pre-vote carries the requested term, which no replica has entered yet. */
 function isGrantedPreVote<Command>(message: ShardGroupMessage<Command>): boolean {
   return message.type === "voteResponse" && message.preVote && message.granted;
 }
--- a/test/contract/shard-group.test.ts
+++ b/test/contract/shard-group.test.ts
@@ -34,13 +34,13 @@
       },
     ],
     [
-      "a leader that hears nobody",
+      "a leader that receives no messages",
       (network, leader) => {
         for (const name of network.replicas.keys()) network.brokenLinks.add(`${name}>${leader}`);
       },
     ],
     [
-      "a leader that reaches nobody",
+      "a leader whose messages are all lost",
       (network, leader) => {
         for (const name of network.replicas.keys()) network.brokenLinks.add(`${leader}>${name}`);
       },
@@ -48,7 +48,7 @@
   ];
 
   for (const [name, injectFault] of FAULT_CASES) {
-    it(`keeps what was committed and goes on with ${name}`, () => {
+    it(`keeps committed entries and commits new ones with ${name}`, () => {
       const network = startGroup(["a", "b", "c"]);
       network.propose("before");
       network.advance(200);
@@ -61,7 +61,7 @@
     });
   }
 
-  it("commits nothing without a majority, and its leader steps down", () => {
+  it("commits nothing without a majority, and the leader steps down", () => {
     const network = startGroup(["a", "b", "c"]);
     const leader = leaderOf(network);
     for (const name of network.replicas.keys()) {
@@ -73,7 +73,7 @@
     expect(network.get(leader).group.role === "leader").toEqual(false);
   });
 
-  it("does not let a frozen leader propose after it wakes", () => {
+  it("rejects proposals of a leader that resumes after a pause longer than the election time-out", () => {
     const network = startGroup(["a", "b", "c"]);
     const frozen = network.get(leaderOf(network));
     expect(frozen.group.hasMajority(network.nowMs)).toEqual(true);
@@ -81,7 +81,7 @@
     expect(frozen.group.propose("late", network.nowMs + SETTLE_MS)).toEqual(undefined);
   });
 
-  it("brings an empty replica up to date by a snapshot, and lets it vote", () => {
+  it("brings an empty replica up to date with a snapshot and makes it a voter", () => {
     const network = startGroup(["a", "b", "c"]);
     for (let count = 0; count < 20; count++) network.propose(`entry ${count}`);
     network.advance(200);
@@ -97,7 +97,7 @@
     expect(leader.group.membership.voters.length).toEqual(4);
   });
 
-  it("does not change two voters at once, or before the last change is committed", () => {
+  it("rejects a change of two voters at once, and a change before the previous one is committed", () => {
     const network = startGroup(["a", "b", "c"]);
     const leader = network.get(leaderOf(network));
     const { voters } = leader.group.membership;
@@ -108,7 +108,7 @@
     expect(leader.group.proposeMembership({ voters, learners: [] }, network.nowMs)).toEqual(undefined);
   });
 
-  it("hands leadership over without losing an entry", () => {
+  it("transfers leadership without losing an entry", () => {
     const network = startGroup(["a", "b", "c"]);
     network.propose("before");
     network.advance(200);
@@ -121,7 +121,7 @@
     expect(network.leader()?.applied).toEqual(["before"]);
   });
 
-  it("keeps a late duplicate of a snapshot from dropping acknowledged entries", () => {
+  it("drops no acknowledged entries when a late duplicate of a snapshot arrives", () => {
     const network = startGroup(["a", "b", "c"]);
     network.propose("one");
     network.advance(200);
@@ -136,12 +136,12 @@
     expect(follower?.group.lastIndex).toEqual(leader.group.lastIndex);
   });
 
-  it("keeps its promises under any order of losses, duplicates, cuts and pauses", () => {
+  it("keeps its guarantees under any order of lost messages, duplicates, broken links and pauses", () => {
     const step = fc.oneof(
       fc.record({ type: fc.constant("advance" as const), value: fc.integer({ min: 50, max: 900 }) }),
       fc.record({ type: fc.constant("propose" as const), value: fc.nat(1_000) }),
       fc.record({ type: fc.constant("drop" as const), value: fc.nat(1_000) }),
-      fc.record({ type: fc.constant("double" as const), value: fc.nat(1_000) }),
+      fc.record({ type: fc.constant("duplicate" as const), value: fc.nat(1_000) }),
       fc.record({ type: fc.constant("cut" as const), value: fc.nat(1_000) }),
       fc.record({ type: fc.constant("heal" as const), value: fc.nat(1_000) }),
     );
@@ -169,7 +169,7 @@
   });
 });
 
-/** Whatever two replicas have applied, one is the beginning of the other. */
+/** Checks that of any two replicas, the commands that one has applied are a prefix of those of the other. */
 function expectConsistentPrefixes(network: GroupNetwork): void {
   const applied = [...network.replicas.values()].map((replica) => replica.applied);
   for (const left of applied) {
--- a/test/contract/support/group-network.ts
+++ b/test/contract/support/group-network.ts
@@ -1,7 +1,7 @@
 import type { Member } from "../../../src/coordination/shard-group/index.ts";
 import { ShardGroup } from "../../../src/coordination/shard-group/index.ts";
 
-/** A command that says what it is. */
+/** A command is a text, which the tests compare. */
 export type TestCommand = string;
 
 interface InFlight {
@@ -34,12 +34,12 @@
   }
 }
 
-/** Replicas of one shard on a clock and network that a test moves by hand. */
+/** Replicas of one shard on a simulated clock and network that the test controls. */
 export class GroupNetwork {
   readonly replicas = new Map<string, TestReplica>();
   readonly brokenLinks = new Set<string>();
   nowMs = 0;
-  /** Terms with the leader that was seen in each. */
+  /** The leaders observed in each term. */
   readonly leadersByTerm = new Map<number, Set<string>>();
   #inFlight: InFlight[] = [];
   #seed = 1;
@@ -64,14 +64,14 @@
     return replica;
   }
 
-  /** A replica by name. */
+  /** Returns a replica by name. */
   get(name: string): TestReplica {
     const replica = this.replicas.get(name);
     if (!replica) throw new Error(`There is no replica ${name}.`);
     return replica;
   }
 
-  /** Lets time pass, and every message arrive. */
+  /** Advances the clock and delivers every message. */
   advance(ms: number): void {
     const endMs = this.nowMs + ms;
     while (this.nowMs < endMs) {
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Delivers every message, and those that they cause. */
+  /** Delivers every message in flight, and the messages sent in response. */
   deliverAll(): void {
     for (let round = 0; round < 200 && this.#inFlight.length > 0; round++) {
       const batch = this.#inFlight;
@@ -93,22 +93,22 @@
     }
   }
 
-  /** Delivers, drops or doubles one message in flight; `pick` chooses which. */
-  disturbMessage(messageNumber: number, action: "deliver" | "drop" | "double"): void {
+  /** Delivers, drops or duplicates one message in flight, selected by `messageNumber`, modulo the number of messages. */
+  disturbMessage(messageNumber: number, action: "deliver" | "drop" | "duplicate"): void {
     if (this.#inFlight.length === 0) return;
     const position = messageNumber % this.#inFlight.length;
     const [message] = this.#inFlight.splice(position, 1);
     if (action === "drop") return;
-    if (action === "double") this.#inFlight.push(message);
+    if (action === "duplicate") this.#inFlight.push(message);
     this.#deliver(message);
   }
 
-  /** The only living leader that is ready. */
+  /** Returns the first live replica that is a ready leader. */
   leader(): TestReplica | undefined {
     return this.#liveReplicas().find((replica) => replica.group.isReadyLeader);
   }
 
-  /** Proposes at the leader; returns whether a leader took it. */
+  /** Proposes a command to the leader. Returns whether a leader accepted it. */
   propose(command: TestCommand): boolean {
     const leader = this.leader();
     if (!leader?.group.propose(command, this.nowMs)) return false;
@@ -117,7 +117,7 @@
     return true;
   }
 
-  /** Carries out what a replica's group asked for. */
+  /** Carries out the effects of a replica's group. */
   executeEffects(replica: TestReplica): void {
     for (const effect of replica.group.takeEffects()) {
       if (effect.type === "send") {
