--- a/bench/simulation/gateways/simulated-gateway.ts
+++ b/bench/simulation/gateways/simulated-gateway.ts
@@ -144,10 +144,10 @@
     this.#members.onLost = (member) => {
       this.#host.forget(member);
       this.#relayed.removeRelay(member.instance);
-      this.#rpc.abandon(member.address);
+      this.#rpc.failPending(member.address);
     };
     this.#transport.onDisconnected((address, reason) => {
-      this.#rpc.abandon(address);
+      this.#rpc.failPending(address);
       this.#members.onDisconnected(address, reason);
     });
     this.#transport.onMessage((message, from) => {
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -224,10 +224,10 @@
       this.#placeHost.onGatewayLost(member.instance);
       this.#places.onGatewayLost(member.instance);
       this.#store.removeRelay(member.instance);
-      this.#rpc.abandon(member.address);
+      this.#rpc.failPending(member.address);
     };
     this.#transport.onDisconnected((address, reason) => {
-      this.#rpc.abandon(address);
+      this.#rpc.failPending(address);
       this.#members.onDisconnected(address, reason);
     });
     this.#transport.onMessage((message, from) => this.#onMessage(message, from));
--- a/src/gateway/partitions/partition-host.ts
+++ b/src/gateway/partitions/partition-host.ts
@@ -128,8 +128,8 @@
       const answer = await this.#requireOwned(request.partition).admit(request);
       return answer === MOVED ? this.#redirect(request.partition) : answer;
     });
-    const answering = {
-      patienceMs: ({ retained }: EndTurnRequest) => (retained ? 0 : MAX_END_TURN_ANSWER_DELAY_MS),
+    const responseOptions = {
+      maxDelayMs: ({ retained }: EndTurnRequest) => (retained ? 0 : MAX_END_TURN_ANSWER_DELAY_MS),
     };
     rpc.handle(
       "endTurn",
@@ -137,7 +137,7 @@
         const answer = this.#requireOwned(request.partition).end(request);
         return answer === MOVED ? this.#redirect(request.partition) : answer;
       },
-      answering,
+      responseOptions,
     );
   }
 
--- a/src/node/ingress/call-session.ts
+++ b/src/node/ingress/call-session.ts
@@ -104,7 +104,7 @@
       case "callAccepted":
         this.#accepted = true;
         this.#submittedTo = from;
-        this.#port.router.learn(this.#parameters.shard, from);
+        this.#port.router.setLeader(this.#parameters.shard, from);
         return;
       case "callRedirected":
         return this.#onRedirected(event.leader, from);
@@ -120,7 +120,7 @@
   #submit(except: string | undefined, target?: string): void {
     const { clock, router, transport } = this.#port;
     const { program, call, tenant, number, request, patienceMs, shard } = this.#parameters;
-    const address = target ?? router.candidate(shard, except);
+    const address = target ?? router.pickAddress(shard, except);
     const elapsedMs = clock.monotonicMs() - this.#startMs;
     if (address) {
       this.#submittedTo = address;
@@ -152,13 +152,13 @@
     const silenceMs = clock.monotonicMs() - this.#lastHeardMs;
     if (this.#accepted && silenceMs < waitMs) return this.#watch();
     if (silenceMs > settings.timing.unavailableAfterMs) return this.#giveUp();
-    router.learn(this.#parameters.shard, undefined);
+    router.setLeader(this.#parameters.shard, undefined);
     this.#accepted = false;
     this.#submit(this.#submittedTo);
   }
 
   #onRedirected(leader: string | undefined, from: string): void {
-    this.#port.router.learn(this.#parameters.shard, leader);
+    this.#port.router.setLeader(this.#parameters.shard, leader);
     this.#accepted = false;
     if (leader && leader !== from) return this.#submit(from, leader);
     this.#watch();
--- a/src/runtime/value-reader.ts
+++ b/src/runtime/cbor-reader.ts
@@ -4,7 +4,7 @@
  */
 import { Decoder } from "cbor-x";
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY = Buffer.alloc(0);
 /** Longest value, in bytes; more is not waited for. */
 const MAX_VALUE_BYTES = 64 * 1024 * 1024;
 
@@ -18,22 +18,22 @@
 }
 
 /** See the module's comment. */
-export class ValueReader {
+export class CborReader {
   // Shapes of objects that the other side has described once.
   readonly #decoder = new Decoder({ structures: [] });
   /** Bytes of a value that is not whole yet. */
-  #rest: Buffer = NOTHING;
+  #incomplete: Buffer = EMPTY;
 
   /** Takes in bytes; returns the values that are whole now. Throws when they are no values. */
   push(bytes: Buffer): readonly unknown[] {
-    const all = this.#rest.length === 0 ? bytes : Buffer.concat([this.#rest, bytes]);
-    this.#rest = NOTHING;
+    const all = this.#incomplete.length === 0 ? bytes : Buffer.concat([this.#incomplete, bytes]);
+    this.#incomplete = EMPTY;
     try {
       return this.#decoder.decodeMultiple(all) ?? [];
     } catch (error) {
       const { incomplete, lastPosition = 0, values = [] } = error as DecodeError;
       if (!incomplete || all.length - lastPosition > MAX_VALUE_BYTES) throw error;
-      this.#rest = all.subarray(lastPosition);
+      this.#incomplete = all.subarray(lastPosition);
       return values;
     }
   }
--- a/src/runtime/connect-patience.ts
+++ b/src/runtime/connect-timeouts.ts
@@ -6,26 +6,26 @@
  */
 
 /** Many times what a connection between zones takes, in ms, and less than half of a heartbeat's pause. */
-const FIRST_MS = 200;
-const MOST_MS = 1_000;
+const INITIAL_TIMEOUT_MS = 200;
+const MAX_TIMEOUT_MS = 1_000;
 
 /** See the module's comment. */
-export class ConnectPatience {
-  readonly #unanswered = new Map<string, number>();
+export class ConnectTimeouts {
+  readonly #timeoutCounts = new Map<string, number>();
 
   /** Longest time for the next attempt, in ms. */
-  limitMs(address: string): number {
-    return Math.min(MOST_MS, FIRST_MS * 2 ** (this.#unanswered.get(address) ?? 0));
+  timeoutMs(address: string): number {
+    return Math.min(MAX_TIMEOUT_MS, INITIAL_TIMEOUT_MS * 2 ** (this.#timeoutCounts.get(address) ?? 0));
   }
 
   /** An attempt has ended for want of an answer. */
-  noteUnanswered(address: string): void {
-    if (this.limitMs(address) < MOST_MS)
-      this.#unanswered.set(address, (this.#unanswered.get(address) ?? 0) + 1);
+  recordTimeout(address: string): void {
+    if (this.timeoutMs(address) < MAX_TIMEOUT_MS)
+      this.#timeoutCounts.set(address, (this.#timeoutCounts.get(address) ?? 0) + 1);
   }
 
   /** An address has answered, be it by a refusal. */
-  noteAnswer(address: string): void {
-    this.#unanswered.delete(address);
+  recordResponse(address: string): void {
+    this.#timeoutCounts.delete(address);
   }
 }
--- a/src/runtime/rpc.ts
+++ b/src/runtime/rpc.ts
@@ -32,9 +32,12 @@
 ) => Promise<Schema[Name]["response"]>;
 
 /** How the answers to one kind of request travel. */
-export interface RpcAnswering<Name extends keyof Schema, Schema extends RpcSchemaShape<Schema> = RpcSchema> {
+export interface RpcResponseOptions<
+  Name extends keyof Schema,
+  Schema extends RpcSchemaShape<Schema> = RpcSchema,
+> {
   /** How long the answer to a request that is done may wait for other messages to travel with, in ms. */
-  readonly patienceMs: (body: Schema[Name]["request"]) => number;
+  readonly maxDelayMs: (body: Schema[Name]["request"]) => number;
 }
 
 /** The outcome of one request to one process. */
@@ -51,7 +54,7 @@
 }
 
 /** Identifiers of requests begin below it, and count up. */
-const FIRST_ID_RANGE = 2 ** 31;
+const INITIAL_ID_LIMIT = 2 ** 31;
 
 type RpcTransport<Schema extends RpcSchemaShape<Schema>> = Pick<
   Transport<RpcRequest<Schema> | RpcResponse<Schema>>,
@@ -66,7 +69,7 @@
   readonly #transport: RpcTransport<Schema>;
   readonly #clock: Clock;
   readonly #handlers = new Map<keyof Schema, RpcHandler<keyof Schema, Schema>>();
-  readonly #answering = new Map<keyof Schema, RpcAnswering<keyof Schema, Schema>>();
+  readonly #responseOptions = new Map<keyof Schema, RpcResponseOptions<keyof Schema, Schema>>();
   readonly #pending = new Map<RpcId, PendingRequest<Schema>>();
   /** Begins at random: an answer to an earlier process at this address must not be taken for one to this. */
   #lastId: number;
@@ -74,17 +77,18 @@
   constructor(transport: RpcTransport<Schema>, clock: Clock, random: RandomSource) {
     this.#transport = transport;
     this.#clock = clock;
-    this.#lastId = random.below(FIRST_ID_RANGE);
+    this.#lastId = random.below(INITIAL_ID_LIMIT);
   }
 
   /** Sets who answers a kind of request; at once, unless `answering` says otherwise. */
   handle<Name extends keyof Schema>(
     name: Name,
     handler: RpcHandler<Name, Schema>,
-    answering?: RpcAnswering<Name, Schema>,
+    responseOptions?: RpcResponseOptions<Name, Schema>,
   ): void {
     this.#handlers.set(name, handler as unknown as RpcHandler<keyof Schema, Schema>);
-    if (answering) this.#answering.set(name, answering as unknown as RpcAnswering<keyof Schema, Schema>);
+    if (responseOptions)
+      this.#responseOptions.set(name, responseOptions as unknown as RpcResponseOptions<keyof Schema, Schema>);
   }
 
   /** Asks one process once. */
@@ -109,9 +113,9 @@
   /** Takes in a request from another process. */
   async onRequest(request: RpcRequest<Schema>, from: Sender): Promise<void> {
     const result = await this.#answer(request, from);
-    const answering = result.type === "done" ? this.#answering.get(request.name) : undefined;
-    const patienceMs = answering?.patienceMs(request.body) ?? 0;
-    this.#transport.send(from.address, { type: "rpcResponse", id: request.id, result }, patienceMs);
+    const responseOptions = result.type === "done" ? this.#responseOptions.get(request.name) : undefined;
+    const maxDelayMs = responseOptions?.maxDelayMs(request.body) ?? 0;
+    this.#transport.send(from.address, { type: "rpcResponse", id: request.id, result }, maxDelayMs);
   }
 
   /** Takes in a response; one that comes late is passed over. */
@@ -120,7 +124,7 @@
   }
 
   /** Gives up what was asked of an address whose connection has ended: no answer can come any more. */
-  abandon(address: string): void {
+  failPending(address: string): void {
     for (const [id, pending] of [...this.#pending]) {
       if (pending.address === address) this.#settle(id, undefined);
     }
--- a/src/runtime/shard-router.ts
+++ b/src/runtime/shard-router.ts
@@ -5,7 +5,7 @@
 import type { RpcEndpoint } from "./rpc.ts";
 
 /** How long one process is given to answer, in ms, before another is asked. */
-const TRY_TIMEOUT_MS = 1_000;
+const ATTEMPT_TIMEOUT_MS = 1_000;
 const RETRY_DELAY_MS = 50;
 const RETRY_AFTER_MS = 1_000;
 
@@ -26,7 +26,7 @@
   }
 
   /** The address to try for a shard: the remembered leader, or any node but `except`. */
-  candidate(shard: number, except?: string): string | undefined {
+  pickAddress(shard: number, except?: string): string | undefined {
     const leader = this.#leaders.get(shard);
     if (leader && leader !== except) return leader;
     const nodes = this.#knownNodes().filter((address) => address !== except);
@@ -34,7 +34,7 @@
   }
 
   /** Remembers, or forgets, a shard's leader. */
-  learn(shard: number, leader: string | undefined): void {
+  setLeader(shard: number, leader: string | undefined): void {
     if (leader) this.#leaders.set(shard, leader);
     else this.#leaders.delete(shard);
   }
@@ -47,20 +47,20 @@
     timeoutMs: number,
   ): Promise<RpcSchema[Name]["response"]> {
     const deadlineMs = this.#clock.monotonicMs() + timeoutMs;
-    let last: string | undefined;
+    let failedAddress: string | undefined;
     let redirects = 0;
     while (this.#clock.monotonicMs() < deadlineMs) {
-      const address = this.candidate(shard, last);
+      const address = this.pickAddress(shard, failedAddress);
       if (!address) break;
-      const reply = await this.#rpc.ask(address, name, body, TRY_TIMEOUT_MS);
+      const reply = await this.#rpc.ask(address, name, body, ATTEMPT_TIMEOUT_MS);
       if (reply.type === "done") {
-        this.learn(shard, address);
+        this.setLeader(shard, address);
         return reply.body;
       }
       if (reply.type === "problem") throw reply.error;
-      this.learn(shard, reply.type === "redirect" ? reply.leader : undefined);
+      this.setLeader(shard, reply.type === "redirect" ? reply.leader : undefined);
       const redirected = reply.type === "redirect" && reply.leader !== undefined;
-      last = redirected ? undefined : address;
+      failedAddress = redirected ? undefined : address;
       if (redirected) redirects += 1;
       if (!redirected || redirects > 1) await delay(this.#clock, RETRY_DELAY_MS);
     }
--- a/src/runtime/system-timer.ts
+++ b/src/runtime/system-timer.ts
@@ -4,7 +4,7 @@
  */
 
 /** Timers that are later than this were held up, in ms; others fire as late as that on any busy process. */
-const HELD_UP_MS = 5;
+const LATE_THRESHOLD_MS = 5;
 
 /** See the module's comment. */
 export class SystemTimer {
@@ -15,7 +15,7 @@
     const dueAtMs = performance.now() + delayMs;
     this.#timeout = setTimeout(() => {
       // Immediates run after the event loop has looked at its sockets.
-      if (performance.now() - dueAtMs > HELD_UP_MS) this.#immediate = setImmediate(action);
+      if (performance.now() - dueAtMs > LATE_THRESHOLD_MS) this.#immediate = setImmediate(action);
       else action();
     }, delayMs);
   }
--- a/src/runtime/tcp-transport.ts
+++ b/src/runtime/tcp-transport.ts
@@ -5,24 +5,24 @@
 import { createConnection, createServer, type Server, type Socket } from "node:net";
 import { Encoder } from "cbor-x";
 import type { Message } from "../messages/message.ts";
-import { ConnectPatience } from "./connect-patience.ts";
+import { CborReader } from "./cbor-reader.ts";
+import { ConnectTimeouts } from "./connect-timeouts.ts";
+import { DeferredMessages } from "./deferred-messages.ts";
 import type { DisconnectReason } from "./disconnect-reason.ts";
-import { PatientMessages } from "./patient-messages.ts";
 import type { MessageHandler, Sender, Transport } from "./transport.ts";
-import { ValueReader } from "./value-reader.ts";
 
 /** Messages of one turn of the event loop to one address. Only the first batch of a connection names the sender. */
-interface Batch<Kind> {
+interface Batch<AnyMessage> {
   readonly from?: Sender;
   readonly configurationVersion: number;
-  readonly messages: readonly Kind[];
+  readonly messages: readonly AnyMessage[];
 }
 
 /** One connection: its coder remembers the shapes of objects, so that only the first of a shape carries its keys. */
 interface Connection {
   readonly socket: Socket;
   readonly encoder: Encoder;
-  introduced: boolean;
+  senderSent: boolean;
   peer: Sender | undefined;
 }
 
@@ -37,13 +37,13 @@
 }
 
 /** Nobody answered an attempt to connect in time. */
-class UnansweredError extends Error {}
+class ConnectTimeoutError extends Error {}
 
 /** Bytes that may wait for a slow peer before its connection is given up. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
 /** See the module's comment. */
-export class TcpTransport<Kind = Message> implements Transport<Kind> {
+export class TcpTransport<AnyMessage = Message> implements Transport<AnyMessage> {
   configurationVersion = 0;
   readonly counters: TransportCounters = {
     batchesSent: 0,
@@ -57,13 +57,13 @@
   readonly #server: Server;
   readonly #connections = new Map<string, Connection>();
   readonly #sockets = new Set<Socket>();
-  readonly #outbox = new Map<string, Kind[]>();
+  readonly #outbox = new Map<string, AnyMessage[]>();
   /** Messages that wait for others to travel with. */
-  readonly #patient = new PatientMessages<Kind>((address, messages) => {
+  readonly #deferredMessages = new DeferredMessages<AnyMessage>((address, messages) => {
     for (const message of messages) this.send(address, message);
   });
-  readonly #patience = new ConnectPatience();
-  #handler: MessageHandler<Kind> = () => undefined;
+  readonly #connectTimeouts = new ConnectTimeouts();
+  #handler: MessageHandler<AnyMessage> = () => undefined;
   #onDisconnected: (address: string, reason: DisconnectReason) => void = () => undefined;
   #flushScheduled = false;
   #closed = false;
@@ -71,11 +71,11 @@
   private constructor(self: Sender, server: Server) {
     this.#self = self;
     this.#server = server;
-    server.on("connection", (socket) => this.#adopt(socket));
+    server.on("connection", (socket) => this.#setUpConnection(socket));
   }
 
   /** Listens at `self.address`; port 0 takes a free one. */
-  static async listen<Kind = Message>(self: Sender): Promise<TcpTransport<Kind>> {
+  static async listen<AnyMessage = Message>(self: Sender): Promise<TcpTransport<AnyMessage>> {
     const { host, port } = parseAddress(self.address);
     const server = createServer({ noDelay: true });
     await new Promise<void>((resolve, reject) => {
@@ -84,14 +84,14 @@
     });
     const bound = server.address();
     const boundPort = typeof bound === "object" && bound ? bound.port : port;
-    return new TcpTransport<Kind>({ instance: self.instance, address: `${host}:${boundPort}` }, server);
+    return new TcpTransport<AnyMessage>({ instance: self.instance, address: `${host}:${boundPort}` }, server);
   }
 
   get self(): Sender {
     return this.#self;
   }
 
-  onMessage(handler: MessageHandler<Kind>): void {
+  onMessage(handler: MessageHandler<AnyMessage>): void {
     this.#handler = handler;
   }
 
@@ -105,22 +105,22 @@
     this.#connections.get(address)?.socket.destroy();
   }
 
-  send(address: string, message: Kind, withinMs = 0): void {
+  send(address: string, message: AnyMessage, maxDelayMs = 0): void {
     if (this.#closed) return;
-    if (withinMs > 0 && !this.#outbox.has(address)) {
-      this.#patient.add(address, message, withinMs);
+    if (maxDelayMs > 0 && !this.#outbox.has(address)) {
+      this.#deferredMessages.add(address, message, maxDelayMs);
       return;
     }
     const queue = this.#outbox.get(address);
     if (queue) queue.push(message);
-    else this.#outbox.set(address, [...this.#patient.take(address), message]);
+    else this.#outbox.set(address, [...this.#deferredMessages.take(address), message]);
     if (this.#flushScheduled) return;
     this.#flushScheduled = true;
     setImmediate(() => this.#flush());
   }
 
   async close(): Promise<void> {
-    this.#patient.sendAll();
+    this.#deferredMessages.flush();
     this.#flush();
     this.#closed = true;
     for (const socket of this.#sockets) socket.destroySoon();
@@ -139,11 +139,11 @@
     }
   }
 
-  #deliverLocally(messages: readonly Kind[]): void {
+  #deliverLocally(messages: readonly AnyMessage[]): void {
     for (const message of messages) this.#handler(message, this.#self, this.configurationVersion);
   }
 
-  #write(address: string, messages: readonly Kind[]): void {
+  #write(address: string, messages: readonly AnyMessage[]): void {
     const connection = this.#connections.get(address) ?? this.#connect(address);
     const { socket, encoder } = connection;
     if (socket.writableLength > MAX_BUFFERED_BYTES) {
@@ -151,10 +151,10 @@
       return;
     }
     const { configurationVersion } = this;
-    const batch: Batch<Kind> = connection.introduced
+    const batch: Batch<AnyMessage> = connection.senderSent
       ? { configurationVersion, messages }
       : { from: this.#self, configurationVersion, messages };
-    connection.introduced = true;
+    connection.senderSent = true;
     const bytes = encoder.encode(batch);
     socket.write(bytes);
     this.counters.batchesSent += 1;
@@ -166,30 +166,32 @@
     const { host, port } = parseAddress(address);
     const socket = createConnection({ host, port, noDelay: true });
     // A machine without power says nothing: the attempt would hang for minutes.
-    socket.setTimeout(this.#patience.limitMs(address), () => this.#giveUpSoon(address, socket));
+    socket.setTimeout(this.#connectTimeouts.timeoutMs(address), () =>
+      this.#abortConnectAttempt(address, socket),
+    );
     socket.once("connect", () => {
-      this.#patience.noteAnswer(address);
+      this.#connectTimeouts.recordResponse(address);
       socket.setTimeout(0);
     });
-    const connection = this.#adopt(socket);
-    this.#rememberRoute(address, connection);
+    const connection = this.#setUpConnection(socket);
+    this.#registerConnection(address, connection);
     return connection;
   }
 
   /** Ends an attempt to connect, unless this process was too busy to notice that it has succeeded. */
-  #giveUpSoon(address: string, socket: Socket): void {
+  #abortConnectAttempt(address: string, socket: Socket): void {
     setImmediate(() => {
       if (!socket.connecting) return;
-      this.#patience.noteUnanswered(address);
-      socket.destroy(new UnansweredError());
+      this.#connectTimeouts.recordTimeout(address);
+      socket.destroy(new ConnectTimeoutError());
     });
   }
 
-  #adopt(socket: Socket): Connection {
+  #setUpConnection(socket: Socket): Connection {
     const encoder = new Encoder({ sequential: true, structures: [] });
-    const connection: Connection = { socket, encoder, introduced: false, peer: undefined };
+    const connection: Connection = { socket, encoder, senderSent: false, peer: undefined };
     this.#sockets.add(socket);
-    const reader = new ValueReader();
+    const reader = new CborReader();
     socket.on("data", (bytes: Buffer) => this.#onBytes(bytes, reader, connection));
     socket.on("error", () => {
       this.counters.connectionErrors += 1;
@@ -198,7 +200,7 @@
     return connection;
   }
 
-  #onBytes(bytes: Buffer, reader: ValueReader, connection: Connection): void {
+  #onBytes(bytes: Buffer, reader: CborReader, connection: Connection): void {
     this.counters.bytesReceived += bytes.length;
     let batches: readonly unknown[];
     try {
@@ -212,43 +214,43 @@
   }
 
   #onBatch(batch: unknown, connection: Connection): void {
-    if (this.#closed || !isBatch<Kind>(batch)) return void connection.socket.destroy();
+    if (this.#closed || !isBatch<AnyMessage>(batch)) return void connection.socket.destroy();
     if (batch.from) {
       connection.peer = batch.from;
-      this.#dropStaleRoute(batch.from, connection);
+      this.#dropStaleConnection(batch.from, connection);
     }
     const { peer } = connection;
     if (!peer) return void connection.socket.destroy();
-    this.#rememberRoute(peer.address, connection);
+    this.#registerConnection(peer.address, connection);
     this.counters.messagesReceived += batch.messages.length;
     for (const message of batch.messages) this.#handler(message, peer, batch.configurationVersion);
   }
 
   /** A process that introduces itself makes connections to an earlier one at its address useless. */
-  #dropStaleRoute(peer: Sender, connection: Connection): void {
-    const known = this.#connections.get(peer.address);
-    if (!known || known === connection) return;
-    const unanswered = known.peer === undefined && known.socket.connecting;
-    const earlier = known.peer !== undefined && known.peer.instance !== peer.instance;
-    if (!unanswered && !earlier) return;
+  #dropStaleConnection(peer: Sender, connection: Connection): void {
+    const existing = this.#connections.get(peer.address);
+    if (!existing || existing === connection) return;
+    const isConnecting = existing.peer === undefined && existing.socket.connecting;
+    const isEarlierInstance = existing.peer !== undefined && existing.peer.instance !== peer.instance;
+    if (!isConnecting && !isEarlierInstance) return;
     this.#connections.delete(peer.address);
-    known.socket.destroy();
+    existing.socket.destroy();
   }
 
   /** Answers to a process go over the connection that it opened. */
-  #rememberRoute(address: string, connection: Connection): void {
+  #registerConnection(address: string, connection: Connection): void {
     if (this.#connections.has(address)) return;
     this.#connections.set(address, connection);
     let reason: DisconnectReason = "ended";
     connection.socket.on("error", (error: NodeJS.ErrnoException) => {
-      if (error instanceof UnansweredError) reason = "unanswered";
+      if (error instanceof ConnectTimeoutError) reason = "unanswered";
       else if (error.code === "ECONNREFUSED") reason = "refused";
-      if (reason !== "unanswered") this.#patience.noteAnswer(address);
+      if (reason !== "unanswered") this.#connectTimeouts.recordResponse(address);
     });
     connection.socket.on("close", () => {
       if (this.#connections.get(address) !== connection) return;
       this.#connections.delete(address);
-      this.#patient.take(address);
+      this.#deferredMessages.take(address);
       if (!this.#closed) this.#onDisconnected(address, reason);
     });
   }
@@ -260,8 +262,8 @@
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
 
-function isBatch<Kind>(value: unknown): value is Batch<Kind> {
-  const batch = value as Partial<Batch<Kind>> | undefined;
+function isBatch<AnyMessage>(value: unknown): value is Batch<AnyMessage> {
+  const batch = value as Partial<Batch<AnyMessage>> | undefined;
   return (
     (batch?.from === undefined || typeof batch.from.address === "string") && Array.isArray(batch?.messages)
   );
--- a/test/contract/support/place-fleet.ts
+++ b/test/contract/support/place-fleet.ts
@@ -147,7 +147,7 @@
       board.dropReport(member.instance);
       host.onGatewayLost(member.instance);
       client.onGatewayLost(member.instance);
-      rpc.abandon(member.address);
+      rpc.failPending(member.address);
     };
     const isOld = this.#oldBuilds.has(index);
     transport.onMessage((message, from) => {
--- a/test/contract/system-clock.test.ts
+++ b/test/contract/system-clock.test.ts
@@ -9,10 +9,10 @@
 import { systemRandom } from "../../src/runtime/system-random.ts";
 
 const TIMEOUT_MS = 20;
-const HELD_UP_MS = 80;
+const BLOCKED_MS = 80;
 
 /** Keeps this process from doing anything else. */
-function holdUp(ms: number): void {
+function blockEventLoop(ms: number): void {
   const untilMs = performance.now() + ms;
   while (performance.now() < untilMs);
 }
@@ -20,19 +20,19 @@
 describe("a process that is held up", () => {
   const clock = new SystemClock();
   let server: Server;
-  let here: Socket;
-  let there: Socket;
+  let clientSocket: Socket;
+  let serverSocket: Socket;
 
   beforeEach(async () => {
     server = createServer().listen(0, "127.0.0.1");
     await once(server, "listening");
     const { port } = server.address() as { port: number };
-    here = connect(port, "127.0.0.1");
-    [there] = (await once(server, "connection")) as [Socket];
+    clientSocket = connect(port, "127.0.0.1");
+    [serverSocket] = (await once(server, "connection")) as [Socket];
   });
   afterEach(() => {
-    here.destroy();
-    there.destroy();
+    clientSocket.destroy();
+    serverSocket.destroy();
     server.close();
   });
 
@@ -40,13 +40,13 @@
   it("takes in an answer that has arrived before it counts it as missed", async () => {
     const sent: unknown[] = [];
     const asking = new RpcEndpoint({ send: (_, message) => void sent.push(message) }, clock, systemRandom());
-    here.on("data", () => {
+    clientSocket.on("data", () => {
       const { id } = sent[0] as { id: number };
       asking.onResponse({ type: "rpcResponse", id, result: { type: "redirect", leader: "other" } });
     });
     const reply = asking.ask("there", "anything" as never, {} as never, TIMEOUT_MS);
-    there.write("answer");
-    holdUp(HELD_UP_MS);
+    serverSocket.write("answer");
+    blockEventLoop(BLOCKED_MS);
     expect((await reply).type).toEqual("redirect");
   });
 
@@ -55,17 +55,17 @@
     const timer = clock.schedule(TIMEOUT_MS, () => {
       fired = true;
     });
-    here.on("data", () => clock.cancel(timer));
-    there.write("answer");
-    holdUp(HELD_UP_MS);
-    await new Promise((resolve) => setTimeout(resolve, HELD_UP_MS));
+    clientSocket.on("data", () => clock.cancel(timer));
+    serverSocket.write("answer");
+    blockEventLoop(BLOCKED_MS);
+    await new Promise((resolve) => setTimeout(resolve, BLOCKED_MS));
     expect(fired).toEqual(false);
   });
 
   it("still misses an answer that has not arrived", async () => {
     const rpc = new RpcEndpoint({ send: () => undefined }, clock, systemRandom());
     const reply = rpc.ask("there", "anything" as never, {} as never, TIMEOUT_MS);
-    holdUp(HELD_UP_MS);
+    blockEventLoop(BLOCKED_MS);
     expect((await reply).type).toEqual("timeout");
   });
 });
--- a/test/contract/tcp-transport.test.ts
+++ b/test/contract/tcp-transport.test.ts
@@ -10,16 +10,16 @@
   readonly text: string;
 }
 
-const open: TcpTransport<Note>[] = [];
+const openTransports: TcpTransport<Note>[] = [];
 
 async function listen(instance: string, address = "127.0.0.1:0"): Promise<TcpTransport<Note>> {
   const transport = await TcpTransport.listen<Note>({ instance, address });
-  open.push(transport);
+  openTransports.push(transport);
   return transport;
 }
 
 /** Resolves with the next message. */
-function next(transport: TcpTransport<Note>): Promise<string> {
+function nextMessage(transport: TcpTransport<Note>): Promise<string> {
   return new Promise((resolve) => {
     transport.onMessage(({ text }) => resolve(text));
   });
@@ -27,31 +27,31 @@
 
 describe("tcp transport", () => {
   afterEach(async () => {
-    await Promise.all(open.splice(0).map((transport) => transport.close()));
+    await Promise.all(openTransports.splice(0).map((transport) => transport.close()));
   });
 
   it("reaches a process that started anew at an address whose earlier process fell silent", async () => {
     // The earlier process takes connections and never reads or answers, as one without power does.
-    const silent: Socket[] = [];
-    const dead = createServer((socket) => {
+    const silentSockets: Socket[] = [];
+    const silentServer = createServer((socket) => {
       socket.pause();
-      silent.push(socket);
+      silentSockets.push(socket);
     });
-    await new Promise<void>((resolve) => dead.listen(0, "127.0.0.1", resolve));
-    const bound = dead.address();
+    await new Promise<void>((resolve) => silentServer.listen(0, "127.0.0.1", resolve));
+    const bound = silentServer.address();
     const address = `127.0.0.1:${typeof bound === "object" && bound ? bound.port : 0}`;
     const one = await listen("one#1");
-    const introduced = next(one);
+    const received = nextMessage(one);
     one.send(address, { text: "into the void" });
     await new Promise((resolve) => setTimeout(resolve, 50));
     await new Promise<void>((resolve) => {
-      dead.close(() => resolve());
-      for (const socket of silent) socket.destroy();
+      silentServer.close(() => resolve());
+      for (const socket of silentSockets) socket.destroy();
     });
     const two = await listen("two#2", address);
     two.send(one.self.address, { text: "here again" });
-    expect(await introduced).toEqual("here again");
-    const answer = next(two);
+    expect(await received).toEqual("here again");
+    const answer = nextMessage(two);
     one.send(address, { text: "welcome" });
     expect(await answer).toEqual("welcome");
   });
@@ -60,17 +60,17 @@
     const one = await listen("one#1");
     const earlier = await listen("two#1");
     const address = earlier.self.address;
-    const first = next(one);
+    const first = nextMessage(one);
     earlier.send(one.self.address, { text: "first" });
     expect(await first).toEqual("first");
     // The earlier process goes without a word: its connection to the first one stays open.
     const restarted = await TcpTransport.listen<Note>({ instance: "two#2", address: "127.0.0.1:0" });
-    open.push(restarted);
+    openTransports.push(restarted);
     Object.defineProperty(restarted.self, "address", { value: address });
-    const second = next(one);
+    const second = nextMessage(one);
     restarted.send(one.self.address, { text: "second" });
     expect(await second).toEqual("second");
-    const answer = next(restarted);
+    const answer = nextMessage(restarted);
     one.send(address, { text: "to the newer" });
     expect(await answer).toEqual("to the newer");
   });
@@ -78,7 +78,7 @@
   it("says whether nobody listened, or a connection has ended", async () => {
     const one = await listen("one#1");
     const reasons: string[] = [];
-    const ended = () =>
+    const disconnected = () =>
       new Promise<void>((resolve) => {
         one.onDisconnected((_, reason) => {
           reasons.push(reason);
@@ -86,15 +86,15 @@
         });
       });
     const two = await listen("two#1");
-    const refusedThere = two.self.address;
-    const met = next(two);
-    one.send(refusedThere, { text: "here" });
-    await met;
-    const first = ended();
+    const address = two.self.address;
+    const received = nextMessage(two);
+    one.send(address, { text: "here" });
+    await received;
+    const first = disconnected();
     await two.close();
     await first;
-    const second = ended();
-    one.send(refusedThere, { text: "still there?" });
+    const second = disconnected();
+    one.send(address, { text: "still there?" });
     await second;
     expect(reasons).toEqual(["ended", "refused"]);
   });
@@ -112,7 +112,7 @@
     await new Promise((resolve) => setTimeout(resolve, 100));
     const one = await listen("one#1");
     const startedMs = performance.now();
-    const reason = new Promise<string>((resolve) => one.onDisconnected((_, why) => resolve(why)));
+    const reason = new Promise<string>((resolve) => one.onDisconnected((_, cause) => resolve(cause)));
     one.send(`127.0.0.1:${port}`, { text: "is anybody there?" });
     expect(await reason).toEqual("unanswered");
     const elapsedMs = performance.now() - startedMs;
@@ -124,30 +124,30 @@
   it("sends what may wait with the next message, or after its time", async () => {
     const one = await listen("one#1");
     const two = await listen("two#1");
-    const got: string[] = [];
-    two.onMessage(({ text }) => got.push(text));
-    const until = async (count: number) => {
-      while (got.length < count) await new Promise((resolve) => setTimeout(resolve, 5));
+    const received: string[] = [];
+    two.onMessage(({ text }) => received.push(text));
+    const untilReceived = async (count: number) => {
+      while (received.length < count) await new Promise((resolve) => setTimeout(resolve, 5));
     };
     one.send(two.self.address, { text: "may wait" }, 10_000);
     one.send(two.self.address, { text: "at once" });
-    await until(2);
-    expect(got).toEqual(["may wait", "at once"]);
+    await untilReceived(2);
+    expect(received).toEqual(["may wait", "at once"]);
     expect(one.counters.batchesSent).toEqual(1);
     one.send(two.self.address, { text: "alone" }, 20);
     expect(one.counters.messagesSent).toEqual(2);
-    await until(3);
+    await untilReceived(3);
     expect(one.counters.batchesSent).toEqual(2);
   });
 
   it("drops what waits for a process that has gone", async () => {
     const one = await listen("one#1");
     const two = await listen("two#1");
-    const met = next(two);
+    const received = nextMessage(two);
     one.send(two.self.address, { text: "here" });
-    await met;
+    await received;
     const reasons: string[] = [];
-    const gone = new Promise<void>((resolve) => {
+    const disconnected = new Promise<void>((resolve) => {
       one.onDisconnected((_, reason) => {
         reasons.push(reason);
         resolve();
@@ -155,7 +155,7 @@
     });
     one.send(two.self.address, { text: "may wait" }, 30);
     await two.close();
-    await gone;
+    await disconnected;
     await new Promise((resolve) => setTimeout(resolve, 100));
     expect(reasons).toEqual(["ended"]);
   });
