--- a/src/runtime/cancellation.ts
+++ b/src/runtime/cancellation.ts
@@ -1,6 +1,6 @@
 import type { Cancellation } from "../ports/engine/engine-client.ts";
 
-/** The holder's end of a {@link Cancellation}. */
+/** A {@link Cancellation} that its owner can trigger. */
 export class CancellationSource implements Cancellation {
   #cancelled = false;
   #actions: (() => void)[] = [];
@@ -14,7 +14,7 @@
     else this.#actions.push(action);
   }
 
-  /** Cancels; a second time changes nothing. */
+  /** Cancels and runs the registered actions. Further calls have no effect. */
   cancel(): void {
     if (this.#cancelled) return;
     this.#cancelled = true;
--- a/src/runtime/cbor-reader.ts
+++ b/src/runtime/cbor-reader.ts
@@ -1,30 +1,30 @@
 /**
- * Cuts the bytes of a connection into CBOR values. The library has a stream for it; an object stream behind each socket
- * costs a process that gets many small messages more than decoding them does.
+ * Splits the bytes of a connection into CBOR values. The library provides a stream for this, but in a process that
+ * receives many small messages, an object stream behind each socket costs more than decoding the messages.
  */
 import { Decoder } from "cbor-x";
 
 const EMPTY = Buffer.alloc(0);
-/** Longest value, in bytes; more is not waited for. */
+/** Maximum size of an incomplete value. The reader throws when more bytes would be needed. */
 const MAX_VALUE_BYTES = 64 * 1024 * 1024;
 
-/** What the library says of bytes that end within a value. */
+/** The error that the library throws for bytes that end within a value. */
 interface DecodeError {
   readonly incomplete?: boolean;
-  /** Where the value begins that is not whole. */
+  /** Position at which the incomplete value starts. */
   readonly lastPosition?: number;
-  /** Those before it. */
+  /** The complete values before it. */
   readonly values?: readonly unknown[];
 }
 
-/** See the module's comment. */
+/** Decodes the CBOR values of one connection. */
 export class CborReader {
-  // Shapes of objects that the other side has described once.
+  // Keeps the shapes of objects that the other side has described once.
   readonly #decoder = new Decoder({ structures: [] });
-  /** Bytes of a value that is not whole yet. */
+  /** Bytes of a value that is not complete yet. */
   #incomplete: Buffer = EMPTY;
 
-  /** Takes in bytes; returns the values that are whole now. Throws when they are no values. */
+  /** Adds received bytes and returns the values that are complete now. Throws when the bytes are not valid CBOR. */
   push(bytes: Buffer): readonly unknown[] {
     const all = this.#incomplete.length === 0 ? bytes : Buffer.concat([this.#incomplete, bytes]);
     this.#incomplete = EMPTY;
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,21 +1,21 @@
 import { SystemTimer } from "./system-timer.ts";
 
-/** A pending timer; give it back to {@link Clock.cancel}. */
+/** A pending timer, to be passed to {@link Clock.cancel}. */
 export type TimerHandle = { readonly timer: unknown };
 
-/** The only source of time and timers for drivers. The simulation puts a virtual one in its place. */
+/** The only source of time and timers for drivers. The simulation replaces it with a virtual clock. */
 export interface Clock {
-  /** Milliseconds that never go back; use them for every time-out and lease. */
+  /** Monotonic time in ms; use it for every time-out and lease. */
   monotonicMs(): number;
-  /** Milliseconds since 1970; use them only for records and for the windows of budgets. */
+  /** Wall-clock time in ms since 1970; use it only for records and for the windows of budgets. */
   wallMs(): number;
   /** Calls `action` once after `delayMs`. */
   schedule(delayMs: number, action: () => void): TimerHandle;
-  /** Forgets a timer; a timer that has fired or was cancelled is passed over. */
+  /** Cancels a timer. Has no effect on a timer that has fired or was cancelled. */
   cancel(handle: TimerHandle): void;
 }
 
-/** The process's own clock. Its timers keep no process alive by themselves. */
+/** The clock of the operating system, with timers of the event loop. */
 export class SystemClock implements Clock {
   monotonicMs(): number {
     return performance.now();
@@ -41,7 +41,7 @@
   });
 }
 
-/** Calls `action` every `intervalMs` until the returned function is called. */
+/** Calls `action` every `intervalMs`. Returns a function that stops the repetition. */
 export function repeat(clock: Clock, intervalMs: number, action: () => void): () => void {
   let stopped = false;
   let handle = clock.schedule(intervalMs, run);
--- a/src/runtime/deferred-messages.ts
+++ b/src/runtime/deferred-messages.ts
@@ -1,27 +1,27 @@
 /**
- * Messages that nobody waits for: each write to a connection costs both ends more than what is in it, so that these travel
- * with the next message to their address, or together after a while.
+ * Messages whose delivery may be delayed. A write to a connection costs both ends more than the content of a message, so
+ * these messages are sent with the next message to their address, or together after a delay.
  */
 export class DeferredMessages<AnyMessage> {
   readonly #send: (address: string, messages: readonly AnyMessage[]) => void;
   readonly #waiting = new Map<string, AnyMessage[]>();
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param send sends messages that have waited long enough */
+  /** @param send called with the messages of an address when their delay has passed */
   constructor(send: (address: string, messages: readonly AnyMessage[]) => void) {
     this.#send = send;
   }
 
-  /** Keeps a message for `withinMs` at most. */
+  /** Queues a message for at most `maxDelayMs`. */
   add(address: string, message: AnyMessage, maxDelayMs: number): void {
     const queued = this.#waiting.get(address);
     if (queued) queued.push(message);
     else this.#waiting.set(address, [message]);
-    // One timer for all: the first message that waits sets when all of them leave.
+    // One timer for all addresses: the first queued message sets the time at which all of them are sent.
     this.#timer ??= setTimeout(() => this.flush(), maxDelayMs).unref();
   }
 
-  /** Those that wait for an address; they wait no longer. */
+  /** Removes and returns the messages queued for an address. */
   take(address: string): readonly AnyMessage[] {
     const messages = this.#waiting.get(address);
     if (!messages) return [];
@@ -29,7 +29,7 @@
     return messages;
   }
 
-  /** Sends all that wait. */
+  /** Sends all queued messages. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
--- a/src/runtime/disconnect-reason.ts
+++ b/src/runtime/disconnect-reason.ts
@@ -1,8 +1,8 @@
-/** Why there is no connection to an address any more. */
+/** Why there is no longer a connection to an address. */
 export type DisconnectReason =
-  /** Nobody listens there. */
+  /** The connection was refused: no process listens at the address. */
   | "refused"
-  /** Nobody answered the attempt to connect. */
+  /** The connection attempt timed out. */
   | "unanswered"
-  /** There was one. */
+  /** An established connection ended, or connecting failed for another reason. */
   | "ended";
--- a/src/runtime/listen-at.ts
+++ b/src/runtime/listen-at.ts
@@ -1,6 +1,8 @@
 import type { Server } from "node:net";
 
-/** Makes a server listen at `IP:port`; resolves with the address, with the port that was taken for port 0. */
+/**
+ * Makes a server listen at `IP:port`. Resolves with the address; for port 0, it contains the port that was assigned.
+ */
 export function listenAt(server: Server, address: string): Promise<string> {
   const [host, port] = address.split(":");
   return new Promise((resolve, reject) => {
--- a/src/runtime/random-source.ts
+++ b/src/runtime/random-source.ts
@@ -4,17 +4,20 @@
 
 const TOKEN_ALPHABET = "abcdefghijkmnpqrstuvwxyz23456789";
 
-/** Random numbers for drivers: jitter, identifiers, samples. The simulation seeds it. */
+/**
+ * The source of random numbers for drivers, used for jitter, identifiers and samples. The simulation uses a fixed
+ * seed.
+ */
 export interface RandomSource {
   /** A number in [0, 1). */
   unit(): number;
   /** An integer in [0, limit). */
   below(limit: number): number;
-  /** A random text of letters and digits that are hard to mix up. */
+  /** A random string of letters and digits without those that are easily confused, such as `l` and `1`. */
   token(length: number): string;
 }
 
-/** A random source that gives the same numbers for the same seed. */
+/** A random source that generates the same numbers for the same seed. */
 export class SeededRandomSource implements RandomSource {
   readonly #generator: ReturnType<typeof xoroshiro128plus>;
 
--- a/src/runtime/rpc.ts
+++ b/src/runtime/rpc.ts
@@ -16,7 +16,9 @@
 import type { RandomSource } from "./random-source.ts";
 import type { Sender, Transport } from "./transport.ts";
 
-/** Thrown by a handler that is not the leader. */
+/**
+ * Thrown by a handler when this process is not the leader, to redirect the requester to the leader if it is known.
+ */
 export class RedirectSignal {
   readonly leader: string | undefined;
 
@@ -25,18 +27,18 @@
   }
 }
 
-/** Answers one kind of request. */
+/** Handles requests of one name. */
 export type RpcHandler<Name extends keyof Schema, Schema extends RpcSchemaShape<Schema> = RpcSchema> = (
   body: Schema[Name]["request"],
   from: Sender,
 ) => Promise<Schema[Name]["response"]>;
 
-/** How the answers to one kind of request travel. */
+/** Options for sending the responses to requests of one name. */
 export interface RpcResponseOptions<
   Name extends keyof Schema,
   Schema extends RpcSchemaShape<Schema> = RpcSchema,
 > {
-  /** How long the answer to a request that is done may wait for other messages to travel with, in ms. */
+  /** How long a successful response may be delayed to be sent together with other messages, in ms. */
   readonly maxDelayMs: (body: Schema[Name]["request"]) => number;
 }
 
@@ -53,7 +55,7 @@
   readonly timer: TimerHandle;
 }
 
-/** Identifiers of requests begin below it, and count up. */
+/** The first request identifier of a process is below this limit; identifiers increase by one. */
 const INITIAL_ID_LIMIT = 2 ** 31;
 
 type RpcTransport<Schema extends RpcSchemaShape<Schema>> = Pick<
@@ -62,8 +64,8 @@
 >;
 
 /**
- * Requests and responses over a {@link Transport}: one try to one process, with a time-out. `Schema` lists the
- * requests and their responses.
+ * Sends requests and responses over a {@link Transport}. Each request is one attempt at one process, with a time-out.
+ * `Schema` lists the requests and their responses.
  */
 export class RpcEndpoint<Schema extends RpcSchemaShape<Schema> = RpcSchema> {
   readonly #transport: RpcTransport<Schema>;
@@ -71,7 +73,10 @@
   readonly #handlers = new Map<keyof Schema, RpcHandler<keyof Schema, Schema>>();
   readonly #responseOptions = new Map<keyof Schema, RpcResponseOptions<keyof Schema, Schema>>();
   readonly #pending = new Map<RpcId, PendingRequest<Schema>>();
-  /** Begins at random: an answer to an earlier process at this address must not be taken for one to this. */
+  /**
+   * Starts at a random number, so that a response to an earlier process at this address matches no request of this
+   * one.
+   */
   #lastId: number;
 
   constructor(transport: RpcTransport<Schema>, clock: Clock, random: RandomSource) {
@@ -80,7 +85,7 @@
     this.#lastId = random.below(INITIAL_ID_LIMIT);
   }
 
-  /** Sets who answers a kind of request; at once, unless `answering` says otherwise. */
+  /** Sets the handler of requests of one name. Responses are sent at once unless `responseOptions` allow a delay. */
   handle<Name extends keyof Schema>(
     name: Name,
     handler: RpcHandler<Name, Schema>,
@@ -91,7 +96,7 @@
       this.#responseOptions.set(name, responseOptions as unknown as RpcResponseOptions<keyof Schema, Schema>);
   }
 
-  /** Asks one process once. */
+  /** Sends one request to one process and waits for the response or the time-out. */
   async ask<Name extends keyof Schema>(
     address: string,
     name: Name,
@@ -110,7 +115,7 @@
     return result as RpcReply<Name, Schema>;
   }
 
-  /** Takes in a request from another process. */
+  /** Handles a request from another process. */
   async onRequest(request: RpcRequest<Schema>, from: Sender): Promise<void> {
     const result = await this.#answer(request, from);
     const responseOptions = result.type === "done" ? this.#responseOptions.get(request.name) : undefined;
@@ -118,12 +123,15 @@
     this.#transport.send(from.address, { type: "rpcResponse", id: request.id, result }, maxDelayMs);
   }
 
-  /** Takes in a response; one that comes late is passed over. */
+  /** Handles a response. A response that arrives after the time-out is ignored. */
   onResponse(response: RpcResponse<Schema>): void {
     this.#settle(response.id, response.result);
   }
 
-  /** Gives up what was asked of an address whose connection has ended: no answer can come any more. */
+  /**
+   * Ends the pending requests to an address as timed out. Called when its connection has ended, because no response can
+   * arrive any more.
+   */
   failPending(address: string): void {
     for (const [id, pending] of [...this.#pending]) {
       if (pending.address === address) this.#settle(id, undefined);
--- a/src/runtime/shard-router.ts
+++ b/src/runtime/shard-router.ts
@@ -4,12 +4,12 @@
 import type { RandomSource } from "./random-source.ts";
 import type { RpcEndpoint } from "./rpc.ts";
 
-/** How long one process is given to answer, in ms, before another is asked. */
+/** Time-out of one attempt, after which the request is sent to another process. */
 const ATTEMPT_TIMEOUT_MS = 1_000;
 const RETRY_DELAY_MS = 50;
 const RETRY_AFTER_MS = 1_000;
 
-/** Finds the leaders of shards by asking, and remembers them. */
+/** Sends requests to the leaders of shards. Finds the leaders by trial and redirects, and caches them. */
 export class ShardRouter {
   readonly #rpc: RpcEndpoint;
   readonly #clock: Clock;
@@ -17,7 +17,7 @@
   readonly #knownNodes: () => readonly string[];
   readonly #leaders = new Map<number, string>();
 
-  /** @param knownNodes addresses to start from */
+  /** @param knownNodes returns the addresses to try when a leader is unknown */
   constructor(rpc: RpcEndpoint, clock: Clock, random: RandomSource, knownNodes: () => readonly string[]) {
     this.#rpc = rpc;
     this.#clock = clock;
@@ -25,7 +25,9 @@
     this.#knownNodes = knownNodes;
   }
 
-  /** The address to try for a shard: the remembered leader, or any node but `except`. */
+  /**
+   * Returns the address to try for a shard: the cached leader, or else a random node, avoiding `except` if possible.
+   */
   pickAddress(shard: number, except?: string): string | undefined {
     const leader = this.#leaders.get(shard);
     if (leader && leader !== except) return leader;
@@ -33,13 +35,16 @@
     return nodes.length > 0 ? nodes[this.#random.below(nodes.length)] : this.#knownNodes()[0];
   }
 
-  /** Remembers, or forgets, a shard's leader. */
+  /** Caches the leader of a shard, or removes it from the cache. */
   setLeader(shard: number, leader: string | undefined): void {
     if (leader) this.#leaders.set(shard, leader);
     else this.#leaders.delete(shard);
   }
 
-  /** Asks a shard's leader, wherever it is. Only for requests that may be repeated. Throws typed errors. */
+  /**
+   * Sends a request to a shard's leader, with retries until the time-out. Only for idempotent requests. Throws typed
+   * errors.
+   */
   async ask<Name extends RpcName>(
     shard: number,
     name: Name,
--- a/src/runtime/system-random.ts
+++ b/src/runtime/system-random.ts
@@ -3,7 +3,7 @@
 
 const SEED_LIMIT = 2 ** 31;
 
-/** A random source seeded by the operating system, so that two boots never draw the same identifiers. */
+/** Creates a random source seeded by the operating system, so that two boots do not generate the same identifiers. */
 export function systemRandom(): SeededRandomSource {
   return new SeededRandomSource(randomInt(SEED_LIMIT) ^ (randomInt(SEED_LIMIT) << 1));
 }
--- a/src/runtime/system-timer.ts
+++ b/src/runtime/system-timer.ts
@@ -1,12 +1,13 @@
 /**
- * A timer of the event loop. One that fires late, since the process was held up, lets the process read first what has
- * arrived meanwhile: an answer that came in time must not be counted as missed by an asker that had no time to look.
+ * A timer of the event loop. When it fires late because the event loop was blocked, the process first reads what has
+ * arrived in the meantime. Otherwise a response that arrived in time would count as timed out, only because the process
+ * had not read it yet.
  */
 
-/** Timers that are later than this were held up, in ms; others fire as late as that on any busy process. */
+/** A timer that fires later than this counts as late. Smaller delays are normal in any busy process. */
 const LATE_THRESHOLD_MS = 5;
 
-/** See the module's comment. */
+/** A one-shot timer that lets the event loop read from its sockets first when the timer fires late. */
 export class SystemTimer {
   readonly #timeout: NodeJS.Timeout;
   #immediate: NodeJS.Immediate | undefined;
@@ -14,13 +15,13 @@
   constructor(delayMs: number, action: () => void) {
     const dueAtMs = performance.now() + delayMs;
     this.#timeout = setTimeout(() => {
-      // Immediates run after the event loop has looked at its sockets.
+      // Immediates run after the event loop has polled its sockets.
       if (performance.now() - dueAtMs > LATE_THRESHOLD_MS) this.#immediate = setImmediate(action);
       else action();
     }, delayMs);
   }
 
-  /** Passes over a timer that has fired. */
+  /** Cancels the timer. Has no effect when its action has run. */
   cancel(): void {
     clearTimeout(this.#timeout);
     if (this.#immediate) clearImmediate(this.#immediate);
--- a/src/runtime/tcp-transport.ts
+++ b/src/runtime/tcp-transport.ts
@@ -1,6 +1,6 @@
 /**
- * The internal protocol over TCP: one connection per pair of processes, carrying a stream of CBOR values
- * (cbor-x finds their ends). The first value names the sender, so that answers use the same connection.
+ * The internal protocol over TCP: one connection per pair of processes, which carries a stream of CBOR values
+ * (cbor-x detects where each value ends). The first value names the sender, so that responses use the same connection.
  */
 import { createConnection, createServer, type Server, type Socket } from "node:net";
 import { Encoder } from "cbor-x";
@@ -11,14 +11,20 @@
 import type { DisconnectReason } from "./disconnect-reason.ts";
 import type { MessageHandler, Sender, Transport } from "./transport.ts";
 
-/** Messages of one turn of the event loop to one address. Only the first batch of a connection names the sender. */
+/**
+ * The messages sent to one address in one turn of the event loop. Only the first batch of a connection names the
+ * sender.
+ */
 interface Batch<AnyMessage> {
   readonly from?: Sender;
   readonly configurationVersion: number;
   readonly messages: readonly AnyMessage[];
 }
 
-/** One connection: its coder remembers the shapes of objects, so that only the first of a shape carries its keys. */
+/**
+ * One connection. Its encoder remembers the shapes of objects, so that only the first object of a shape includes its
+ * keys.
+ */
 interface Connection {
   readonly socket: Socket;
   readonly encoder: Encoder;
@@ -26,7 +32,7 @@
   peer: Sender | undefined;
 }
 
-/** Counters of the traffic with one other process or all of them. */
+/** Counters of the traffic with all other processes. */
 export interface TransportCounters {
   batchesSent: number;
   messagesSent: number;
@@ -36,13 +42,13 @@
   connectionErrors: number;
 }
 
-/** Nobody answered an attempt to connect in time. */
+/** A connection attempt timed out. */
 class ConnectTimeoutError extends Error {}
 
-/** Bytes that may wait for a slow peer before its connection is given up. */
+/** Maximum number of bytes buffered for a slow peer before its connection is closed. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
-/** See the module's comment. */
+/** A {@link Transport} over TCP connections. */
 export class TcpTransport<AnyMessage = Message> implements Transport<AnyMessage> {
   configurationVersion = 0;
   readonly counters: TransportCounters = {
@@ -58,7 +64,7 @@
   readonly #connections = new Map<string, Connection>();
   readonly #sockets = new Set<Socket>();
   readonly #outbox = new Map<string, AnyMessage[]>();
-  /** Messages that wait for others to travel with. */
+  /** Messages that wait to be sent together with others. */
   readonly #deferredMessages = new DeferredMessages<AnyMessage>((address, messages) => {
     for (const message of messages) this.send(address, message);
   });
@@ -74,7 +80,7 @@
     server.on("connection", (socket) => this.#setUpConnection(socket));
   }
 
-  /** Listens at `self.address`; port 0 takes a free one. */
+  /** Listens at `self.address`. For port 0, a free port is assigned. */
   static async listen<AnyMessage = Message>(self: Sender): Promise<TcpTransport<AnyMessage>> {
     const { host, port } = parseAddress(self.address);
     const server = createServer({ noDelay: true });
@@ -95,12 +101,12 @@
     this.#handler = handler;
   }
 
-  /** Sets who is told that the connection to an address has ended, or could not be made. */
+  /** Sets the handler that is called when the connection to an address has ended or could not be established. */
   onDisconnected(handler: (address: string, reason: DisconnectReason) => void): void {
     this.#onDisconnected = handler;
   }
 
-  /** Ends the connection to an address, if there is one; the next message opens another. */
+  /** Closes the connection to an address, if there is one. The next message opens a new one. */
   disconnect(address: string): void {
     this.#connections.get(address)?.socket.destroy();
   }
@@ -165,7 +171,7 @@
   #connect(address: string): Connection {
     const { host, port } = parseAddress(address);
     const socket = createConnection({ host, port, noDelay: true });
-    // A machine without power says nothing: the attempt would hang for minutes.
+    // A machine that is powered off does not respond: without a time-out, the attempt would hang for minutes.
     socket.setTimeout(this.#connectTimeouts.timeoutMs(address), () =>
       this.#abortConnectAttempt(address, socket),
     );
@@ -178,7 +184,10 @@
     return connection;
   }
 
-  /** Ends an attempt to connect, unless this process was too busy to notice that it has succeeded. */
+  /**
+   * Aborts a connection attempt that timed out. It first polls the sockets, since the attempt may have succeeded while
+   * this process was too busy to notice.
+   */
   #abortConnectAttempt(address: string, socket: Socket): void {
     setImmediate(() => {
       if (!socket.connecting) return;
@@ -206,7 +215,7 @@
     try {
       batches = reader.push(bytes);
     } catch {
-      // Whoever is at the other end does not speak the protocol.
+      // The other end does not speak the protocol.
       connection.socket.destroy();
       return;
     }
@@ -226,7 +235,10 @@
     for (const message of batch.messages) this.#handler(message, peer, batch.configurationVersion);
   }
 
-  /** A process that introduces itself makes connections to an earlier one at its address useless. */
+  /**
+   * Closes a stale connection to the address of a process that has just identified itself: one to an earlier process at
+   * this address, or an attempt that is still connecting.
+   */
   #dropStaleConnection(peer: Sender, connection: Connection): void {
     const existing = this.#connections.get(peer.address);
     if (!existing || existing === connection) return;
@@ -237,7 +249,7 @@
     existing.socket.destroy();
   }
 
-  /** Answers to a process go over the connection that it opened. */
+  /** Registers the connection to use for an address. Responses to a process use the connection that it opened. */
   #registerConnection(address: string, connection: Connection): void {
     if (this.#connections.has(address)) return;
     this.#connections.set(address, connection);
--- a/src/runtime/text-hash.ts
+++ b/src/runtime/text-hash.ts
@@ -1,6 +1,6 @@
 import createXxhash from "xxhash-wasm";
 
-/** Non-cryptographic hashes of texts: for spreading keys and for spotting differences, not for security. */
+/** Non-cryptographic hashes of strings, for distributing keys and detecting differences, not for security. */
 export interface TextHash {
   /** 32 bits, as an unsigned number. */
   hash32(text: string): number;
@@ -8,7 +8,7 @@
   hash64(text: string): string;
 }
 
-/** Loads xxhash. */
+/** Loads xxhash, which is a WebAssembly module. */
 export async function loadTextHash(): Promise<TextHash> {
   const xxhash = await createXxhash();
   return {
--- a/test/contract/cbor-reader.test.ts
+++ b/test/contract/cbor-reader.test.ts
@@ -1,4 +1,4 @@
-/** Values that arrive in pieces, as the bytes of a connection do. */
+/** Tests of reading CBOR values that arrive in parts, as the bytes of a connection do. */
 import { describe, it } from "node:test";
 import { Encoder } from "cbor-x";
 import { expect } from "earl";
@@ -14,14 +14,14 @@
   { type: "heartbeat", owned: [], name: "two", load: 1e300, text: "" },
 ];
 
-/** The bytes of the values, as a connection sends them. */
+/** Encodes the values as a connection sends them. */
 function encodeValues(): Buffer {
   const encoder = new Encoder({ sequential: true, structures: [] });
   return Buffer.concat(VALUES.map((value) => Buffer.from(encoder.encode(value))));
 }
 
-describe("value reader", () => {
-  it("gives the same values wherever the bytes are cut", () => {
+describe("CBOR reader", () => {
+  it("returns the same values wherever the bytes are split", () => {
     const bytes = encodeValues();
     for (let cut = 0; cut <= bytes.length; cut += 1) {
       const reader = new CborReader();
@@ -30,13 +30,13 @@
     }
   });
 
-  it("puts a value together from single bytes", () => {
+  it("assembles a value from single bytes", () => {
     const reader = new CborReader();
     const values = [...encodeValues()].flatMap((byte) => reader.push(Buffer.from([byte])));
     expect(values).toEqual(VALUES);
   });
 
-  it("throws at bytes that are no value", () => {
+  it("throws for bytes that are not a value", () => {
     expect(() => new CborReader().push(Buffer.from([0xff, 0xff, 0x1c]))).toThrow();
   });
 });
--- a/test/contract/connect-timeouts.test.ts
+++ b/test/contract/connect-timeouts.test.ts
@@ -1,10 +1,10 @@
-/** How long attempts to connect wait for an answer. */
+/** Tests of the time-outs of connection attempts. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { ConnectTimeouts } from "../../src/runtime/connect-timeouts.ts";
 
-describe("attempts to connect", () => {
-  it("end soon at first, and wait longer for an address that has not answered", () => {
+describe("connect time-outs", () => {
+  it("are short at first, and grow for an address that has not responded", () => {
     const connectTimeouts = new ConnectTimeouts();
     const limits = Array.from({ length: 6 }, () => {
       const limitMs = connectTimeouts.timeoutMs("10.0.0.1:80");
@@ -15,7 +15,7 @@
     expect(connectTimeouts.timeoutMs("10.0.0.2:80")).toEqual(200);
   });
 
-  it("end soon again once the address has answered", () => {
+  it("are short again once the address has responded", () => {
     const connectTimeouts = new ConnectTimeouts();
     for (let count = 0; count < 20; count += 1) connectTimeouts.recordTimeout("10.0.0.1:80");
     connectTimeouts.recordResponse("10.0.0.1:80");
--- a/test/contract/system-clock.test.ts
+++ b/test/contract/system-clock.test.ts
@@ -1,4 +1,4 @@
-/** Timers of a process that is held up, beside what others have sent it meanwhile. */
+/** Tests of timers that fire late because the event loop was blocked, while messages have arrived. */
 
 import { once } from "node:events";
 import { connect, createServer, type Server, type Socket } from "node:net";
@@ -11,13 +11,13 @@
 const TIMEOUT_MS = 20;
 const BLOCKED_MS = 80;
 
-/** Keeps this process from doing anything else. */
+/** Blocks the event loop of this process. */
 function blockEventLoop(ms: number): void {
   const untilMs = performance.now() + ms;
   while (performance.now() < untilMs);
 }
 
-describe("a process that is held up", () => {
+describe("a process whose event loop was blocked", () => {
   const clock = new SystemClock();
   let server: Server;
   let clientSocket: Socket;
@@ -36,8 +36,8 @@
     server.close();
   });
 
-  // Guards against dispatchers that are taken for silent by a gateway that had no time to read their answers.
-  it("takes in an answer that has arrived before it counts it as missed", async () => {
+  // Guards against a gateway that takes dispatchers for unresponsive because it had no time to read their responses.
+  it("reads a response that has arrived before it counts the request as timed out", async () => {
     const sent: unknown[] = [];
     const asking = new RpcEndpoint({ send: (_, message) => void sent.push(message) }, clock, systemRandom());
     clientSocket.on("data", () => {
@@ -50,7 +50,7 @@
     expect((await reply).type).toEqual("redirect");
   });
 
-  it("forgets a timer that is cancelled by what has arrived", async () => {
+  it("does not run a timer that is cancelled by a message that has arrived", async () => {
     let fired = false;
     const timer = clock.schedule(TIMEOUT_MS, () => {
       fired = true;
@@ -62,7 +62,7 @@
     expect(fired).toEqual(false);
   });
 
-  it("still misses an answer that has not arrived", async () => {
+  it("counts a request as timed out when its response has not arrived", async () => {
     const rpc = new RpcEndpoint({ send: () => undefined }, clock, systemRandom());
     const reply = rpc.ask("there", "anything" as never, {} as never, TIMEOUT_MS);
     blockEventLoop(BLOCKED_MS);
--- a/test/contract/tcp-transport.test.ts
+++ b/test/contract/tcp-transport.test.ts
@@ -1,4 +1,4 @@
-/** The transport between processes, through ends and new starts of the other side. */
+/** Tests of the transport between processes when the other side stops, restarts or does not respond. */
 import { spawn } from "node:child_process";
 import { once } from "node:events";
 import { createConnection, createServer, type Socket } from "node:net";
@@ -18,20 +18,20 @@
   return transport;
 }
 
-/** Resolves with the next message. */
+/** Resolves with the text of the next message that arrives. */
 function nextMessage(transport: TcpTransport<Note>): Promise<string> {
   return new Promise((resolve) => {
     transport.onMessage(({ text }) => resolve(text));
   });
 }
 
-describe("tcp transport", () => {
+describe("TCP transport", () => {
   afterEach(async () => {
     await Promise.all(openTransports.splice(0).map((transport) => transport.close()));
   });
 
-  it("reaches a process that started anew at an address whose earlier process fell silent", async () => {
-    // The earlier process takes connections and never reads or answers, as one without power does.
+  it("reaches a process that was started at the address of an earlier, unresponsive process", async () => {
+    // The earlier process accepts connections but never reads or responds, like a machine that lost power.
     const silentSockets: Socket[] = [];
     const silentServer = createServer((socket) => {
       socket.pause();
@@ -42,28 +42,28 @@
     const address = `127.0.0.1:${typeof bound === "object" && bound ? bound.port : 0}`;
     const one = await listen("one#1");
     const received = nextMessage(one);
-    one.send(address, { text: "into the void" });
+    one.send(address, { text: "to the unresponsive process" });
     await new Promise((resolve) => setTimeout(resolve, 50));
     await new Promise<void>((resolve) => {
       silentServer.close(() => resolve());
       for (const socket of silentSockets) socket.destroy();
     });
     const two = await listen("two#2", address);
-    two.send(one.self.address, { text: "here again" });
-    expect(await received).toEqual("here again");
+    two.send(one.self.address, { text: "from the restarted process" });
+    expect(await received).toEqual("from the restarted process");
     const answer = nextMessage(two);
-    one.send(address, { text: "welcome" });
-    expect(await answer).toEqual("welcome");
+    one.send(address, { text: "to the restarted process" });
+    expect(await answer).toEqual("to the restarted process");
   });
 
-  it("uses the connection of the newer process when one to the earlier still stands", async () => {
+  it("uses the connection of the newer process while one to the earlier process is still open", async () => {
     const one = await listen("one#1");
     const earlier = await listen("two#1");
     const address = earlier.self.address;
     const first = nextMessage(one);
     earlier.send(one.self.address, { text: "first" });
     expect(await first).toEqual("first");
-    // The earlier process goes without a word: its connection to the first one stays open.
+    // The earlier process stops without closing its connection, so that the connection stays open at the first one.
     const restarted = await TcpTransport.listen<Note>({ instance: "two#2", address: "127.0.0.1:0" });
     openTransports.push(restarted);
     Object.defineProperty(restarted.self, "address", { value: address });
@@ -75,7 +75,7 @@
     expect(await answer).toEqual("to the newer");
   });
 
-  it("says whether nobody listened, or a connection has ended", async () => {
+  it("reports whether a connection was refused or has ended", async () => {
     const one = await listen("one#1");
     const reasons: string[] = [];
     const disconnected = () =>
@@ -94,13 +94,13 @@
     await two.close();
     await first;
     const second = disconnected();
-    one.send(address, { text: "still there?" });
+    one.send(address, { text: "after the end" });
     await second;
     expect(reasons).toEqual(["ended", "refused"]);
   });
 
-  it("says soon that nobody has answered an attempt to connect", async () => {
-    // A process that stands still with a full queue of connections answers no more of them.
+  it("reports soon that a connection attempt timed out", async () => {
+    // A stopped process with a full backlog responds to no more connection attempts.
     const script =
       'const s = require("node:net").createServer(); s.listen({ port: 0, host: "127.0.0.1", backlog: 1 }, () => console.log(s.address().port))';
     const child = spawn(process.execPath, ["-e", script], { stdio: ["ignore", "pipe", "inherit"] });
@@ -113,7 +113,7 @@
     const one = await listen("one#1");
     const startedMs = performance.now();
     const reason = new Promise<string>((resolve) => one.onDisconnected((_, cause) => resolve(cause)));
-    one.send(`127.0.0.1:${port}`, { text: "is anybody there?" });
+    one.send(`127.0.0.1:${port}`, { text: "to the stopped process" });
     expect(await reason).toEqual("unanswered");
     const elapsedMs = performance.now() - startedMs;
     expect(elapsedMs >= 190 && elapsedMs < 800).toEqual(true);
@@ -121,7 +121,7 @@
     child.kill("SIGKILL");
   });
 
-  it("sends what may wait with the next message, or after its time", async () => {
+  it("sends a deferred message with the next message, or after its delay", async () => {
     const one = await listen("one#1");
     const two = await listen("two#1");
     const received: string[] = [];
@@ -140,7 +140,7 @@
     expect(one.counters.batchesSent).toEqual(2);
   });
 
-  it("drops what waits for a process that has gone", async () => {
+  it("drops deferred messages for a process that has stopped", async () => {
     const one = await listen("one#1");
     const two = await listen("two#1");
     const received = nextMessage(two);
