--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -96,7 +96,7 @@
   decide(head: CallerHead): HeadVerdict {
     const routes = this.#routes();
     if (!routes) return { type: "refuse", problem: STARTING };
-    const call = this.#parts.context.platform.calls.describeCall(head.headers);
+    const call = this.#parts.context.platform.calls.parseCall(head.headers);
     if (!call) return { type: "refuse", problem: NO_IDENTIFIER };
     const route = routes.find(head.host, head.path);
     const pool = route && this.#poolOf(route, routes, call);
--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -147,7 +147,7 @@
   }
 
   onHead(head: HttpAnswerHead): boolean {
-    const answer = this.#parts.context.platform.calls.describeAnswer(head.status, head.headers);
+    const answer = this.#parts.context.platform.calls.parseAnswer(head.status, head.headers);
     if (answer.requestId !== this.#request.call.requestId) {
       this.#fail({ type: "broken", detail: `an answer to ${answer.requestId} came` });
       return false;
--- a/src/gateway/configuration/table-follower.ts
+++ b/src/gateway/configuration/table-follower.ts
@@ -2,7 +2,7 @@
  * Follows one table of the store: reads the whole table, then waits for changes, and reads the table again when the history
  * of changes is gone. The listener never receives an older state: a read that returns one is repeated.
  */
-import type { RowChange, StoredRow, StoreRefusal, StoreSilence } from "../../ports/store/row-store.ts";
+import type { RowChange, StoredRow, StoreRefusal, UnknownStoreOutcome } from "../../ports/store/row-store.ts";
 import { delay } from "../../runtime/clock.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { StoreHealth } from "../store-health.ts";
@@ -136,7 +136,7 @@
 
   #noteFailed(
     call: FailedTableCall["call"],
-    { detail }: StoreRefusal | StoreSilence,
+    { detail }: StoreRefusal | UnknownStoreOutcome,
     askedAtMs: number,
   ): void {
     const lastedMs = Math.round(this.#context.clock.monotonicMs() - askedAtMs);
--- a/src/gateway/ingress/entry-server.ts
+++ b/src/gateway/ingress/entry-server.ts
@@ -47,7 +47,7 @@
       response.writeHead(this.#isReady() ? OK : UNAVAILABLE).end();
       return;
     }
-    const query = entry.describeQuery(method, url);
+    const query = entry.parseDirectoryQuery(method, url);
     if (!query) {
       response.writeHead(NOT_FOUND).end();
       return;
--- a/src/ports/call-protocol.ts
+++ b/src/ports/call-protocol.ts
@@ -67,10 +67,10 @@
 /** The names that callers and runners use on the wire. */
 export interface CallProtocol {
   /** Undefined when the request has no usable identifier. */
-  describeCall(headers: IncomingHttpHeaders): CallContext | undefined;
+  parseCall(headers: IncomingHttpHeaders): CallContext | undefined;
   /** The caller's headers as they go on to a runner: those of one connection left out, ours set. */
   headersForRunner(headers: RawHeaders, context: RunnerRequestContext): string[];
-  describeAnswer(status: number, headers: IncomingHttpHeaders): RunnerAnswerContext;
+  parseAnswer(status: number, headers: IncomingHttpHeaders): RunnerAnswerContext;
   /** The runner's headers as they go back to the caller. */
   headersForCaller(headers: RawHeaders): string[];
 }
@@ -85,7 +85,7 @@
 export interface EntryProtocol {
   isReadinessCheck(method: string, url: string): boolean;
   /** Undefined when the request is no question for the directory. */
-  describeQuery(method: string, url: string): DirectoryQuery | undefined;
+  parseDirectoryQuery(method: string, url: string): DirectoryQuery | undefined;
   /** The directory's answer, as JSON text. */
   directoryAnswer(addresses: readonly string[], ttlSeconds: number): string;
 }
--- a/src/ports/engine/http-engine-client.ts
+++ b/src/ports/engine/http-engine-client.ts
@@ -1,6 +1,6 @@
 import { createParser } from "eventsource-parser";
 import { platformError } from "../../errors/tulipwheel-error.ts";
-import { type HttpJsonClient, type HttpPools, neverConnected } from "../http-json.ts";
+import { type HttpJsonClient, type HttpPools, isConnectFailure } from "../http-json.ts";
 import type {
   CacheEvent,
   Cancellation,
@@ -15,7 +15,7 @@
 } from "./engine-client.ts";
 
 /** Silence of a stream after which it counts as broken, in ms. */
-const STREAM_SILENCE_MS = 15_000;
+const STREAM_IDLE_TIMEOUT_MS = 15_000;
 const OK = 200;
 const CONFLICT = 409;
 
@@ -55,15 +55,15 @@
         path: "/v1/completions",
         headers: { "content-type": "application/json" },
         body: JSON.stringify(request),
-        headersTimeout: STREAM_SILENCE_MS,
-        bodyTimeout: STREAM_SILENCE_MS,
+        headersTimeout: STREAM_IDLE_TIMEOUT_MS,
+        bodyTimeout: STREAM_IDLE_TIMEOUT_MS,
         signal: abort.signal,
       });
       if (response.statusCode !== OK) return refusalOf(response.statusCode, await response.body.text());
       return await readStream(response.body, onChunk);
     } catch (error) {
       if (cancellation.cancelled) return { type: "cancelled" };
-      if (neverConnected(error)) return { type: "refused", reason: "unreachable" };
+      if (isConnectFailure(error)) return { type: "refused", reason: "unreachable" };
       return { type: "broken", detail: `The engine at ${address} broke off (${(error as Error).message}).` };
     }
   }
@@ -107,12 +107,12 @@
 }
 
 function refusalOf(status: number, text: string): GenerateResult {
-  const reason = reasonIn(text);
+  const reason = parseRefusalReason(text);
   if (reason) return { type: "refused", reason };
   return { type: "broken", detail: `The engine answered ${status}.` };
 }
 
-function reasonIn(text: string): EngineRefusal | undefined {
+function parseRefusalReason(text: string): EngineRefusal | undefined {
   try {
     const { error } = JSON.parse(text) as { error: string };
     return REFUSAL_REASONS.has(error) ? (error as "full") : undefined;
--- a/src/ports/http-json.ts
+++ b/src/ports/http-json.ts
@@ -26,11 +26,16 @@
 }
 
 /** Codes of errors that are raised before a connection exists, so that no byte can have left. */
-const NOT_CONNECTED = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
+const CONNECT_ERROR_CODES = new Set([
+  "ECONNREFUSED",
+  "EHOSTUNREACH",
+  "ENETUNREACH",
+  "UND_ERR_CONNECT_TIMEOUT",
+]);
 
 /** Whether a request failed before any connection came about. */
-export function neverConnected(error: unknown): boolean {
-  return NOT_CONNECTED.has((error as { code?: string }).code ?? "");
+export function isConnectFailure(error: unknown): boolean {
+  return CONNECT_ERROR_CODES.has((error as { code?: string }).code ?? "");
 }
 
 /** Connection pools to other machines, one per address. */
--- a/src/ports/http/whole-answer.ts
+++ b/src/ports/http/buffered-request.ts
@@ -3,7 +3,7 @@
 import { type HttpRequest, sendRequest } from "./http-exchange.ts";
 
 /** How a request that wants a whole answer ended. */
-export type WholeAnswer =
+export type BufferedRequestResult =
   | { readonly type: "answer"; readonly status: number; readonly body: Buffer }
   /** Nothing was sent. */
   | { readonly type: "notSent"; readonly detail: string }
@@ -11,16 +11,16 @@
   | { readonly type: "noAnswer"; readonly detail: string };
 
 /** Sends a request and reads the whole answer, for at most `timeoutMs`. */
-export function requestWhole(
+export function sendBufferedRequest(
   pool: Pool,
   clock: Clock,
   request: HttpRequest,
   timeoutMs: number,
-): Promise<WholeAnswer> {
+): Promise<BufferedRequestResult> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let status = 0;
-    const finish = (answer: WholeAnswer) => {
+    const finish = (answer: BufferedRequestResult) => {
       clock.cancel(timer);
       resolve(answer);
     };
--- a/src/ports/http/connection-pool.ts
+++ b/src/ports/http/connection-pool.ts
@@ -23,7 +23,7 @@
     pipelining: 1,
     headersTimeout: 0,
     bodyTimeout: 0,
-    connect: resetsAreErrors(openConnector({ timeout: connectTimeout })),
+    connect: reportResetsAsErrors(openConnector({ timeout: connectTimeout })),
   });
 }
 
@@ -31,7 +31,7 @@
  * An answer may have no length and end with its connection. undici takes a reset for such an end, by the error's code;
  * under another code it takes it for the error that it is.
  */
-function resetsAreErrors(connect: buildConnector.connector): buildConnector.connector {
+function reportResetsAsErrors(connect: buildConnector.connector): buildConnector.connector {
   return (options, callback) => {
     connect(options, (...result) => {
       const [, socket] = result;
--- a/src/ports/service/http-service-client.ts
+++ b/src/ports/service/http-service-client.ts
@@ -1,5 +1,5 @@
 import type { ServiceRequest } from "../../scheduling/program/records.ts";
-import { type HttpPools, neverConnected } from "../http-json.ts";
+import { type HttpPools, isConnectFailure } from "../http-json.ts";
 import type { ServiceClient, ServiceResult } from "./service-client.ts";
 
 /** Calls services over HTTP. Each request goes out once, over a connection that is not shared with another. */
@@ -52,5 +52,5 @@
 function resultOfError(error: unknown): ServiceResult {
   const { code, message } = error as { code?: string; message: string };
   const detail = `no answer came (${code ?? message})`;
-  return neverConnected(error) ? { type: "not-sent", detail } : { type: "unknown", detail };
+  return isConnectFailure(error) ? { type: "not-sent", detail } : { type: "unknown", detail };
 }
--- a/src/ports/store/row-store.ts
+++ b/src/ports/store/row-store.ts
@@ -38,7 +38,7 @@
 }
 
 /** No answer: a write may have been done, or may still be done as long as its conditions hold. */
-export interface StoreSilence {
+export interface UnknownStoreOutcome {
   readonly type: "unknown";
   readonly detail: string;
 }
@@ -49,7 +49,7 @@
   /** A condition did not hold; `rows` are the rows of the conditions that exist. */
   | { readonly type: "conflict"; readonly version: number; readonly rows: readonly StoredRow[] }
   | StoreRefusal
-  | StoreSilence;
+  | UnknownStoreOutcome;
 
 /** Rows of one table and part, with keys from `from` on, up to but without `until`. */
 export interface RowRange {
@@ -69,7 +69,7 @@
       readonly version: number;
     }
   | StoreRefusal
-  | StoreSilence;
+  | UnknownStoreOutcome;
 
 /** How a wait for changes ended. */
 export type WatchOutcome =
@@ -77,7 +77,7 @@
   /** The store no longer knows what changed since; the table has to be read anew. */
   | { readonly type: "historyGone" }
   | StoreRefusal
-  | StoreSilence;
+  | UnknownStoreOutcome;
 
 /** The platform's transactional store of rows. No method throws. */
 export interface RowStore {
--- a/test/contract/service-client.test.ts
+++ b/test/contract/service-client.test.ts
@@ -7,7 +7,7 @@
 import type { ServiceResult } from "../../src/ports/service/service-client.ts";
 import type { ServiceRequest } from "../../src/scheduling/program/records.ts";
 
-const HEAD = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n";
+const ANSWER_HEAD = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n";
 
 let server: Server | undefined;
 const pools = new HttpPools();
@@ -35,10 +35,10 @@
   afterEach(() => server?.close());
 
   const CASES: [string, string, "end" | "reset", string][] = [
-    ["an answer with its length", `${HEAD}Content-Length: 4\r\n\r\ndone`, "end", "answered"],
-    ["one without, ended by its connection", `${HEAD}\r\ndone`, "end", "answered"],
-    ["one without whose connection is reset", `${HEAD}\r\ndo`, "reset", "unknown"],
-    ["one that is shorter than its length", `${HEAD}Content-Length: 4\r\n\r\ndo`, "end", "unknown"],
+    ["an answer with its length", `${ANSWER_HEAD}Content-Length: 4\r\n\r\ndone`, "end", "answered"],
+    ["one without, ended by its connection", `${ANSWER_HEAD}\r\ndone`, "end", "answered"],
+    ["one without whose connection is reset", `${ANSWER_HEAD}\r\ndo`, "reset", "unknown"],
+    ["one that is shorter than its length", `${ANSWER_HEAD}Content-Length: 4\r\n\r\ndo`, "end", "unknown"],
   ];
   for (const [name, answer, end, type] of CASES) {
     it(`takes ${name} for ${type}`, async () => {
