--- a/src/coordination/shard-group/following.ts
+++ b/src/coordination/shard-group/follower-replication.ts
@@ -2,22 +2,22 @@
 import type { AppendRequest, SnapshotRequest } from "./messages.ts";
 import type { ReplicaState } from "./replica-state.ts";
 
-/** The follower's side of replication: takes in what a leader sends, and answers how far its journal agrees. */
-export class Following<Command> {
+/** The follower's side of replication: stores what the leader sends and reports up to which index the logs match. */
+export class FollowerReplication<Command> {
   readonly #state: ReplicaState<Command>;
 
   constructor(state: ReplicaState<Command>) {
     this.#state = state;
   }
 
-  /** The leader sends entries, or a sign of life. */
+  /** Handles entries or a heartbeat from a leader. */
   onAppendRequest(request: AppendRequest<Command>, nowMs: number): void {
     if (request.term < this.#state.term) return this.#answerAppend(request.leader, false, 0);
     this.#followLeader(request.leader, nowMs);
-    const heldTerm = this.#state.log.termAt(request.previousIndex);
-    const behindTruncation = request.previousIndex < this.#state.log.truncatedIndex;
-    if (!behindTruncation && heldTerm !== request.previousTerm) {
-      return this.#answerAppend(request.leader, false, this.#matchHint(request.previousIndex));
+    const localTerm = this.#state.log.termAt(request.previousIndex);
+    const precedesTruncation = request.previousIndex < this.#state.log.truncatedIndex;
+    if (!precedesTruncation && localTerm !== request.previousTerm) {
+      return this.#answerAppend(request.leader, false, this.#lastPossibleMatch(request.previousIndex));
     }
     if (this.#state.log.merge(request.entries)) this.#state.membership.refresh();
     else this.#state.membership.observe(request.entries);
@@ -26,14 +26,17 @@
     this.#answerAppend(request.leader, true, matchIndex);
   }
 
-  /** The last index that could match: never an uncommitted one that has just been found to differ. */
-  #matchHint(previousIndex: number): number {
+  /**
+   * Returns the last index at which the logs may match. It excludes an uncommitted entry that was just found to
+   * differ.
+   */
+  #lastPossibleMatch(previousIndex: number): number {
     if (previousIndex > this.#state.log.lastIndex) return this.#state.log.lastIndex;
     return Math.max(this.#state.commitIndex, previousIndex - 1 - this.#state.options.maxEntriesPerAppend, 0);
   }
 
   #followLeader(leader: Member, nowMs: number): void {
-    this.#state.lastLeaderContactMs = nowMs;
+    this.#state.lastLeaderMessageMs = nowMs;
     if (this.#state.role !== "follower" || this.#state.leader?.instance !== leader.instance) {
       this.#state.becomeFollower(this.#state.term, leader, nowMs);
     }
@@ -50,12 +53,15 @@
     });
   }
 
-  /** The leader sends a whole state, because this replica is too far behind its journal. */
+  /**
+   * Handles a snapshot, which the leader sends when this replica lacks entries that were truncated from the leader's
+   * log.
+   */
   onSnapshotRequest(request: SnapshotRequest, nowMs: number): void {
     if (request.term < this.#state.term) return this.#answerAppend(request.leader, false, 0);
     this.#followLeader(request.leader, nowMs);
     if (this.#state.log.termAt(request.lastIndex) === request.lastTerm) {
-      // A late duplicate: entries after it may already be acknowledged, so nothing may be dropped.
+      // A late duplicate of a snapshot. Entries after it may already be acknowledged, so nothing may be dropped.
       this.#state.commitTo(request.lastIndex);
     } else if (request.lastIndex > this.#state.commitIndex) {
       this.#state.log.reset(request.lastIndex, request.lastTerm);
--- a/src/coordination/shard-group/leadership.ts
+++ b/src/coordination/shard-group/leadership.ts
@@ -5,10 +5,10 @@
 import type { ProposedAt } from "./proposed-at.ts";
 import type { ReplicaState } from "./replica-state.ts";
 
-/** Election time-outs for which a removed replica is still told of its removal. */
-const REMOVED_PATIENCE = 5;
+/** Number of election time-outs without a response after which the leader stops notifying a removed replica. */
+const REMOVED_REPLICA_GRACE_ELECTION_TIMEOUTS = 5;
 
-/** The leader's side of replication: sends entries and heartbeats, and commits what a majority holds. */
+/** The leader's side of replication: sends entries and heartbeats, and commits entries that a majority has stored. */
 export class Leadership<Command> {
   readonly #state: ReplicaState<Command>;
   #nextHeartbeatMs = 0;
@@ -19,26 +19,32 @@
   }
 
   /**
-   * Whether this replica leads and has committed an entry of its own term: only then does its applied state
-   * hold everything that earlier leaders committed.
+   * Whether this replica leads and has committed an entry of its own term. Only then does its applied state
+   * include everything that earlier leaders committed.
    */
   get isReady(): boolean {
     return this.#state.role === "leader" && this.#state.commitIndex >= this.#termStartIndex;
   }
 
-  /** Whether a change of membership may be proposed now. */
+  /** Whether a membership change may be proposed now. */
   get canChangeMembership(): boolean {
     return this.isReady && this.#state.membership.currentIndex <= this.#state.commitIndex;
   }
 
-  /** How far behind the journal's end a replica is, in entries; undefined when not leading or not a replica. */
-  lagOf(instance: string): number | undefined {
+  /**
+   * Returns how many entries a replica is behind the end of the log; undefined when this is not the leader or it is
+   * no replica.
+   */
+  lagInEntries(instance: string): number | undefined {
     const progress = this.#state.followers.get(instance);
     return progress && this.#state.log.lastIndex - progress.matchIndex;
   }
 
-  /** Milliseconds since a replica last answered this leader; undefined when not leading or not a replica. */
-  silenceOf(instance: string, nowMs: number): number | undefined {
+  /**
+   * Returns the time since a replica last responded to this leader; undefined when this is not the leader or it is no
+   * replica.
+   */
+  timeSinceResponseMs(instance: string, nowMs: number): number | undefined {
     const progress = this.#state.followers.get(instance);
     return progress && nowMs - progress.lastResponseMs;
   }
@@ -50,7 +56,10 @@
     this.#advanceCommit(nowMs);
   }
 
-  /** Asks the follower that is furthest ahead to take over. It is asked only when it holds the whole journal. */
+  /**
+   * Asks a voter that has the whole log to take over: the `preferred` one if possible. Returns it, or undefined if
+   * there is none.
+   */
   transfer(preferred?: string): Member | undefined {
     if (this.#state.role !== "leader") return undefined;
     const caughtUp = [...this.#state.followers.values()].filter(
@@ -64,7 +73,9 @@
     return target.member;
   }
 
-  /** Answers a `snapshotNeeded` effect. `lastIndex` is the last index that `state` includes. */
+  /**
+   * Sends the snapshot that a `snapshotNeeded` effect requested. `lastIndex` is the last index included in `state`.
+   */
   provideSnapshot(to: Member, lastIndex: number, state: unknown): void {
     const lastTerm = this.#state.log.termAt(lastIndex);
     if (this.#state.role !== "leader" || lastTerm === undefined) return;
@@ -80,64 +91,67 @@
     });
   }
 
-  /** This replica has been elected. */
-  begin(nowMs: number): void {
+  /** Starts the leadership of this replica after it has won an election. */
+  becomeLeader(nowMs: number): void {
     this.#state.followers.clear();
     this.#state.setRole("leader", this.#state.self);
     this.syncFollowers(nowMs);
     this.#termStartIndex = this.append({ type: "leaderStart" }).index;
-    this.#nextHeartbeatMs = this.#heartbeatAfter(nowMs);
+    this.#nextHeartbeatMs = this.#nextHeartbeatTime(nowMs);
     this.flush(nowMs);
   }
 
-  /** Sends heartbeats when they are due; steps down without a majority. */
+  /** Sends heartbeats when they are due. Steps down when the majority is lost. */
   tick(nowMs: number): void {
     if (!this.hasMajority(nowMs)) return this.#state.becomeFollower(this.#state.term, undefined, nowMs);
     if (nowMs < this.#nextHeartbeatMs) return;
-    this.#nextHeartbeatMs = this.#heartbeatAfter(nowMs);
-    this.#forgetRemoved(nowMs);
+    this.#nextHeartbeatMs = this.#nextHeartbeatTime(nowMs);
+    this.#dropRemovedFollowers(nowMs);
     for (const progress of this.#state.followers.values()) {
       if (!this.#sendEntries(progress, nowMs)) this.#sendAppend(progress, nowMs, 0);
     }
   }
 
-  /** See `ShardGroup.hasMajority`. */
+  /** Whether this replica leads and a majority has responded to it within the election time-out. */
   hasMajority(nowMs: number): boolean {
     if (this.#state.role !== "leader") return false;
     const self = this.#state.self.instance;
-    const heard = this.#state.membership.current.voters.filter((voter) => {
+    const responsive = this.#state.membership.current.voters.filter((voter) => {
       if (voter.instance === self) return true;
-      const silence = this.silenceOf(voter.instance, nowMs);
-      return silence !== undefined && silence < this.#state.options.electionTimeoutMs;
+      const silenceMs = this.timeSinceResponseMs(voter.instance, nowMs);
+      return silenceMs !== undefined && silenceMs < this.#state.options.electionTimeoutMs;
     });
-    return heard.length >= majoritySize(this.#state.membership.current);
+    return responsive.length >= majoritySize(this.#state.membership.current);
   }
 
-  /** Adds an entry to the journal; nothing is sent before {@link flush}. */
+  /** Appends an entry to the log. It is sent by the next {@link flush}. */
   append(payload: EntryPayload<Command>): ProposedAt {
     const entry = this.#state.log.append(this.#state.term, payload);
     this.#state.membership.observe([entry]);
     return { index: entry.index, term: entry.term };
   }
 
-  /** A replica that was removed is told so before it is forgotten, unless it stays silent. */
-  #forgetRemoved(nowMs: number): void {
+  /**
+   * Drops removed replicas that have received the entry of their removal, or that have not responded for too long.
+   */
+  #dropRemovedFollowers(nowMs: number): void {
     const members = allMembers(this.#state.membership.current);
     for (const [instance, progress] of this.#state.followers) {
       if (members.some((member) => member.instance === instance)) continue;
-      const told = progress.matchIndex >= this.#state.membership.currentIndex;
-      const silent =
-        nowMs - progress.lastResponseMs > REMOVED_PATIENCE * this.#state.options.electionTimeoutMs;
-      if (told || silent) this.#state.followers.delete(instance);
+      const notified = progress.matchIndex >= this.#state.membership.currentIndex;
+      const timedOut =
+        nowMs - progress.lastResponseMs >
+        REMOVED_REPLICA_GRACE_ELECTION_TIMEOUTS * this.#state.options.electionTimeoutMs;
+      if (notified || timedOut) this.#state.followers.delete(instance);
     }
   }
 
-  /** Begins to follow the progress of replicas that are new. */
+  /** Starts to track the progress of new replicas. */
   syncFollowers(nowMs: number): void {
-    const wanted = allMembers(this.#state.membership.current).filter(
+    const otherMembers = allMembers(this.#state.membership.current).filter(
       (member) => member.instance !== this.#state.self.instance,
     );
-    for (const member of wanted) {
+    for (const member of otherMembers) {
       if (this.#state.followers.has(member.instance)) continue;
       this.#state.followers.set(
         member.instance,
@@ -146,7 +160,10 @@
     }
   }
 
-  /** Sends what the follower lacks, within the bound on entries in flight. Returns whether anything was sent. */
+  /**
+   * Sends the entries that the follower lacks, up to the limit on entries in flight. Returns whether anything was
+   * sent.
+   */
   #sendEntries(progress: FollowerProgress, nowMs: number): boolean {
     let sent = false;
     const limit = progress.matchIndex + this.#state.options.maxEntriesInFlight;
@@ -185,7 +202,7 @@
     this.#state.emit({ type: "snapshotNeeded", to: progress.member });
   }
 
-  /** A follower has answered. */
+  /** Handles a follower's response to entries, a heartbeat or a snapshot. */
   onAppendResponse(response: AppendResponse, nowMs: number): void {
     const progress = this.#state.followers.get(response.follower);
     if (this.#state.role !== "leader" || response.term !== this.#state.term || !progress) return;
@@ -196,16 +213,18 @@
     if (this.#state.role === "leader") this.#sendEntries(progress, nowMs);
   }
 
-  /** Commits what a majority of the voters holds. Only entries of this term are counted (Raft, section 5.4.2). */
+  /**
+   * Commits what a majority of the voters has stored. Only entries of this term are counted (Raft, section 5.4.2).
+   */
   #advanceCommit(nowMs: number): void {
     if (this.#state.role !== "leader") return;
-    const held = this.#state.membership.current.voters.map((voter) =>
+    const matchIndexes = this.#state.membership.current.voters.map((voter) =>
       voter.instance === this.#state.self.instance
         ? this.#state.log.lastIndex
         : (this.#state.followers.get(voter.instance)?.matchIndex ?? 0),
     );
-    held.sort((left, right) => right - left);
-    const candidate = held[majoritySize(this.#state.membership.current) - 1] ?? 0;
+    matchIndexes.sort((left, right) => right - left);
+    const candidate = matchIndexes[majoritySize(this.#state.membership.current) - 1] ?? 0;
     if (candidate <= this.#state.commitIndex || this.#state.log.termAt(candidate) !== this.#state.term)
       return;
     this.#state.commitTo(candidate);
@@ -219,8 +238,8 @@
     }
   }
 
-  /** All groups on a clock send their heartbeats at the same moments, so that a driver can gather them. */
-  #heartbeatAfter(nowMs: number): number {
+  /** All groups that share a clock send their heartbeats at the same times, so that the driver can batch them. */
+  #nextHeartbeatTime(nowMs: number): number {
     const { heartbeatIntervalMs } = this.#state.options;
     return (Math.floor(nowMs / heartbeatIntervalMs) + 1) * heartbeatIntervalMs;
   }
--- a/src/gateway/ingress/directory-server.ts
+++ b/src/gateway/ingress/directory-server.ts
@@ -46,7 +46,7 @@
       response.writeHead(this.#isReady() ? OK : UNAVAILABLE).end();
       return;
     }
-    const query = entry.describeQuery(method, url);
+    const query = entry.parseDirectoryQuery(method, url);
     if (!query) {
       response.writeHead(NOT_FOUND).end();
       return;
--- a/src/ports/service/http-service-client.ts
+++ b/src/ports/service/http-service-client.ts
@@ -1,8 +1,11 @@
 import type { ServiceRequest } from "../../scheduling/program/records.ts";
-import { type HttpPools, neverConnected } from "../http-json.ts";
+import { type HttpPools, isConnectFailure } from "../http-json.ts";
 import type { ServiceClient, ServiceResult } from "./service-client.ts";
 
-/** Calls services over HTTP. Each request goes out once, over a connection that is not shared with another. */
+/**
+ * Calls services over HTTP. Each request is sent once, over a connection that carries no other request at the same
+ * time.
+ */
 export class HttpServiceClient implements ServiceClient {
   readonly #pools: HttpPools;
 
@@ -52,5 +55,5 @@
 function resultOfError(error: unknown): ServiceResult {
   const { code, message } = error as { code?: string; message: string };
   const detail = `no answer came (${code ?? message})`;
-  return neverConnected(error) ? { type: "not-sent", detail } : { type: "unknown", detail };
+  return isConnectFailure(error) ? { type: "not-sent", detail } : { type: "unknown", detail };
 }
--- a/src/runtime/shard-router.ts
+++ b/src/runtime/shard-router.ts
@@ -4,12 +4,12 @@
 import type { RandomSource } from "./random-source.ts";
 import type { RpcEndpoint } from "./rpc.ts";
 
-/** How long one process is given to answer, in ms, before another is asked. */
-const TRY_TIMEOUT_MS = 1_000;
+/** Time-out of one attempt, after which the request is sent to another process. */
+const ATTEMPT_TIMEOUT_MS = 1_000;
 const RETRY_DELAY_MS = 50;
 const RETRY_AFTER_MS = 1_000;
 
-/** Finds the leaders of shards by asking, and remembers them. */
+/** Sends requests to the leaders of shards. Finds the leaders by trial and redirects, and caches them. */
 export class ShardRouter {
   readonly #rpc: RpcEndpoint;
   readonly #clock: Clock;
@@ -17,7 +17,7 @@
   readonly #knownNodes: () => readonly string[];
   readonly #leaders = new Map<number, string>();
 
-  /** @param knownNodes addresses to start from */
+  /** @param knownNodes returns the addresses to try when a leader is unknown */
   constructor(rpc: RpcEndpoint, clock: Clock, random: RandomSource, knownNodes: () => readonly string[]) {
     this.#rpc = rpc;
     this.#clock = clock;
@@ -25,21 +25,26 @@
     this.#knownNodes = knownNodes;
   }
 
-  /** The address to try for a shard: the remembered leader, or any node but `except`. */
-  candidate(shard: number, except?: string): string | undefined {
+  /**
+   * Returns the address to try for a shard: the cached leader, or else a random node, avoiding `except` if possible.
+   */
+  pickAddress(shard: number, except?: string): string | undefined {
     const leader = this.#leaders.get(shard);
     if (leader && leader !== except) return leader;
     const nodes = this.#knownNodes().filter((address) => address !== except);
     return nodes.length > 0 ? nodes[this.#random.below(nodes.length)] : this.#knownNodes()[0];
   }
 
-  /** Remembers, or forgets, a shard's leader. */
-  learn(shard: number, leader: string | undefined): void {
+  /** Caches the leader of a shard, or removes it from the cache. */
+  setLeader(shard: number, leader: string | undefined): void {
     if (leader) this.#leaders.set(shard, leader);
     else this.#leaders.delete(shard);
   }
 
-  /** Asks a shard's leader, wherever it is. Only for requests that may be repeated. Throws typed errors. */
+  /**
+   * Sends a request to a shard's leader, with retries until the time-out. Only for idempotent requests. Throws typed
+   * errors.
+   */
   async ask<Name extends RpcName>(
     shard: number,
     name: Name,
@@ -47,20 +52,20 @@
     timeoutMs: number,
   ): Promise<RpcSchema[Name]["response"]> {
     const deadlineMs = this.#clock.monotonicMs() + timeoutMs;
-    let last: string | undefined;
+    let failedAddress: string | undefined;
     let redirects = 0;
     while (this.#clock.monotonicMs() < deadlineMs) {
-      const address = this.candidate(shard, last);
+      const address = this.pickAddress(shard, failedAddress);
       if (!address) break;
-      const reply = await this.#rpc.ask(address, name, body, TRY_TIMEOUT_MS);
+      const reply = await this.#rpc.ask(address, name, body, ATTEMPT_TIMEOUT_MS);
       if (reply.type === "done") {
-        this.learn(shard, address);
+        this.setLeader(shard, address);
         return reply.body;
       }
       if (reply.type === "problem") throw reply.error;
-      this.learn(shard, reply.type === "redirect" ? reply.leader : undefined);
+      this.setLeader(shard, reply.type === "redirect" ? reply.leader : undefined);
       const redirected = reply.type === "redirect" && reply.leader !== undefined;
-      last = redirected ? undefined : address;
+      failedAddress = redirected ? undefined : address;
       if (redirected) redirects += 1;
       if (!redirected || redirects > 1) await delay(this.#clock, RETRY_DELAY_MS);
     }
--- a/src/runtime/tcp-transport.ts
+++ b/src/runtime/tcp-transport.ts
@@ -1,32 +1,38 @@
 /**
- * The internal protocol over TCP: one connection per pair of processes, carrying a stream of CBOR values
- * (cbor-x finds their ends). The first value names the sender, so that answers use the same connection.
+ * The internal protocol over TCP: one connection per pair of processes, which carries a stream of CBOR values
+ * (cbor-x detects where each value ends). The first value names the sender, so that responses use the same connection.
  */
 import { createConnection, createServer, type Server, type Socket } from "node:net";
 import { Encoder } from "cbor-x";
 import type { Message } from "../messages/message.ts";
-import { ConnectPatience } from "./connect-patience.ts";
+import { CborReader } from "./cbor-reader.ts";
+import { ConnectTimeouts } from "./connect-timeouts.ts";
+import { DeferredMessages } from "./deferred-messages.ts";
 import type { DisconnectReason } from "./disconnect-reason.ts";
-import { PatientMessages } from "./patient-messages.ts";
 import type { MessageHandler, Sender, Transport } from "./transport.ts";
-import { ValueReader } from "./value-reader.ts";
 
-/** Messages of one turn of the event loop to one address. Only the first batch of a connection names the sender. */
-interface Batch<Kind> {
+/**
+ * The messages sent to one address in one turn of the event loop. Only the first batch of a connection names the
+ * sender.
+ */
+interface Batch<AnyMessage> {
   readonly from?: Sender;
   readonly configurationVersion: number;
-  readonly messages: readonly Kind[];
+  readonly messages: readonly AnyMessage[];
 }
 
-/** One connection: its coder remembers the shapes of objects, so that only the first of a shape carries its keys. */
+/**
+ * One connection. Its encoder remembers the shapes of objects, so that only the first object of a shape includes its
+ * keys.
+ */
 interface Connection {
   readonly socket: Socket;
   readonly encoder: Encoder;
-  introduced: boolean;
+  senderSent: boolean;
   peer: Sender | undefined;
 }
 
-/** Counters of the traffic with one other process or all of them. */
+/** Counters of the traffic with all other processes. */
 export interface TransportCounters {
   batchesSent: number;
   messagesSent: number;
@@ -36,14 +42,14 @@
   connectionErrors: number;
 }
 
-/** Nobody answered an attempt to connect in time. */
-class UnansweredError extends Error {}
+/** A connection attempt timed out. */
+class ConnectTimeoutError extends Error {}
 
-/** Bytes that may wait for a slow peer before its connection is given up. */
+/** Maximum number of bytes buffered for a slow peer before its connection is closed. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
-/** See the module's comment. */
-export class TcpTransport<Kind = Message> implements Transport<Kind> {
+/** A {@link Transport} over TCP connections. */
+export class TcpTransport<AnyMessage = Message> implements Transport<AnyMessage> {
   configurationVersion = 0;
   readonly counters: TransportCounters = {
     batchesSent: 0,
@@ -57,13 +63,13 @@
   readonly #server: Server;
   readonly #connections = new Map<string, Connection>();
   readonly #sockets = new Set<Socket>();
-  readonly #outbox = new Map<string, Kind[]>();
-  /** Messages that wait for others to travel with. */
-  readonly #patient = new PatientMessages<Kind>((address, messages) => {
+  readonly #outbox = new Map<string, AnyMessage[]>();
+  /** Messages that wait to be sent together with others. */
+  readonly #deferredMessages = new DeferredMessages<AnyMessage>((address, messages) => {
     for (const message of messages) this.send(address, message);
   });
-  readonly #patience = new ConnectPatience();
-  #handler: MessageHandler<Kind> = () => undefined;
+  readonly #connectTimeouts = new ConnectTimeouts();
+  #handler: MessageHandler<AnyMessage> = () => undefined;
   #onDisconnected: (address: string, reason: DisconnectReason) => void = () => undefined;
   #flushScheduled = false;
   #closed = false;
@@ -71,11 +77,11 @@
   private constructor(self: Sender, server: Server) {
     this.#self = self;
     this.#server = server;
-    server.on("connection", (socket) => this.#adopt(socket));
+    server.on("connection", (socket) => this.#setUpConnection(socket));
   }
 
-  /** Listens at `self.address`; port 0 takes a free one. */
-  static async listen<Kind = Message>(self: Sender): Promise<TcpTransport<Kind>> {
+  /** Listens at `self.address`. For port 0, a free port is assigned. */
+  static async listen<AnyMessage = Message>(self: Sender): Promise<TcpTransport<AnyMessage>> {
     const { host, port } = parseAddress(self.address);
     const server = createServer({ noDelay: true });
     await new Promise<void>((resolve, reject) => {
@@ -84,43 +90,43 @@
     });
     const bound = server.address();
     const boundPort = typeof bound === "object" && bound ? bound.port : port;
-    return new TcpTransport<Kind>({ instance: self.instance, address: `${host}:${boundPort}` }, server);
+    return new TcpTransport<AnyMessage>({ instance: self.instance, address: `${host}:${boundPort}` }, server);
   }
 
   get self(): Sender {
     return this.#self;
   }
 
-  onMessage(handler: MessageHandler<Kind>): void {
+  onMessage(handler: MessageHandler<AnyMessage>): void {
     this.#handler = handler;
   }
 
-  /** Sets who is told that the connection to an address has ended, or could not be made. */
+  /** Sets the handler that is called when the connection to an address has ended or could not be established. */
   onDisconnected(handler: (address: string, reason: DisconnectReason) => void): void {
     this.#onDisconnected = handler;
   }
 
-  /** Ends the connection to an address, if there is one; the next message opens another. */
+  /** Closes the connection to an address, if there is one. The next message opens a new one. */
   disconnect(address: string): void {
     this.#connections.get(address)?.socket.destroy();
   }
 
-  send(address: string, message: Kind, withinMs = 0): void {
+  send(address: string, message: AnyMessage, maxDelayMs = 0): void {
     if (this.#closed) return;
-    if (withinMs > 0 && !this.#outbox.has(address)) {
-      this.#patient.add(address, message, withinMs);
+    if (maxDelayMs > 0 && !this.#outbox.has(address)) {
+      this.#deferredMessages.add(address, message, maxDelayMs);
       return;
     }
     const queue = this.#outbox.get(address);
     if (queue) queue.push(message);
-    else this.#outbox.set(address, [...this.#patient.take(address), message]);
+    else this.#outbox.set(address, [...this.#deferredMessages.take(address), message]);
     if (this.#flushScheduled) return;
     this.#flushScheduled = true;
     setImmediate(() => this.#flush());
   }
 
   async close(): Promise<void> {
-    this.#patient.sendAll();
+    this.#deferredMessages.flush();
     this.#flush();
     this.#closed = true;
     for (const socket of this.#sockets) socket.destroySoon();
@@ -139,11 +145,11 @@
     }
   }
 
-  #deliverLocally(messages: readonly Kind[]): void {
+  #deliverLocally(messages: readonly AnyMessage[]): void {
     for (const message of messages) this.#handler(message, this.#self, this.configurationVersion);
   }
 
-  #write(address: string, messages: readonly Kind[]): void {
+  #write(address: string, messages: readonly AnyMessage[]): void {
     const connection = this.#connections.get(address) ?? this.#connect(address);
     const { socket, encoder } = connection;
     if (socket.writableLength > MAX_BUFFERED_BYTES) {
@@ -151,10 +157,10 @@
       return;
     }
     const { configurationVersion } = this;
-    const batch: Batch<Kind> = connection.introduced
+    const batch: Batch<AnyMessage> = connection.senderSent
       ? { configurationVersion, messages }
       : { from: this.#self, configurationVersion, messages };
-    connection.introduced = true;
+    connection.senderSent = true;
     const bytes = encoder.encode(batch);
     socket.write(bytes);
     this.counters.batchesSent += 1;
@@ -165,31 +171,36 @@
   #connect(address: string): Connection {
     const { host, port } = parseAddress(address);
     const socket = createConnection({ host, port, noDelay: true });
-    // A machine without power says nothing: the attempt would hang for minutes.
-    socket.setTimeout(this.#patience.limitMs(address), () => this.#giveUpSoon(address, socket));
+    // A machine that is powered off does not respond: without a time-out, the attempt would hang for minutes.
+    socket.setTimeout(this.#connectTimeouts.timeoutMs(address), () =>
+      this.#abortConnectAttempt(address, socket),
+    );
     socket.once("connect", () => {
-      this.#patience.noteAnswer(address);
+      this.#connectTimeouts.recordResponse(address);
       socket.setTimeout(0);
     });
-    const connection = this.#adopt(socket);
-    this.#rememberRoute(address, connection);
+    const connection = this.#setUpConnection(socket);
+    this.#registerConnection(address, connection);
     return connection;
   }
 
-  /** Ends an attempt to connect, unless this process was too busy to notice that it has succeeded. */
-  #giveUpSoon(address: string, socket: Socket): void {
+  /**
+   * Aborts a connection attempt that timed out. It first polls the sockets, since the attempt may have succeeded while
+   * this process was too busy to notice.
+   */
+  #abortConnectAttempt(address: string, socket: Socket): void {
     setImmediate(() => {
       if (!socket.connecting) return;
-      this.#patience.noteUnanswered(address);
-      socket.destroy(new UnansweredError());
+      this.#connectTimeouts.recordTimeout(address);
+      socket.destroy(new ConnectTimeoutError());
     });
   }
 
-  #adopt(socket: Socket): Connection {
+  #setUpConnection(socket: Socket): Connection {
     const encoder = new Encoder({ sequential: true, structures: [] });
-    const connection: Connection = { socket, encoder, introduced: false, peer: undefined };
+    const connection: Connection = { socket, encoder, senderSent: false, peer: undefined };
     this.#sockets.add(socket);
-    const reader = new ValueReader();
+    const reader = new CborReader();
     socket.on("data", (bytes: Buffer) => this.#onBytes(bytes, reader, connection));
     socket.on("error", () => {
       this.counters.connectionErrors += 1;
@@ -198,13 +209,13 @@
     return connection;
   }
 
-  #onBytes(bytes: Buffer, reader: ValueReader, connection: Connection): void {
+  #onBytes(bytes: Buffer, reader: CborReader, connection: Connection): void {
     this.counters.bytesReceived += bytes.length;
     let batches: readonly unknown[];
     try {
       batches = reader.push(bytes);
     } catch {
-      // Whoever is at the other end does not speak the protocol.
+      // The other end does not speak the protocol.
       connection.socket.destroy();
       return;
     }
@@ -212,43 +223,46 @@
   }
 
   #onBatch(batch: unknown, connection: Connection): void {
-    if (this.#closed || !isBatch<Kind>(batch)) return void connection.socket.destroy();
+    if (this.#closed || !isBatch<AnyMessage>(batch)) return void connection.socket.destroy();
     if (batch.from) {
       connection.peer = batch.from;
-      this.#dropStaleRoute(batch.from, connection);
+      this.#dropStaleConnection(batch.from, connection);
     }
     const { peer } = connection;
     if (!peer) return void connection.socket.destroy();
-    this.#rememberRoute(peer.address, connection);
+    this.#registerConnection(peer.address, connection);
     this.counters.messagesReceived += batch.messages.length;
     for (const message of batch.messages) this.#handler(message, peer, batch.configurationVersion);
   }
 
-  /** A process that introduces itself makes connections to an earlier one at its address useless. */
-  #dropStaleRoute(peer: Sender, connection: Connection): void {
-    const known = this.#connections.get(peer.address);
-    if (!known || known === connection) return;
-    const unanswered = known.peer === undefined && known.socket.connecting;
-    const earlier = known.peer !== undefined && known.peer.instance !== peer.instance;
-    if (!unanswered && !earlier) return;
+  /**
+   * Closes a stale connection to the address of a process that has just identified itself: one to an earlier process at
+   * this address, or an attempt that is still connecting.
+   */
+  #dropStaleConnection(peer: Sender, connection: Connection): void {
+    const existing = this.#connections.get(peer.address);
+    if (!existing || existing === connection) return;
+    const isConnecting = existing.peer === undefined && existing.socket.connecting;
+    const isEarlierInstance = existing.peer !== undefined && existing.peer.instance !== peer.instance;
+    if (!isConnecting && !isEarlierInstance) return;
     this.#connections.delete(peer.address);
-    known.socket.destroy();
+    existing.socket.destroy();
   }
 
-  /** Answers to a process go over the connection that it opened. */
-  #rememberRoute(address: string, connection: Connection): void {
+  /** Registers the connection to use for an address. Responses to a process use the connection that it opened. */
+  #registerConnection(address: string, connection: Connection): void {
     if (this.#connections.has(address)) return;
     this.#connections.set(address, connection);
     let reason: DisconnectReason = "ended";
     connection.socket.on("error", (error: NodeJS.ErrnoException) => {
-      if (error instanceof UnansweredError) reason = "unanswered";
+      if (error instanceof ConnectTimeoutError) reason = "unanswered";
       else if (error.code === "ECONNREFUSED") reason = "refused";
-      if (reason !== "unanswered") this.#patience.noteAnswer(address);
+      if (reason !== "unanswered") this.#connectTimeouts.recordResponse(address);
     });
     connection.socket.on("close", () => {
       if (this.#connections.get(address) !== connection) return;
       this.#connections.delete(address);
-      this.#patient.take(address);
+      this.#deferredMessages.take(address);
       if (!this.#closed) this.#onDisconnected(address, reason);
     });
   }
@@ -260,8 +274,8 @@
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
 
-function isBatch<Kind>(value: unknown): value is Batch<Kind> {
-  const batch = value as Partial<Batch<Kind>> | undefined;
+function isBatch<AnyMessage>(value: unknown): value is Batch<AnyMessage> {
+  const batch = value as Partial<Batch<AnyMessage>> | undefined;
   return (
     (batch?.from === undefined || typeof batch.from.address === "string") && Array.isArray(batch?.messages)
   );
--- a/test/contract/support/group-network.ts
+++ b/test/contract/support/group-network.ts
@@ -1,7 +1,7 @@
 import type { Member } from "../../../src/coordination/shard-group/index.ts";
 import { ShardGroup } from "../../../src/coordination/shard-group/index.ts";
 
-/** A command that says what it is. */
+/** A command is a text, which the tests compare. */
 export type TestCommand = string;
 
 interface InFlight {
@@ -34,12 +34,12 @@
   }
 }
 
-/** Replicas of one shard on a clock and network that a test moves by hand. */
+/** Replicas of one shard on a simulated clock and network that the test controls. */
 export class GroupNetwork {
   readonly replicas = new Map<string, TestReplica>();
-  readonly cuts = new Set<string>();
+  readonly brokenLinks = new Set<string>();
   nowMs = 0;
-  /** Terms with the leader that was seen in each. */
+  /** The leaders observed in each term. */
   readonly leadersByTerm = new Map<number, Set<string>>();
   #inFlight: InFlight[] = [];
   #seed = 1;
@@ -51,7 +51,7 @@
     const voters = [...network.replicas.values()].map((replica) => replica.member);
     for (const replica of network.replicas.values()) {
       replica.group.bootstrap(voters);
-      network.run(replica);
+      network.executeEffects(replica);
     }
     return network;
   }
@@ -64,27 +64,27 @@
     return replica;
   }
 
-  /** A replica by name. */
+  /** Returns a replica by name. */
   get(name: string): TestReplica {
     const replica = this.replicas.get(name);
     if (!replica) throw new Error(`There is no replica ${name}.`);
     return replica;
   }
 
-  /** Lets time pass, and every message arrive. */
+  /** Advances the clock and delivers every message. */
   advance(ms: number): void {
     const endMs = this.nowMs + ms;
     while (this.nowMs < endMs) {
       this.nowMs += TICK_MS;
-      for (const replica of this.#living()) {
+      for (const replica of this.#liveReplicas()) {
         replica.group.tick(this.nowMs);
-        this.run(replica);
+        this.executeEffects(replica);
       }
       this.deliverAll();
     }
   }
 
-  /** Delivers every message, and those that they cause. */
+  /** Delivers every message in flight, and the messages sent in response. */
   deliverAll(): void {
     for (let round = 0; round < 200 && this.#inFlight.length > 0; round++) {
       const batch = this.#inFlight;
@@ -93,32 +93,32 @@
     }
   }
 
-  /** Delivers, drops or doubles one message in flight; `pick` chooses which. */
-  disturb(pick: number, action: "deliver" | "drop" | "double"): void {
+  /** Delivers, drops or duplicates one message in flight, selected by `messageNumber`, modulo the number of messages. */
+  disturbMessage(messageNumber: number, action: "deliver" | "drop" | "duplicate"): void {
     if (this.#inFlight.length === 0) return;
-    const position = pick % this.#inFlight.length;
+    const position = messageNumber % this.#inFlight.length;
     const [message] = this.#inFlight.splice(position, 1);
     if (action === "drop") return;
-    if (action === "double") this.#inFlight.push(message);
+    if (action === "duplicate") this.#inFlight.push(message);
     this.#deliver(message);
   }
 
-  /** The only living leader that is ready. */
+  /** Returns the first live replica that is a ready leader. */
   leader(): TestReplica | undefined {
-    return this.#living().find((replica) => replica.group.isReadyLeader);
+    return this.#liveReplicas().find((replica) => replica.group.isReadyLeader);
   }
 
-  /** Proposes at the leader; returns whether a leader took it. */
+  /** Proposes a command to the leader. Returns whether a leader accepted it. */
   propose(command: TestCommand): boolean {
     const leader = this.leader();
     if (!leader?.group.propose(command, this.nowMs)) return false;
     leader.group.flush(this.nowMs);
-    this.run(leader);
+    this.executeEffects(leader);
     return true;
   }
 
-  /** Carries out what a replica's group asked for. */
-  run(replica: TestReplica): void {
+  /** Carries out the effects of a replica's group. */
+  executeEffects(replica: TestReplica): void {
     for (const effect of replica.group.takeEffects()) {
       if (effect.type === "send") {
         this.#inFlight.push({
@@ -136,7 +136,7 @@
         replica.appliedIndex = effect.lastIndex;
       } else if (effect.type === "snapshotNeeded") {
         replica.group.provideSnapshot(effect.to, replica.appliedIndex, [...replica.applied]);
-        this.run(replica);
+        this.executeEffects(replica);
       } else if (effect.role === "leader") {
         const leaders = this.leadersByTerm.get(effect.term) ?? new Set();
         this.leadersByTerm.set(effect.term, leaders.add(replica.member.instance));
@@ -144,14 +144,14 @@
     }
   }
 
-  #living(): TestReplica[] {
+  #liveReplicas(): TestReplica[] {
     return [...this.replicas.values()].filter((replica) => replica.alive);
   }
 
   #deliver({ from, to, message }: InFlight): void {
     const target = this.replicas.get(to);
-    if (!target?.alive || this.cuts.has(`${from}>${to}`)) return;
+    if (!target?.alive || this.brokenLinks.has(`${from}>${to}`)) return;
     target.group.receive(structuredClone(message), this.nowMs);
-    this.run(target);
+    this.executeEffects(target);
   }
 }
