--- a/bench/mutations/node-mutations.ts
+++ b/bench/mutations/node-mutations.ts
@@ -12,7 +12,7 @@
         to: "number: program.nextNumber",
       },
       {
-        file: "src/node/calls/program-lane.ts",
+        file: "src/node/calls/program-queue.ts",
         from: "submit.number <= nextNumber",
         to: "submit.number > 0",
       },
@@ -97,7 +97,7 @@
     name: "not-run after a time-out",
     edits: [
       {
-        file: "src/node/calls/service-runner.ts",
+        file: "src/node/calls/service-call-executor.ts",
         from: '  return problemOf("outcome-unknown", detail);\n}',
         to: '  return problemOf("outcome-unknown", detail, { outcome: "not-run" });\n}',
       },
@@ -110,7 +110,7 @@
     name: "a new leader sends again what may not be repeated",
     edits: [
       {
-        file: "src/node/calls/call-execution.ts",
+        file: "src/node/calls/call-executor.ts",
         from: "if (takenOver && !job.record.repeatable)",
         to: "if (takenOver && job.record.attempt > 99)",
       },
--- a/src/node/calls/call-admission.ts
+++ b/src/node/calls/call-admission.ts
@@ -85,7 +85,7 @@
   }
 
   /** Whatever goes wrong before the intent is proposed is a refusal: nothing has left. */
-  async #check(replica: ShardReplica, program: ProgramRecord, request: CallRequest): Promise<Checked> {
+  async #check(replica: ShardReplica, program: ProgramRecord, request: CallRequest): Promise<CheckResult> {
     try {
       return await this.#checkAll(replica, program, request);
     } catch (error) {
@@ -95,10 +95,10 @@
     }
   }
 
-  async #checkAll(replica: ShardReplica, program: ProgramRecord, request: CallRequest): Promise<Checked> {
+  async #checkAll(replica: ShardReplica, program: ProgramRecord, request: CallRequest): Promise<CheckResult> {
     const { configuration, context, budgets } = this.#parts;
     const policy = configuration.policyOf(program.tenant, program.template);
-    if (program.endedAtMs !== undefined) return { refusal: endedRefusal(program) };
+    if (program.endedAtMs !== undefined) return { refusal: programEndedRefusal(program) };
     const refusal = checkCall(program, policy, request, context.clock.wallMs());
     if (refusal) return { refusal };
     if (request.type !== "completion") return { policy, tokens: 0 };
@@ -130,7 +130,7 @@
   }
 }
 
-type Checked =
+type CheckResult =
   | { readonly refusal: AdmissionRefusal }
   | { readonly refusal?: undefined; readonly policy: EffectivePolicy; readonly tokens: number };
 
@@ -145,7 +145,7 @@
   return isRepeatable(policy.services[request.service], request.method, request.path);
 }
 
-function endedRefusal(program: ProgramRecord): AdmissionRefusal {
+function programEndedRefusal(program: ProgramRecord): AdmissionRefusal {
   const detail = `Program ${program.id} has ended (${program.endReason}).`;
   return { kind: "program-ended", detail, rule: "the program has ended" };
 }
--- a/src/node/calls/call-execution.ts
+++ b/src/node/calls/call-executor.ts
@@ -14,27 +14,27 @@
 import { eventOfOutcome, finalEventOf } from "./call-events.ts";
 import { type CallConclusion, type CallJob, failedWith } from "./call-job.ts";
 import type { CallCounters, CallServiceParts } from "./call-service-parts.ts";
-import type { LaneEntry } from "./program-lane.ts";
+import type { QueuedCall } from "./program-queue.ts";
 
 /** A call to be carried out. */
-export interface Execution {
+export interface ExecutionRequest {
   readonly replica: ShardReplica;
   readonly program: ProgramRecord;
   readonly record: CallRecord;
   readonly policy: EffectivePolicy;
   /** Who handed the call in; undefined when nobody is known to wait. */
-  readonly entry: LaneEntry | undefined;
+  readonly entry: QueuedCall | undefined;
   /** Resolves once the intent is committed. */
   readonly committed: Promise<void>;
   /** Whether an earlier leader began the call. */
   readonly takenOver: boolean;
 }
 
-const TAKEOVER_DETAIL = "The call was cut off, and the budget does not cover a second attempt.";
-const FAILED = { outcome: "failed" } as const;
+const TAKEOVER_BUDGET_DETAIL = "The call was cut off, and the budget does not cover a second attempt.";
+const FAILED_OUTCOME = { outcome: "failed" } as const;
 
 /** Carries calls out on this node, from the intent to the committed end, and tells those who wait. */
-export class CallExecution {
+export class CallExecutor {
   readonly #parts: CallServiceParts;
   readonly #counters: CallCounters;
   readonly #active = new Map<string, ActiveCall>();
@@ -61,7 +61,7 @@
   }
 
   /** Carries a call out. Throws a redirect when another leader has taken it over. */
-  async run(execution: Execution): Promise<void> {
+  async run(execution: ExecutionRequest): Promise<void> {
     const { record, entry } = execution;
     const receivedText = entry?.submit.receivedText ?? "";
     const active = new ActiveCall(record.id, receivedText, (to, event) => this.#send(to, event));
@@ -76,7 +76,7 @@
   }
 
   /** Ends a call that cannot be carried out at all, so that the program's next calls need not wait for ever. */
-  async abandon(
+  async failCall(
     replica: ShardReplica,
     program: ProgramRecord,
     record: CallRecord,
@@ -92,7 +92,10 @@
     });
   }
 
-  #jobOf({ replica, program, record, policy, entry, committed }: Execution, active: ActiveCall): CallJob {
+  #jobOf(
+    { replica, program, record, policy, entry, committed }: ExecutionRequest,
+    active: ActiveCall,
+  ): CallJob {
     const { clock, settings } = this.#parts.context;
     const patienceMs = entry?.submit.patienceMs ?? settings.timing.orphanPatienceMs;
     const deadlineMs = clock.monotonicMs() + patienceMs;
@@ -114,9 +117,9 @@
 
   async #execute(job: CallJob, takenOver: boolean): Promise<CallConclusion> {
     if (job.request.type === "completion") {
-      const attempted = takenOver ? await this.#countAttempt(job) : job;
+      const attempted = takenOver ? await this.#commitNewAttempt(job) : job;
       if (attempted) return this.#parts.completions.run(attempted as CallJob<CompletionRequest>);
-      const problem = problemOf("budget-exhausted", TAKEOVER_DETAIL, FAILED);
+      const problem = problemOf("budget-exhausted", TAKEOVER_BUDGET_DETAIL, FAILED_OUTCOME);
       return this.#concludeFailed(job.program, job.record, job.policy, problem);
     }
     const serviceJob = job as CallJob<ServiceRequest>;
@@ -125,7 +128,7 @@
   }
 
   /** The earlier leader may have sent the attempt that is recorded, so a new one is committed first. */
-  async #countAttempt(job: CallJob): Promise<CallJob | undefined> {
+  async #commitNewAttempt(job: CallJob): Promise<CallJob | undefined> {
     const { context, budgets, shards } = this.#parts;
     const { reservation, id: call } = job.record;
     const attempt = job.record.attempt + 1;
@@ -173,7 +176,7 @@
     const result = await committer.commit(replica.shard, { ...command, ...conclusion });
     const final = result.accepted
       ? eventOfOutcome(active.id, number, conclusion.outcome)
-      : this.#eventOfOther(replica, active.id);
+      : this.#eventFromOtherLeader(replica, active.id);
     if (!final) throw new RedirectSignal(replica.leader?.address);
     if (conclusion.outcome.type === "answered") this.#counters.answered += 1;
     else this.#counters.failed += 1;
@@ -181,7 +184,7 @@
   }
 
   /** Another leader ended the call; only a leader's state is sure to hold how. */
-  #eventOfOther(replica: ShardReplica, call: string): CallEvent | undefined {
+  #eventFromOtherLeader(replica: ShardReplica, call: string): CallEvent | undefined {
     const record = replica.leads ? replica.state.programs.call(call) : undefined;
     return record && finalEventOf(record);
   }
--- a/src/node/calls/call-service-parts.ts
+++ b/src/node/calls/call-service-parts.ts
@@ -4,9 +4,9 @@
 import type { NodeContext } from "../node-context.ts";
 import type { ShardCommitter } from "../shard-committer.ts";
 import type { ShardHost } from "../shard-host.ts";
-import type { CompletionRunner } from "./completion-runner.ts";
+import type { CompletionExecutor } from "./completion-executor.ts";
 import type { DecisionBuilder } from "./decision-builder.ts";
-import type { ServiceRunner } from "./service-runner.ts";
+import type { ServiceCallExecutor } from "./service-call-executor.ts";
 
 /** What the handling of calls is made of. */
 export interface CallServiceParts {
@@ -14,8 +14,8 @@
   readonly shards: ShardHost;
   readonly configuration: ConfigurationService;
   readonly budgets: BudgetService;
-  readonly completions: CompletionRunner;
-  readonly services: ServiceRunner;
+  readonly completions: CompletionExecutor;
+  readonly services: ServiceCallExecutor;
   readonly decisions: DecisionBuilder;
   readonly committer: ShardCommitter;
   readonly rpc: RpcEndpoint;
--- a/src/node/calls/call-service.ts
+++ b/src/node/calls/call-service.ts
@@ -12,10 +12,10 @@
 import type { ShardReplica } from "../shard-replica.ts";
 import { CallAdmission, hashOfRequest } from "./call-admission.ts";
 import { finalEventOf, refusalEventOf } from "./call-events.ts";
-import { CallExecution } from "./call-execution.ts";
+import { CallExecutor } from "./call-executor.ts";
 import type { CallCounters, CallServiceParts } from "./call-service-parts.ts";
 import { CallTakeover } from "./call-takeover.ts";
-import { type LaneEntry, ProgramLane } from "./program-lane.ts";
+import { ProgramQueue, type QueuedCall } from "./program-queue.ts";
 
 const UNAVAILABLE_RETRY_AFTER_MS = 1_000;
 
@@ -23,18 +23,18 @@
 export class CallService {
   readonly counters: CallCounters = { answered: 0, failed: 0, refused: 0, takenOver: 0 };
   readonly #parts: CallServiceParts;
-  readonly #execution: CallExecution;
+  readonly #executor: CallExecutor;
   readonly #admission: CallAdmission;
   readonly #takeover: CallTakeover;
-  readonly #lanes = new Map<string, ProgramLane>();
+  readonly #queues = new Map<string, ProgramQueue>();
   readonly #stops: (() => void)[] = [];
   #admitting = true;
 
   constructor(parts: CallServiceParts) {
     this.#parts = parts;
-    this.#execution = new CallExecution(parts, this.counters);
+    this.#executor = new CallExecutor(parts, this.counters);
     this.#admission = new CallAdmission(parts, this.counters);
-    this.#takeover = new CallTakeover(parts, this.#execution, {
+    this.#takeover = new CallTakeover(parts, this.#executor, {
       resume: (replica, program, record, entry) => void this.#resume(replica, program, record, entry),
     });
     parts.shards.observe({ onLeadershipChanged: (replica) => this.#onLeadershipChanged(replica) });
@@ -42,14 +42,14 @@
 
   /** Calls being carried out here. */
   get activeCalls(): number {
-    return this.#execution.size;
+    return this.#executor.size;
   }
 
   /** Starts the timers. */
   start(): void {
     const { clock, settings } = this.#parts.context;
-    this.#stops.push(repeat(clock, settings.timing.callAliveMs, () => this.#signalLife()));
-    this.#stops.push(repeat(clock, settings.timing.tickMs, () => this.#refuseGaps()));
+    this.#stops.push(repeat(clock, settings.timing.callAliveMs, () => this.#sendKeepAlives()));
+    this.#stops.push(repeat(clock, settings.timing.tickMs, () => this.#refuseOutOfOrderCalls()));
   }
 
   /** Stops the timers. */
@@ -65,13 +65,14 @@
   /** A node hands in a call, for the first time or again. */
   onSubmit(submit: SubmitCall, from: string): void {
     const { shards, configuration } = this.#parts;
-    const active = this.#execution.get(submit.call);
+    const active = this.#executor.get(submit.call);
     if (active) return active.subscribe(from, submit.receivedText);
     const replica = shards.get(shards.shardOfProgram(submit.program));
     if (!replica?.leads) return this.#redirect(submit.call, from, replica);
     if (!configuration.ready || !this.#admitting) return this.#redirect(submit.call, from, undefined);
     const program = replica.state.programs.get(submit.program);
-    if (!program || program.tenant !== submit.tenant) return this.#send(from, strangerEvent(submit, program));
+    if (!program || program.tenant !== submit.tenant)
+      return this.#send(from, inaccessibleProgramEvent(submit, program));
     const settled = this.#conflictEvent(replica, submit) ?? settledEvent(replica, program, submit);
     if (settled) return this.#send(from, settled);
     this.#send(from, { type: "callAccepted", call: submit.call });
@@ -80,50 +81,54 @@
 
   /** A caller hung up. When nobody else waits, the call is cancelled, so that it costs others nothing. */
   onAbandon({ call }: AbandonCall, from: string): void {
-    const active = this.#execution.get(call);
+    const active = this.#executor.get(call);
     active?.unsubscribe(from);
     if (active && !active.hasSubscribers) active.cancellation.cancel();
-    for (const lane of this.#lanes.values()) lane.remove(call);
+    for (const queue of this.#queues.values()) queue.remove(call);
   }
 
   // Order
 
-  #enqueue(replica: ShardReplica, program: ProgramRecord, entry: LaneEntry): void {
+  #enqueue(replica: ShardReplica, program: ProgramRecord, entry: QueuedCall): void {
     const open = openCallOf(program);
     if (open?.id === entry.submit.call) return this.#takeover.onSubmit(replica, program, open, entry);
-    this.#laneOf(program.id).add(entry);
-    this.#pump(replica, program);
+    this.#queueOf(program.id).add(entry);
+    this.#startNext(replica, program);
   }
 
-  #pump(replica: ShardReplica, program: ProgramRecord): void {
-    const lane = this.#laneOf(program.id);
-    if (lane.busy || !replica.leads || openCallOf(program)) return;
-    const entry = lane.takeNext(program.nextNumber);
-    if (entry) void this.#occupy(replica, program, () => this.#runEntry(replica, program, entry));
-    else if (lane.length === 0) this.#lanes.delete(program.id);
+  #startNext(replica: ShardReplica, program: ProgramRecord): void {
+    const queue = this.#queueOf(program.id);
+    if (queue.busy || !replica.leads || openCallOf(program)) return;
+    const entry = queue.takeNext(program.nextNumber);
+    if (entry) void this.#runExclusively(replica, program, () => this.#runEntry(replica, program, entry));
+    else if (queue.length === 0) this.#queues.delete(program.id);
   }
 
   /** Holds the program's lane while a call runs. */
-  async #occupy(replica: ShardReplica, program: ProgramRecord, work: () => Promise<void>): Promise<void> {
-    const lane = this.#laneOf(program.id);
-    lane.busy = true;
+  async #runExclusively(
+    replica: ShardReplica,
+    program: ProgramRecord,
+    work: () => Promise<void>,
+  ): Promise<void> {
+    const queue = this.#queueOf(program.id);
+    queue.busy = true;
     try {
       await work();
     } finally {
-      lane.busy = false;
-      this.#pump(replica, program);
+      queue.busy = false;
+      this.#startNext(replica, program);
     }
   }
 
-  async #runEntry(replica: ShardReplica, program: ProgramRecord, entry: LaneEntry): Promise<void> {
+  async #runEntry(replica: ShardReplica, program: ProgramRecord, entry: QueuedCall): Promise<void> {
     try {
-      const repeated = this.#repeatedNumber(program, entry);
+      const repeated = this.#repeatedNumberEvent(program, entry);
       if (repeated) return this.#send(entry.from, repeated);
       const admitted = await this.#admission.admit(replica, program, entry.submit);
-      if (!admitted) return this.#tellSettled(replica, program, entry);
-      await this.#execution.run({ replica, program, entry, takenOver: false, ...admitted });
+      if (!admitted) return this.#sendSettledEvent(replica, program, entry);
+      await this.#executor.run({ replica, program, entry, takenOver: false, ...admitted });
     } catch (error) {
-      this.#onLost(entry, replica, error);
+      this.#onRunFailed(entry, replica, error);
     }
   }
 
@@ -132,24 +137,25 @@
     replica: ShardReplica,
     program: ProgramRecord,
     record: CallRecord,
-    entry: LaneEntry | undefined,
+    entry: QueuedCall | undefined,
   ): Promise<void> {
-    if (this.#laneOf(program.id).busy || this.#execution.get(record.id)) return;
+    if (this.#queueOf(program.id).busy || this.#executor.get(record.id)) return;
     this.counters.takenOver += 1;
-    await this.#occupy(replica, program, async () => {
+    await this.#runExclusively(replica, program, async () => {
       try {
         const policy = this.#parts.configuration.findPolicy(program);
-        if (!policy) return await this.#execution.abandon(replica, program, record, templateGone(program));
+        if (!policy)
+          return await this.#executor.failCall(replica, program, record, templateWithdrawnProblem(program));
         const committed = Promise.resolve();
-        await this.#execution.run({ replica, program, record, policy, entry, committed, takenOver: true });
+        await this.#executor.run({ replica, program, record, policy, entry, committed, takenOver: true });
       } catch (error) {
-        if (entry) this.#onLost(entry, replica, error);
+        if (entry) this.#onRunFailed(entry, replica, error);
       }
     });
   }
 
   /** A number that is taken: the same request again is answered as before, another one is a conflict. */
-  #repeatedNumber(program: ProgramRecord, { submit }: LaneEntry): CallEvent | undefined {
+  #repeatedNumberEvent(program: ProgramRecord, { submit }: QueuedCall): CallEvent | undefined {
     if (submit.number === undefined || submit.number >= program.nextNumber) return undefined;
     const earlier = program.calls.find((call) => call.number === submit.number);
     const final = earlier && finalEventOf(earlier);
@@ -158,15 +164,15 @@
     return { type: "callFailed", call: submit.call, problem: problemOf("call-conflict", detail) };
   }
 
-  #refuseGaps(): void {
+  #refuseOutOfOrderCalls(): void {
     const beforeMs = this.#nowMs() - this.#parts.context.settings.timing.callGapMs;
-    for (const [programId, lane] of this.#lanes) {
-      if (lane.busy) continue;
-      for (const entry of lane.takeOlderThan(beforeMs)) void this.#refuseGap(programId, entry);
+    for (const [programId, queue] of this.#queues) {
+      if (queue.busy) continue;
+      for (const entry of queue.takeOlderThan(beforeMs)) void this.#refuseOutOfOrderCall(programId, entry);
     }
   }
 
-  async #refuseGap(programId: string, entry: LaneEntry): Promise<void> {
+  async #refuseOutOfOrderCall(programId: string, entry: QueuedCall): Promise<void> {
     const replica = this.#parts.shards.get(this.#parts.shards.shardOfProgram(programId));
     const program = replica?.state.programs.get(programId);
     if (!replica?.leads || !program) return;
@@ -178,31 +184,31 @@
         detail,
         rule,
       });
-      this.#tellSettled(replica, program, entry);
+      this.#sendSettledEvent(replica, program, entry);
     } catch (error) {
-      this.#onLost(entry, replica, error);
+      this.#onRunFailed(entry, replica, error);
     }
   }
 
   // Change of leader
 
   #onLeadershipChanged(replica: ShardReplica): void {
-    if (replica.leads) this.#takeover.onLeading(replica);
-    else this.#letGo(replica);
+    if (replica.leads) this.#takeover.onBecameLeader(replica);
+    else this.#redirectWaitingCalls(replica);
   }
 
   /** Calls under way are carried on here and committed by the new leader; those that wait go to the new leader. */
-  #letGo(replica: ShardReplica): void {
+  #redirectWaitingCalls(replica: ShardReplica): void {
     for (const program of replica.state.programs.all()) {
-      const lane = this.#lanes.get(program.id);
-      this.#lanes.delete(program.id);
-      for (const { submit, from } of lane?.takeOlderThan(Number.POSITIVE_INFINITY) ?? []) {
+      const queue = this.#queues.get(program.id);
+      this.#queues.delete(program.id);
+      for (const { submit, from } of queue?.takeOlderThan(Number.POSITIVE_INFINITY) ?? []) {
         this.#redirect(submit.call, from, replica);
       }
     }
   }
 
-  #onLost(entry: LaneEntry, replica: ShardReplica, error: unknown): void {
+  #onRunFailed(entry: QueuedCall, replica: ShardReplica, error: unknown): void {
     if (error instanceof RedirectSignal) return this.#redirect(entry.submit.call, entry.from, replica);
     const problem = problemOfError(error);
     this.#parts.context.log.warn({ call: entry.submit.call, problem }, "call could not be carried out");
@@ -213,7 +219,7 @@
 
   // Small helpers
 
-  #tellSettled(replica: ShardReplica, program: ProgramRecord, { submit, from }: LaneEntry): void {
+  #sendSettledEvent(replica: ShardReplica, program: ProgramRecord, { submit, from }: QueuedCall): void {
     const event = settledEvent(replica, program, submit);
     if (event) this.#send(from, event);
   }
@@ -226,10 +232,10 @@
     return { type: "callFailed", call: submit.call, problem: problemOf("call-conflict", detail) };
   }
 
-  #signalLife(): void {
-    for (const active of this.#execution.all()) active.publish({ type: "callAccepted", call: active.id });
-    for (const lane of this.#lanes.values()) {
-      for (const { submit, from } of lane.entries())
+  #sendKeepAlives(): void {
+    for (const active of this.#executor.all()) active.publish({ type: "callAccepted", call: active.id });
+    for (const queue of this.#queues.values()) {
+      for (const { submit, from } of queue.entries())
         this.#send(from, { type: "callAccepted", call: submit.call });
     }
   }
@@ -243,10 +249,10 @@
     this.#parts.context.transport.send(to, event);
   }
 
-  #laneOf(program: string): ProgramLane {
-    const lane = this.#lanes.get(program) ?? new ProgramLane();
-    this.#lanes.set(program, lane);
-    return lane;
+  #queueOf(program: string): ProgramQueue {
+    const queue = this.#queues.get(program) ?? new ProgramQueue();
+    this.#queues.set(program, queue);
+    return queue;
   }
 
   #hashOf(submit: SubmitCall): string {
@@ -268,12 +274,12 @@
   return (record && finalEventOf(record)) ?? refusalEventOf(program, submit.call);
 }
 
-function templateGone({ tenant, template }: ProgramRecord): Problem {
+function templateWithdrawnProblem({ tenant, template }: ProgramRecord): Problem {
   const detail = `The template ${template} of ${tenant} was withdrawn while the call ran.`;
   return problemOf("unknown-template", detail, { outcome: "unknown" });
 }
 
-function strangerEvent(submit: SubmitCall, program: ProgramRecord | undefined): CallEvent {
+function inaccessibleProgramEvent(submit: SubmitCall, program: ProgramRecord | undefined): CallEvent {
   const problem = program
     ? problemOf("foreign-program", `Program ${submit.program} does not belong to ${submit.tenant}.`)
     : problemOf("not-found", `There is no program ${submit.program}.`);
--- a/src/node/calls/call-takeover.ts
+++ b/src/node/calls/call-takeover.ts
@@ -1,9 +1,9 @@
 import { openCallOf } from "../../scheduling/program/open-call-of.ts";
 import type { CallRecord, ProgramRecord } from "../../scheduling/program/records.ts";
 import type { ShardReplica } from "../shard-replica.ts";
-import type { CallExecution } from "./call-execution.ts";
+import type { CallExecutor } from "./call-executor.ts";
 import type { CallServiceParts } from "./call-service-parts.ts";
-import type { LaneEntry } from "./program-lane.ts";
+import type { QueuedCall } from "./program-queue.ts";
 
 /** What a takeover needs from the handling of calls. */
 export interface TakeoverPort {
@@ -12,7 +12,7 @@
     replica: ShardReplica,
     program: ProgramRecord,
     record: CallRecord,
-    entry: LaneEntry | undefined,
+    entry: QueuedCall | undefined,
   ): void;
 }
 
@@ -25,71 +25,71 @@
  */
 export class CallTakeover {
   readonly #parts: CallServiceParts;
-  readonly #execution: CallExecution;
+  readonly #executor: CallExecutor;
   readonly #port: TakeoverPort;
-  readonly #waiting = new Map<string, LaneEntry>();
+  readonly #waiting = new Map<string, QueuedCall>();
 
-  constructor(parts: CallServiceParts, execution: CallExecution, port: TakeoverPort) {
+  constructor(parts: CallServiceParts, executor: CallExecutor, port: TakeoverPort) {
     this.#parts = parts;
-    this.#execution = execution;
+    this.#executor = executor;
     this.#port = port;
   }
 
   /** This node has begun to lead a shard. */
-  onLeading(replica: ShardReplica): void {
+  onBecameLeader(replica: ShardReplica): void {
     const { clock, settings } = this.#parts.context;
     const { term } = replica;
     clock.schedule(settings.timing.takeoverGraceMs, () => {
       if (!replica.leads || replica.term !== term) return;
       for (const program of replica.state.programs.all()) {
         const open = openCallOf(program);
-        if (open && !this.#execution.get(open.id)) void this.#resumeOrLeave(replica, program, open);
+        if (open && !this.#executor.get(open.id)) void this.#resumeOrRedirect(replica, program, open);
       }
     });
   }
 
   /** A node hands in a call that an earlier leader began. */
-  onSubmit(replica: ShardReplica, program: ProgramRecord, record: CallRecord, entry: LaneEntry): void {
+  onSubmit(replica: ShardReplica, program: ProgramRecord, record: CallRecord, entry: QueuedCall): void {
     this.#waiting.set(record.id, entry);
-    void this.#resumeOrLeave(replica, program, record);
+    void this.#resumeOrRedirect(replica, program, record);
   }
 
-  async #resumeOrLeave(replica: ShardReplica, program: ProgramRecord, record: CallRecord): Promise<void> {
-    const elsewhere = await this.#runsElsewhere(record);
+  async #resumeOrRedirect(replica: ShardReplica, program: ProgramRecord, record: CallRecord): Promise<void> {
+    const elsewhere = await this.#isRunningElsewhere(record);
     // What a node said meanwhile counts, whoever began to look first.
     const entry = this.#waiting.get(record.id);
     this.#waiting.delete(record.id);
-    if (elsewhere) return this.#leave(replica, program, record, entry);
+    if (elsewhere) return this.#redirectOrRecheck(replica, program, record, entry);
     const open = openCallOf(program);
     if (replica.leads && open?.id === record.id) this.#port.resume(replica, program, open, entry);
   }
 
-  #leave(
+  #redirectOrRecheck(
     replica: ShardReplica,
     program: ProgramRecord,
     record: CallRecord,
-    entry: LaneEntry | undefined,
+    entry: QueuedCall | undefined,
   ): void {
     const { transport } = this.#parts.context;
     if (entry)
       transport.send(entry.from, { type: "callRedirected", call: record.id, leader: record.executor });
-    else this.#lookAgainLater(replica, program, record);
+    else this.#scheduleRecheck(replica, program, record);
   }
 
   /** Whether an earlier leader that still lives carries the call out. It then also commits the end. */
-  async #runsElsewhere({ id: call, attempt, executor }: CallRecord): Promise<boolean> {
+  async #isRunningElsewhere({ id: call, attempt, executor }: CallRecord): Promise<boolean> {
     const { rpc, context } = this.#parts;
     if (executor === context.self.address) return false;
     const reply = await rpc.ask(executor, "queryCall", { call, attempt }, QUERY_TIMEOUT_MS);
     return reply.type === "done" && reply.body.running;
   }
 
-  #lookAgainLater(replica: ShardReplica, program: ProgramRecord, record: CallRecord): void {
+  #scheduleRecheck(replica: ShardReplica, program: ProgramRecord, record: CallRecord): void {
     const { clock, settings } = this.#parts.context;
     clock.schedule(settings.timing.takeoverGraceMs, () => {
       const open = openCallOf(program);
-      if (!replica.leads || open?.id !== record.id || this.#execution.get(record.id)) return;
-      void this.#resumeOrLeave(replica, program, open);
+      if (!replica.leads || open?.id !== record.id || this.#executor.get(record.id)) return;
+      void this.#resumeOrRedirect(replica, program, open);
     });
   }
 }
--- a/src/node/calls/completion-conclusions.ts
+++ b/src/node/calls/completion-conclusions.ts
@@ -45,10 +45,10 @@
   /** The caller's patience ended before a runner had room. */
   unplaced(job: CompletionJob, progress: CompletionProgress): CallConclusion {
     const { retryAfterMs } = progress;
-    const never = progress.attempt === 1 && job.active.text === "";
+    const neverSent = progress.attempt === 1 && job.active.text === "";
     const kind = progress.alternatives.length > 0 ? "overloaded" : "no-runner";
     const detail = `No runner for ${job.request.model} had room within the caller's time.`;
-    const outcome = never ? "not-run" : "failed";
+    const outcome = neverSent ? "not-run" : "failed";
     return this.#conclude(job, progress, failedWith(problemOf(kind, detail, { retryAfterMs, outcome })), 0);
   }
 
--- a/src/node/calls/completion-runner.ts
+++ b/src/node/calls/completion-executor.ts
@@ -16,13 +16,13 @@
   DEFAULT_RETRY_AFTER_MS,
 } from "./completion-progress.ts";
 import type { DecisionBuilder } from "./decision-builder.ts";
-import type { SlotBroker } from "./slot-broker.ts";
+import type { SlotClient } from "./slot-client.ts";
 
 /** Attempts at one completion, the first included. */
 const MAX_ATTEMPTS = 5;
 
 /** See the module's comment. */
-export class CompletionRunner {
+export class CompletionExecutor {
   readonly #context: NodeContext;
   readonly #committer: ShardCommitter;
   readonly #directory: RunnerDirectory;
@@ -35,7 +35,7 @@
     context: NodeContext,
     committer: ShardCommitter,
     directory: RunnerDirectory,
-    broker: SlotBroker,
+    slotClient: SlotClient,
     engine: EngineClient,
     decisions: DecisionBuilder,
     budgets: BudgetService,
@@ -45,7 +45,7 @@
     this.#directory = directory;
     this.#engine = engine;
     this.#budgets = budgets;
-    this.#placement = new CompletionPlacement(context, directory, broker);
+    this.#placement = new CompletionPlacement(context, directory, slotClient);
     this.#conclusions = new CompletionConclusions(context, decisions);
   }
 
--- a/src/node/calls/completion-placement.ts
+++ b/src/node/calls/completion-placement.ts
@@ -12,7 +12,7 @@
   DEFAULT_RETRY_AFTER_MS,
 } from "./completion-progress.ts";
 import { cachedPrefixes, promptTokensBound } from "./prompt-estimates.ts";
-import type { SlotBroker } from "./slot-broker.ts";
+import type { SlotClient } from "./slot-client.ts";
 
 /** Wait before the runners are looked at again when none can be had, in ms. */
 const NO_RUNNER_DELAY_MS = 100;
@@ -30,12 +30,12 @@
 export class CompletionPlacement {
   readonly #context: NodeContext;
   readonly #directory: RunnerDirectory;
-  readonly #broker: SlotBroker;
+  readonly #slotClient: SlotClient;
 
-  constructor(context: NodeContext, directory: RunnerDirectory, broker: SlotBroker) {
+  constructor(context: NodeContext, directory: RunnerDirectory, slotClient: SlotClient) {
     this.#context = context;
     this.#directory = directory;
-    this.#broker = broker;
+    this.#slotClient = slotClient;
   }
 
   /** Gets a slot somewhere; undefined when the caller's patience ends first. */
@@ -65,10 +65,10 @@
   ): Promise<Placement | undefined> {
     const request = this.#slotRequest(job, progress.attempt);
     job.active.cancellation.onCancel(() => {
-      this.#broker.release(runner.runner, home, request.call, request.attempt);
+      this.#slotClient.release(runner.runner, home, request.call, request.attempt);
     });
     const startMs = this.#context.clock.monotonicMs();
-    const reply = await this.#broker.request(runner.runner, home, request);
+    const reply = await this.#slotClient.request(runner.runner, home, request);
     progress.waitedMs += this.#context.clock.monotonicMs() - startMs;
     if (reply.type === "granted") return { runner, home, fencingToken: reply.fencingToken };
     if (reply.type === "refused") progress.retryAfterMs = reply.retryAfterMs || DEFAULT_RETRY_AFTER_MS;
@@ -78,7 +78,7 @@
 
   /** Gives a slot back, whether it was granted or is still asked for. */
   release({ runner, home }: Placement, job: CompletionJob, attempt: number): void {
-    this.#broker.release(runner.runner, home, job.record.id, attempt);
+    this.#slotClient.release(runner.runner, home, job.record.id, attempt);
   }
 
   #alternatives(
--- a/src/node/calls/service-runner.ts
+++ b/src/node/calls/service-call-executor.ts
@@ -21,7 +21,7 @@
  * Carries out calls to services. A call that may not be repeated is sent once, by the leader that committed its
  * intent, and never by a later one.
  */
-export class ServiceRunner {
+export class ServiceCallExecutor {
   readonly #context: NodeContext;
   readonly #committer: ShardCommitter;
   readonly #directory: RunnerDirectory;
@@ -46,7 +46,7 @@
   async run(job: ServiceJob): Promise<CallConclusion> {
     const startMs = this.#context.clock.monotonicMs();
     await job.committed;
-    this.#checkAfterPause(job, startMs);
+    this.#requireMajorityAfterPause(job, startMs);
     let attempt = job.record.attempt;
     for (;;) {
       const result = await this.#send(job);
@@ -64,7 +64,7 @@
   }
 
   /** After a pause in which another leader may have been elected, nothing may be sent: that one has said how it ended. */
-  #checkAfterPause(job: ServiceJob, startMs: number): void {
+  #requireMajorityAfterPause(job: ServiceJob, startMs: number): void {
     const nowMs = this.#context.clock.monotonicMs();
     const { electionTimeoutMs } = this.#context.settings.timing.shardGroup;
     if (nowMs - startMs < electionTimeoutMs || job.replica.group.hasMajority(nowMs)) return;
--- a/src/node/calls/slot-broker.ts
+++ b/src/node/calls/slot-client.ts
@@ -16,15 +16,15 @@
   readonly home: string;
   readonly request: SlotRequest;
   readonly resolve: (reply: SlotReply) => void;
-  unanswered: number;
+  unansweredSends: number;
   timer: TimerHandle;
 }
 
 /** Repetitions without any answer after which a home counts as gone. */
-const MAX_UNANSWERED = 4;
+const MAX_UNANSWERED_SENDS = 4;
 
 /** The leader's side of slot requests: repeats them until the home answers, or gives the home up. */
-export class SlotBroker {
+export class SlotClient {
   readonly #context: NodeContext;
   readonly #directory: RunnerDirectory;
   readonly #pending = new Map<string, PendingSlot>();
@@ -39,8 +39,8 @@
   request(runner: string, home: string, request: SlotRequest): Promise<SlotReply> {
     return new Promise((resolve) => {
       const key = slotKey(request.call, request.attempt);
-      const timer = this.#context.clock.schedule(this.#retryMs, () => this.#repeat(key));
-      this.#pending.set(key, { runner, home, request, resolve, unanswered: 0, timer });
+      const timer = this.#context.clock.schedule(this.#retryMs, () => this.#resend(key));
+      this.#pending.set(key, { runner, home, request, resolve, unansweredSends: 0, timer });
       this.#send(runner, home, request);
     });
   }
@@ -69,7 +69,7 @@
   /** A home put a request in line. */
   onQueued(message: SlotQueued): void {
     const pending = this.#pending.get(slotKey(message.call, message.attempt));
-    if (pending) pending.unanswered = 0;
+    if (pending) pending.unansweredSends = 0;
   }
 
   /** A home refused a request. */
@@ -89,15 +89,15 @@
     this.#context.transport.send(home, { type: "requestSlot", runner, request });
   }
 
-  #repeat(key: string): void {
+  #resend(key: string): void {
     const pending = this.#pending.get(key);
     if (!pending) return;
-    pending.unanswered += 1;
-    if (pending.unanswered >= MAX_UNANSWERED) {
+    pending.unansweredSends += 1;
+    if (pending.unansweredSends >= MAX_UNANSWERED_SENDS) {
       this.#directory.forgetHome(pending.runner, pending.home);
       return this.#settle(key, { type: "silent" });
     }
-    pending.timer = this.#context.clock.schedule(this.#retryMs, () => this.#repeat(key));
+    pending.timer = this.#context.clock.schedule(this.#retryMs, () => this.#resend(key));
     this.#send(pending.runner, pending.home, pending.request);
   }
 
--- a/src/node/node-daemon.ts
+++ b/src/node/node-daemon.ts
@@ -14,10 +14,10 @@
 import { ShardRecovery } from "./archive/shard-recovery.ts";
 import { BudgetService } from "./budgets/budget-service.ts";
 import { CallService } from "./calls/call-service.ts";
-import { CompletionRunner } from "./calls/completion-runner.ts";
+import { CompletionExecutor } from "./calls/completion-executor.ts";
 import { DecisionBuilder } from "./calls/decision-builder.ts";
-import { ServiceRunner } from "./calls/service-runner.ts";
-import { SlotBroker } from "./calls/slot-broker.ts";
+import { ServiceCallExecutor } from "./calls/service-call-executor.ts";
+import { SlotClient } from "./calls/slot-client.ts";
 import { ConfigurationService } from "./configuration/configuration-service.ts";
 import { ConfigurationTable } from "./configuration/configuration-table.ts";
 import { Ingress } from "./ingress/ingress.ts";
@@ -50,7 +50,7 @@
   readonly #directory: RunnerDirectory;
   readonly #steward: ShardSteward;
   readonly #programs: ProgramService;
-  readonly #broker: SlotBroker;
+  readonly #broker: SlotClient;
   readonly #sweeper: HoldSweeper;
   readonly #archiver: ShardArchiver;
   #stopTicking: () => void = () => undefined;
@@ -73,10 +73,10 @@
       new ConfigurationTable(platform.table, clock),
     );
     const decisions = new DecisionBuilder(context, configuration);
-    const broker = new SlotBroker(context, directory);
+    const broker = new SlotClient(context, directory);
     const homes = new RunnerHomes(context, shards, machines, directory, platform.engine, configuration);
     const budgets = new BudgetService(context, shards, configuration, router, committer, rpc);
-    const completions = new CompletionRunner(
+    const completions = new CompletionExecutor(
       context,
       committer,
       directory,
@@ -85,7 +85,7 @@
       decisions,
       budgets,
     );
-    const services = new ServiceRunner(context, committer, directory, platform.service, decisions);
+    const services = new ServiceCallExecutor(context, committer, directory, platform.service, decisions);
     const parts = {
       context,
       shards,
