--- a/src/node/calls/active-call.ts
+++ b/src/node/calls/active-call.ts
@@ -1,7 +1,7 @@
 import type { CallEvent } from "../../messages/call-messages.ts";
 import { CancellationSource } from "../../runtime/cancellation.ts";
 
-/** A call that this node is running as its shard's leader: the text so far, and who is to be told. */
+/** A call that this node executes as its shard's leader: the text so far and the nodes to notify. */
 export class ActiveCall {
   readonly id: string;
   readonly cancellation = new CancellationSource();
@@ -10,8 +10,8 @@
   #text: string;
 
   /**
-   * @param receivedText what a caller has already seen of an earlier attempt; the answer begins with it
-   * @param send sends an event to the node that the caller speaks to
+   * @param receivedText the text that a caller has already received from an earlier attempt; the answer starts with it
+   * @param send sends an event to the caller's ingress node
    */
   constructor(id: string, receivedText: string, send: (address: string, event: CallEvent) => void) {
     this.id = id;
@@ -24,12 +24,12 @@
     return this.#text;
   }
 
-  /** Whether anybody waits for the call. */
+  /** Whether any node waits for the call. */
   get hasSubscribers(): boolean {
     return this.#subscribers.size > 0;
   }
 
-  /** Adds a node that a caller speaks to, and sends it what it has not seen. */
+  /** Adds a caller's ingress node and sends it the text it has not received yet. */
   subscribe(address: string, receivedText: string): void {
     this.#subscribers.add(address);
     this.#send(address, { type: "callAccepted", call: this.id });
@@ -38,19 +38,19 @@
       this.#sendChunk(address, receivedText.length, missing);
   }
 
-  /** Takes one out. */
+  /** Removes a node. */
   unsubscribe(address: string): void {
     this.#subscribers.delete(address);
   }
 
-  /** Adds generated text. A piece that does not join the text so far is dropped: it belongs to an old attempt. */
+  /** Appends generated text. Drops a chunk that does not continue the text so far: it belongs to an old attempt. */
   append(offset: number, text: string): void {
     if (offset !== this.#text.length) return;
     this.#text += text;
     for (const address of this.#subscribers) this.#sendChunk(address, offset, text);
   }
 
-  /** Tells all who wait. */
+  /** Sends an event to every waiting node. */
   publish(event: CallEvent): void {
     for (const address of this.#subscribers) this.#send(address, event);
   }
--- a/src/node/calls/call-admission.ts
+++ b/src/node/calls/call-admission.ts
@@ -12,19 +12,19 @@
 import type { ShardReplica } from "../shard-replica.ts";
 import type { CallCounters, CallServiceParts } from "./call-service-parts.ts";
 
-/** A call that may be carried out. Its intent is on its way to the journal. */
+/** A call that may be executed. Its intent has been proposed but may not be committed yet. */
 export interface AdmittedCall {
   readonly record: CallRecord;
   readonly policy: EffectivePolicy;
-  /** Resolves once the intent is committed; rejects with a redirect when it will not be. */
+  /** Resolves once the intent is committed; rejects with a redirect if it will not be. */
   readonly committed: Promise<void>;
 }
 
 const MAX_INTENT_ATTEMPTS = 4;
-/** Idle allotments of other shards are back by then. */
+/** By then, other shards have returned their idle budget allotments. */
 const BUDGET_RETRY_AFTER_MS = 12_000;
 
-/** Admits calls, or refuses them. A refusal is committed before it is said, so "not run" stays true for good. */
+/** Admits or refuses calls. A refusal is committed before the caller is told, so "not run" remains true permanently. */
 export class CallAdmission {
   readonly #parts: CallServiceParts;
   readonly #counters: CallCounters;
@@ -34,7 +34,7 @@
     this.#counters = counters;
   }
 
-  /** Admits a call and proposes its intent; undefined when it was refused. */
+  /** Admits a call and proposes its intent; returns undefined if the call was refused. */
   async admit(
     replica: ShardReplica,
     program: ProgramRecord,
@@ -51,7 +51,7 @@
     return { record: callRecordOf(command), policy: checked.policy, committed };
   }
 
-  /** Calls that are admitted at the same time may want the same tokens; who finds them gone borrows once more. */
+  /** Calls admitted at the same time may compete for the same tokens. Borrows more and retries if they are gone. */
   async #commitIntent(replica: ShardReplica, command: IntendCall, policy: EffectivePolicy): Promise<void> {
     for (let attempt = 1; attempt <= MAX_INTENT_ATTEMPTS; attempt++) {
       const result = await this.#parts.shards.propose(replica, command);
@@ -62,7 +62,7 @@
     throw new RedirectSignal(replica.leader?.address);
   }
 
-  /** Commits a refusal. */
+  /** Commits a refusal with its problem and decision. */
   async refuse(
     replica: ShardReplica,
     program: ProgramRecord,
@@ -84,7 +84,7 @@
     this.#counters.refused += 1;
   }
 
-  /** Whatever goes wrong before the intent is proposed is a refusal: nothing has left. */
+  /** Any error before the intent is proposed becomes a refusal, since nothing has been sent yet. */
   async #check(replica: ShardReplica, program: ProgramRecord, request: CallRequest): Promise<CheckResult> {
     try {
       return await this.#checkAll(replica, program, request);
@@ -134,7 +134,7 @@
   | { readonly refusal: AdmissionRefusal }
   | { readonly refusal?: undefined; readonly policy: EffectivePolicy; readonly tokens: number };
 
-/** Tells a repeated request from another one under the same number or key. */
+/** Hashes a request, to tell a repeated request from a different one with the same call number or idempotency key. */
 export function hashOfRequest(hash: (text: string) => string, request: CallRequest): string {
   return hash(JSON.stringify(request));
 }
--- a/src/node/calls/call-events.ts
+++ b/src/node/calls/call-events.ts
@@ -2,18 +2,18 @@
 import type { CallEvent } from "../../messages/call-messages.ts";
 import type { CallOutcome, CallRecord, ProgramRecord } from "../../scheduling/program/records.ts";
 
-/** The event that tells how a finished call ended. */
+/** Returns the event that reports the outcome of a call; undefined if the call has none yet. */
 export function finalEventOf(call: CallRecord): CallEvent | undefined {
   return call.outcome && eventOfOutcome(call.id, call.number, call.outcome);
 }
 
-/** The event that tells an outcome. */
+/** Returns the event that reports an outcome. */
 export function eventOfOutcome(call: string, number: number, outcome: CallOutcome): CallEvent {
   if (outcome.type === "failed") return { type: "callFailed", call, problem: outcome.problem };
   return { type: "callFinished", call, number, answer: outcome.answer };
 }
 
-/** The event that tells that a call was refused; undefined when it was not. */
+/** Returns the event that reports the refusal of a call; undefined if it was not refused. */
 export function refusalEventOf(program: ProgramRecord, call: string): CallEvent | undefined {
   const refusal = program.refusals.find((record) => record.id === call);
   if (refusal) return { type: "callFailed", call, problem: refusal.problem };
--- a/src/node/calls/call-executor.ts
+++ b/src/node/calls/call-executor.ts
@@ -16,24 +16,24 @@
 import type { CallCounters, CallServiceParts } from "./call-service-parts.ts";
 import type { QueuedCall } from "./program-queue.ts";
 
-/** A call to be carried out. */
+/** A call to execute. */
 export interface ExecutionRequest {
   readonly replica: ShardReplica;
   readonly program: ProgramRecord;
   readonly record: CallRecord;
   readonly policy: EffectivePolicy;
-  /** Who handed the call in; undefined when nobody is known to wait. */
+  /** The submission of the call; undefined if no node is known to wait for it. */
   readonly entry: QueuedCall | undefined;
   /** Resolves once the intent is committed. */
   readonly committed: Promise<void>;
-  /** Whether an earlier leader began the call. */
+  /** Whether an earlier leader started the call. */
   readonly takenOver: boolean;
 }
 
 const TAKEOVER_BUDGET_DETAIL = "The call was cut off, and the budget does not cover a second attempt.";
 const FAILED_OUTCOME = { outcome: "failed" } as const;
 
-/** Carries calls out on this node, from the intent to the committed end, and tells those who wait. */
+/** Executes calls on this node, from the intent to the committed outcome, and notifies the nodes that wait. */
 export class CallExecutor {
   readonly #parts: CallServiceParts;
   readonly #counters: CallCounters;
@@ -45,22 +45,22 @@
     parts.rpc.handle("queryCall", async ({ call }) => ({ running: this.#active.has(call) }));
   }
 
-  /** Calls being carried out here. */
+  /** Number of calls in progress on this node. */
   get size(): number {
     return this.#active.size;
   }
 
-  /** A call that is being carried out here. */
+  /** Returns a call that is in progress on this node. */
   get(call: string): ActiveCall | undefined {
     return this.#active.get(call);
   }
 
-  /** Every call that is being carried out here. */
+  /** Returns every call that is in progress on this node. */
   all(): IterableIterator<ActiveCall> {
     return this.#active.values();
   }
 
-  /** Carries a call out. Throws a redirect when another leader has taken it over. */
+  /** Executes a call. Throws a redirect if another leader has taken it over. */
   async run(execution: ExecutionRequest): Promise<void> {
     const { record, entry } = execution;
     const receivedText = entry?.submit.receivedText ?? "";
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Ends a call that cannot be carried out at all, so that the program's next calls need not wait for ever. */
+  /** Commits the failure of a call that cannot be executed; otherwise the program's next calls would wait forever. */
   async failCall(
     replica: ShardReplica,
     program: ProgramRecord,
@@ -103,14 +103,14 @@
     return { replica, program, record, policy, active, deadlineMs, committed, request: record.request };
   }
 
-  /** A fault of ours must not leave the call open: the program's next calls would wait for ever. */
+  /** An internal error must not leave the call open: the program's next calls would wait forever. */
   async #executeOrFail(job: CallJob, takenOver: boolean): Promise<CallConclusion> {
     try {
       return await this.#execute(job, takenOver);
     } catch (error) {
       if (error instanceof RedirectSignal) throw error;
       const { log } = this.#parts.context;
-      log.error({ call: job.record.id, err: error }, "call failed by a fault of the scheduler");
+      log.error({ call: job.record.id, err: error }, "call failed because of an internal scheduler error");
       return this.#concludeFailed(job.program, job.record, job.policy, problemOfError(error));
     }
   }
@@ -127,7 +127,7 @@
     return this.#parts.services.run(serviceJob);
   }
 
-  /** The earlier leader may have sent the attempt that is recorded, so a new one is committed first. */
+  /** The earlier leader may have sent the recorded attempt, so a new attempt is committed before anything is sent. */
   async #commitNewAttempt(job: CallJob): Promise<CallJob | undefined> {
     const { context, budgets, shards } = this.#parts;
     const { reservation, id: call } = job.record;
@@ -183,7 +183,7 @@
     active.publish(final);
   }
 
-  /** Another leader ended the call; only a leader's state is sure to hold how. */
+  /** Another leader ended the call. Only the state of a current leader is certain to hold the outcome. */
   #eventFromOtherLeader(replica: ShardReplica, call: string): CallEvent | undefined {
     const record = replica.leads ? replica.state.programs.call(call) : undefined;
     return record && finalEventOf(record);
--- a/src/node/calls/call-job.ts
+++ b/src/node/calls/call-job.ts
@@ -10,7 +10,7 @@
 import type { ShardReplica } from "../shard-replica.ts";
 import type { ActiveCall } from "./active-call.ts";
 
-/** A call whose intent is committed and that is being carried out here. */
+/** A call that this node executes. Its intent is proposed; `committed` tells when it is committed. */
 export interface CallJob<Request extends CallRequest = CallRequest> {
   readonly replica: ShardReplica;
   readonly program: ProgramRecord;
@@ -20,11 +20,11 @@
   readonly active: ActiveCall;
   /** When the caller stops waiting, on the monotonic clock. */
   readonly deadlineMs: number;
-  /** Resolves once the intent is committed; nothing may leave before. Rejects when leadership is lost. */
+  /** Resolves once the intent is committed; nothing may be sent before. Rejects if leadership is lost. */
   readonly committed: Promise<void>;
 }
 
-/** How a call was carried out; still to be committed. */
+/** The result of executing a call, to be committed with its charge and decision. */
 export interface CallConclusion {
   readonly attempt: number;
   readonly outcome: CallOutcome;
@@ -33,7 +33,7 @@
   readonly decision: Decision;
 }
 
-/** An outcome without an answer. */
+/** Returns the outcome of a call that has no answer. */
 export function failedWith(problem: Problem): CallOutcome {
   return { type: "failed", problem };
 }
--- a/src/node/calls/call-service-parts.ts
+++ b/src/node/calls/call-service-parts.ts
@@ -8,7 +8,7 @@
 import type { DecisionBuilder } from "./decision-builder.ts";
 import type { ServiceCallExecutor } from "./service-call-executor.ts";
 
-/** What the handling of calls is made of. */
+/** The components that call handling depends on. */
 export interface CallServiceParts {
   readonly context: NodeContext;
   readonly shards: ShardHost;
@@ -21,7 +21,7 @@
   readonly rpc: RpcEndpoint;
 }
 
-/** Counters of calls since the start of the process. */
+/** Counts of calls since the start of the process. */
 export interface CallCounters {
   answered: number;
   failed: number;
--- a/src/node/calls/call-service.ts
+++ b/src/node/calls/call-service.ts
@@ -1,6 +1,7 @@
 /**
- * The leader's handling of calls: one at a time and in order for each program, each committed before it leaves
- * and before its end is told. After a change of leader, the new one finishes what the old one began.
+ * The leader's handling of calls. Each program's calls run one at a time and in order. The intent is committed before
+ * a call is sent, and the outcome before it is reported. After a change of leader, the new leader finishes the calls
+ * that the old one started.
  */
 import type { Problem } from "../../errors/problem.ts";
 import { problemOf, problemOfError } from "../../errors/tulipwheel-error.ts";
@@ -19,7 +20,7 @@
 
 const UNAVAILABLE_RETRY_AFTER_MS = 1_000;
 
-/** See the module's comment. */
+/** Handles submitted calls for the shards that this node leads. */
 export class CallService {
   readonly counters: CallCounters = { answered: 0, failed: 0, refused: 0, takenOver: 0 };
   readonly #parts: CallServiceParts;
@@ -40,7 +41,7 @@
     parts.shards.observe({ onLeadershipChanged: (replica) => this.#onLeadershipChanged(replica) });
   }
 
-  /** Calls being carried out here. */
+  /** Number of calls in progress on this node. */
   get activeCalls(): number {
     return this.#executor.size;
   }
@@ -57,12 +58,12 @@
     for (const stop of this.#stops) stop();
   }
 
-  /** From now on new calls are sent elsewhere; calls under way go on. */
+  /** Redirects new calls from now on; calls in progress continue. */
   stopAdmitting(): void {
     this.#admitting = false;
   }
 
-  /** A node hands in a call, for the first time or again. */
+  /** Handles the submission of a call, whether it is new or repeated. */
   onSubmit(submit: SubmitCall, from: string): void {
     const { shards, configuration } = this.#parts;
     const active = this.#executor.get(submit.call);
@@ -79,7 +80,7 @@
     this.#enqueue(replica, program, { submit, from, arrivedMs: this.#nowMs() });
   }
 
-  /** A caller hung up. When nobody else waits, the call is cancelled, so that it costs others nothing. */
+  /** Handles a caller's disconnect. Cancels the call if no other node waits for it, so that it stops using capacity. */
   onAbandon({ call }: AbandonCall, from: string): void {
     const active = this.#executor.get(call);
     active?.unsubscribe(from);
@@ -87,7 +88,7 @@
     for (const queue of this.#queues.values()) queue.remove(call);
   }
 
-  // Order
+  // Ordering of a program's calls
 
   #enqueue(replica: ShardReplica, program: ProgramRecord, entry: QueuedCall): void {
     const open = openCallOf(program);
@@ -104,7 +105,7 @@
     else if (queue.length === 0) this.#queues.delete(program.id);
   }
 
-  /** Holds the program's lane while a call runs. */
+  /** Marks the program's queue as busy while a call runs, then starts the next call. */
   async #runExclusively(
     replica: ShardReplica,
     program: ProgramRecord,
@@ -132,7 +133,7 @@
     }
   }
 
-  /** Goes on with a call whose intent an earlier leader committed. */
+  /** Resumes a call whose intent an earlier leader committed. */
   async #resume(
     replica: ShardReplica,
     program: ProgramRecord,
@@ -154,7 +155,7 @@
     });
   }
 
-  /** A number that is taken: the same request again is answered as before, another one is a conflict. */
+  /** Handles a number that is already used: the same request gets the earlier answer, a different one a conflict. */
   #repeatedNumberEvent(program: ProgramRecord, { submit }: QueuedCall): CallEvent | undefined {
     if (submit.number === undefined || submit.number >= program.nextNumber) return undefined;
     const earlier = program.calls.find((call) => call.number === submit.number);
@@ -197,7 +198,7 @@
     else this.#redirectWaitingCalls(replica);
   }
 
-  /** Calls under way are carried on here and committed by the new leader; those that wait go to the new leader. */
+  /** Redirects waiting calls to the new leader. Calls in progress continue here, and the new leader commits them. */
   #redirectWaitingCalls(replica: ShardReplica): void {
     for (const program of replica.state.programs.all()) {
       const queue = this.#queues.get(program.id);
@@ -211,20 +212,20 @@
   #onRunFailed(entry: QueuedCall, replica: ShardReplica, error: unknown): void {
     if (error instanceof RedirectSignal) return this.#redirect(entry.submit.call, entry.from, replica);
     const problem = problemOfError(error);
-    this.#parts.context.log.warn({ call: entry.submit.call, problem }, "call could not be carried out");
+    this.#parts.context.log.warn({ call: entry.submit.call, problem }, "call could not be executed");
     const retryAfterMs = problem.retryAfterMs ?? UNAVAILABLE_RETRY_AFTER_MS;
     const unknown = { ...problem, outcome: "unknown", retryAfterMs } as const;
     this.#send(entry.from, { type: "callFailed", call: entry.submit.call, problem: unknown });
   }
 
-  // Small helpers
+  // Helpers
 
   #sendSettledEvent(replica: ShardReplica, program: ProgramRecord, { submit, from }: QueuedCall): void {
     const event = settledEvent(replica, program, submit);
     if (event) this.#send(from, event);
   }
 
-  /** The same call identifier, made from an idempotency key, with another request. */
+  /** Detects that a call identifier, derived from an idempotency key, was already used with another request. */
   #conflictEvent(replica: ShardReplica, submit: SubmitCall): CallEvent | undefined {
     const record = replica.state.programs.call(submit.call);
     if (!record || record.requestHash === this.#hashOf(submit)) return undefined;
@@ -264,7 +265,7 @@
   }
 }
 
-/** The committed end or refusal of a call, if it has one. */
+/** Returns the event of a call's committed outcome or refusal, if it has one. */
 function settledEvent(
   replica: ShardReplica,
   program: ProgramRecord,
--- a/src/node/calls/call-takeover.ts
+++ b/src/node/calls/call-takeover.ts
@@ -5,9 +5,9 @@
 import type { CallServiceParts } from "./call-service-parts.ts";
 import type { QueuedCall } from "./program-queue.ts";
 
-/** What a takeover needs from the handling of calls. */
+/** What a takeover needs from the call service. */
 export interface TakeoverPort {
-  /** Carries on with a call; `entry` says who waits and what the caller has seen, if anybody told. */
+  /** Resumes a call. `entry` holds the waiting node and the text its caller has received, if a node reported them. */
   resume(
     replica: ShardReplica,
     program: ProgramRecord,
@@ -19,9 +19,9 @@
 const QUERY_TIMEOUT_MS = 1_000;
 
 /**
- * What a new leader does with calls that an earlier one began: leaves them to the earlier one while it lives and
- * carries them on, and takes them over otherwise. Nodes that callers speak to are given some time first to say what callers have seen,
- * so that the answer goes on from there.
+ * Handles calls that an earlier leader started. A call stays with the earlier leader while that node is alive and
+ * still executes it; otherwise the new leader takes the call over. Before that, the ingress nodes get a grace period
+ * to report what their callers have received, so that the answer continues from there.
  */
 export class CallTakeover {
   readonly #parts: CallServiceParts;
@@ -35,7 +35,7 @@
     this.#port = port;
   }
 
-  /** This node has begun to lead a shard. */
+  /** Looks for open calls to take over, one grace period after this node became the leader of a shard. */
   onBecameLeader(replica: ShardReplica): void {
     const { clock, settings } = this.#parts.context;
     const { term } = replica;
@@ -48,7 +48,7 @@
     });
   }
 
-  /** A node hands in a call that an earlier leader began. */
+  /** Handles the submission of a call that an earlier leader started. */
   onSubmit(replica: ShardReplica, program: ProgramRecord, record: CallRecord, entry: QueuedCall): void {
     this.#waiting.set(record.id, entry);
     void this.#resumeOrRedirect(replica, program, record);
@@ -56,7 +56,7 @@
 
   async #resumeOrRedirect(replica: ShardReplica, program: ProgramRecord, record: CallRecord): Promise<void> {
     const elsewhere = await this.#isRunningElsewhere(record);
-    // What a node said meanwhile counts, whoever began to look first.
+    // Uses a submission that arrived in the meantime, whichever check started first.
     const entry = this.#waiting.get(record.id);
     this.#waiting.delete(record.id);
     if (elsewhere) return this.#redirectOrRecheck(replica, program, record, entry);
@@ -76,7 +76,7 @@
     else this.#scheduleRecheck(replica, program, record);
   }
 
-  /** Whether an earlier leader that still lives carries the call out. It then also commits the end. */
+  /** Whether an earlier leader is alive and still executes the call. It then also commits the outcome. */
   async #isRunningElsewhere({ id: call, attempt, executor }: CallRecord): Promise<boolean> {
     const { rpc, context } = this.#parts;
     if (executor === context.self.address) return false;
--- a/src/node/calls/completion-conclusions.ts
+++ b/src/node/calls/completion-conclusions.ts
@@ -1,4 +1,4 @@
-/** How completions end: the outcome for the caller, what is charged, and why it was decided so. */
+/** Conclusions of completions: the outcome for the caller, the tokens charged, and the recorded decision. */
 import { problemOf } from "../../errors/tulipwheel-error.ts";
 import type { GenerateResult } from "../../ports/engine/engine-client.ts";
 import { utf8LengthBound } from "../../scheduling/admission/worst-case-tokens.ts";
@@ -14,10 +14,10 @@
 import type { DecisionBuilder } from "./decision-builder.ts";
 import { promptTokensBound } from "./prompt-estimates.ts";
 
-/** What an engine says of a completion that it has finished. */
+/** An engine's result for a completion that it has finished. */
 export type CompletedResult = Extract<GenerateResult, { type: "completed" }>;
 
-/** See the module's comment. */
+/** Builds the conclusion of a completion for each way in which it can end. */
 export class CompletionConclusions {
   readonly #context: NodeContext;
   readonly #decisions: DecisionBuilder;
@@ -27,7 +27,7 @@
     this.#decisions = decisions;
   }
 
-  /** The whole answer has come from `runner`. */
+  /** Concludes a completion whose whole answer arrived from `runner`. */
   completed(
     job: CompletionJob,
     progress: CompletionProgress,
@@ -42,7 +42,7 @@
     return this.#conclude(job, progress, outcome, usage.promptTokens + usage.completionTokens);
   }
 
-  /** The caller's patience ended before a runner had room. */
+  /** Concludes a completion for which no runner had a free slot within the caller's time. */
   unplaced(job: CompletionJob, progress: CompletionProgress): CallConclusion {
     const { retryAfterMs } = progress;
     const neverSent = progress.attempt === 1 && job.active.text === "";
@@ -52,13 +52,13 @@
     return this.#conclude(job, progress, failedWith(problemOf(kind, detail, { retryAfterMs, outcome })), 0);
   }
 
-  /** Engines broke the completion off. What it may have cost is charged in full. */
+  /** Concludes a completion that failed at the engines. Charges the whole reservation, since it may have been used. */
   broken(job: CompletionJob, progress: CompletionProgress, detail: string): CallConclusion {
     const problem = problemOf("back-end-failed", detail, { retryAfterMs: DEFAULT_RETRY_AFTER_MS });
     return this.#conclude(job, progress, failedWith(problem), job.record.reservation.tokens);
   }
 
-  /** The caller has hung up. */
+  /** Concludes a completion whose caller disconnected. Charges an upper bound of the prompt and of the text so far. */
   cancelled(job: CompletionJob, progress: CompletionProgress): CallConclusion {
     const problem = problemOf("back-end-failed", "The caller hung up, and the call was cancelled.");
     const spent = promptTokensBound(job) + utf8LengthBound(job.active.text);
--- a/src/node/calls/completion-executor.ts
+++ b/src/node/calls/completion-executor.ts
@@ -1,4 +1,4 @@
-/** Carries out completions: gets a slot, streams, and goes on elsewhere when an engine breaks. */
+/** Executes completions: obtains a slot, streams the text, and continues on another runner when an engine fails. */
 import type { EngineClient, GenerateResult } from "../../ports/engine/engine-client.ts";
 import { RedirectSignal } from "../../runtime/rpc.ts";
 import { PRIORITY_CLASSES } from "../../scheduling/policy/effective-policy.ts";
@@ -18,10 +18,10 @@
 import type { DecisionBuilder } from "./decision-builder.ts";
 import type { SlotClient } from "./slot-client.ts";
 
-/** Attempts at one completion, the first included. */
+/** Maximum number of attempts at one completion, including the first. */
 const MAX_ATTEMPTS = 5;
 
-/** See the module's comment. */
+/** Executes completion jobs, with further attempts on other runners if one fails. */
 export class CompletionExecutor {
   readonly #context: NodeContext;
   readonly #committer: ShardCommitter;
@@ -49,7 +49,7 @@
     this.#conclusions = new CompletionConclusions(context, decisions);
   }
 
-  /** Carries out a completion. Throws a redirect when this node stops leading the shard. */
+  /** Executes a completion. Throws a redirect if this node stops leading the shard. */
   async run(job: CompletionJob): Promise<CallConclusion> {
     const progress: CompletionProgress = {
       attempt: job.record.attempt,
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Nothing may leave before the intent is committed; if it never will be, the slot goes back. */
+  /** Nothing may be sent before the intent is committed. If the commit fails, returns the slot. */
   async #awaitIntent(
     job: CompletionJob,
     progress: CompletionProgress,
@@ -83,7 +83,7 @@
     }
   }
 
-  /** One attempt on a runner; undefined when it is to be tried again. */
+  /** Makes one attempt on a runner; returns undefined if the completion is to be tried again. */
   async #attempt(
     job: CompletionJob,
     progress: CompletionProgress,
@@ -128,7 +128,7 @@
     );
   }
 
-  /** The engine has finished; an answer that is not whole here is tried again. */
+  /** Concludes a completion that the engine has finished. Retries it if part of the answer did not arrive here. */
   #complete(
     job: CompletionJob,
     progress: CompletionProgress,
@@ -142,7 +142,10 @@
     return this.#nextAttempt(job, progress, `The answer has ${length} of ${result.length} characters.`);
   }
 
-  /** Commits that the completion may be sent again. The broken attempt may have cost all that was reserved. */
+  /**
+   * Commits a further attempt before the completion is sent again. Ensures budget for it, since the failed attempt may
+   * have used the whole reservation.
+   */
   async #nextAttempt(
     job: CompletionJob,
     progress: CompletionProgress,
--- a/src/node/calls/completion-placement.ts
+++ b/src/node/calls/completion-placement.ts
@@ -1,4 +1,4 @@
-/** Finds runners for completions, and gets slots from the runners' homes. */
+/** Chooses runners for completions and requests slots from the runners' homes. */
 import { delay } from "../../runtime/clock.ts";
 import type { Alternative } from "../../scheduling/decision/decision.ts";
 import type { SlotRequest } from "../../scheduling/queue/slot-request.ts";
@@ -14,9 +14,9 @@
 import { cachedPrefixes, promptTokensBound } from "./prompt-estimates.ts";
 import type { SlotClient } from "./slot-client.ts";
 
-/** Wait before the runners are looked at again when none can be had, in ms. */
+/** Delay before the runners are checked again when none is available, in ms. */
 const NO_RUNNER_DELAY_MS = 100;
-/** Random candidates beside those that hold the prefix. */
+/** Number of random candidates in addition to the runners that have the prefix cached. */
 const RANDOM_CANDIDATES = 2;
 
 /** A runner with a granted slot. */
@@ -26,7 +26,7 @@
   readonly fencingToken: number;
 }
 
-/** See the module's comment. */
+/** Obtains a slot for a completion on the best available runner. */
 export class CompletionPlacement {
   readonly #context: NodeContext;
   readonly #directory: RunnerDirectory;
@@ -38,7 +38,7 @@
     this.#slotClient = slotClient;
   }
 
-  /** Gets a slot somewhere; undefined when the caller's patience ends first. */
+  /** Obtains a slot on some runner; returns undefined if the caller's time runs out or the call is cancelled first. */
   async place(job: CompletionJob, progress: CompletionProgress): Promise<Placement | undefined> {
     while (!job.active.cancellation.cancelled && this.#remainingMs(job) > 0) {
       const views = this.#directory.views();
@@ -76,7 +76,7 @@
     return undefined;
   }
 
-  /** Gives a slot back, whether it was granted or is still asked for. */
+  /** Returns a granted slot or withdraws a pending request. */
   release({ runner, home }: Placement, job: CompletionJob, attempt: number): void {
     this.#slotClient.release(runner.runner, home, job.record.id, attempt);
   }
--- a/src/node/calls/decision-builder.ts
+++ b/src/node/calls/decision-builder.ts
@@ -4,7 +4,7 @@
 import type { ConfigurationService } from "../configuration/configuration-service.ts";
 import type { NodeContext } from "../node-context.ts";
 
-/** What is particular to one decision. */
+/** The fields of a decision that its caller supplies. */
 export interface DecisionParts {
   readonly subject: string;
   readonly verdict: Verdict;
@@ -15,7 +15,7 @@
   readonly attempts?: number;
 }
 
-/** Writes down decisions. */
+/** Builds the records of decisions, adding the time, this node and the configuration version. */
 export class DecisionBuilder {
   readonly #context: NodeContext;
   readonly #configuration: ConfigurationService;
@@ -25,7 +25,7 @@
     this.#configuration = configuration;
   }
 
-  /** A decision made here and now. */
+  /** Builds the record of a decision that this node makes now. */
   build(parts: DecisionParts): Decision {
     return {
       subject: parts.subject,
@@ -41,7 +41,7 @@
     };
   }
 
-  /** The inputs that every decision about a program has. */
+  /** Returns the inputs that every decision about a program includes. */
   inputsOf(program: ProgramRecord, policy: EffectivePolicy | undefined): DecisionInputs {
     const slackMs = program.deadlineAtMs && program.deadlineAtMs - this.#context.clock.wallMs();
     return {
--- a/src/node/calls/prompt-estimates.ts
+++ b/src/node/calls/prompt-estimates.ts
@@ -3,14 +3,15 @@
 import type { CachedPrefix } from "../../scheduling/runner-selection/runner-view.ts";
 import type { CompletionJob } from "./completion-progress.ts";
 
-/** The most tokens that a completion's prompt can have. */
+/** Returns an upper bound of the tokens in a completion's prompt. */
 export function promptTokensBound({ program, request }: CompletionJob): number {
   return program.historyTokens + messageTokensBound(request.messages);
 }
 
 /**
- * The runner of the program's last completed turn is believed to hold the history up to there; for a child without
- * one, the runner of the parent's turn that it was forked after.
+ * Returns the prefix that a runner is expected to have cached. The runner of the program's last completed turn should
+ * hold the history up to that turn. For a child program without a completed turn, it is the runner of the parent's
+ * last completed turn at or before the fork point.
  */
 export function cachedPrefixes({ program, replica }: CompletionJob): CachedPrefix[] {
   const own = lastCompletion(program.calls);
--- a/src/node/calls/service-call-executor.ts
+++ b/src/node/calls/service-call-executor.ts
@@ -10,7 +10,7 @@
 import { type CallConclusion, type CallJob, failedWith } from "./call-job.ts";
 import type { DecisionBuilder } from "./decision-builder.ts";
 
-/** Attempts at a repeatable call, the first included. */
+/** Maximum number of attempts at a repeatable call, including the first. */
 const MAX_ATTEMPTS = 4;
 const RETRY_DELAY_MS = 100;
 const RETRY_AFTER_MS = 2_000;
@@ -18,8 +18,8 @@
 type ServiceJob = CallJob<ServiceRequest>;
 
 /**
- * Carries out calls to services. A call that may not be repeated is sent once, by the leader that committed its
- * intent, and never by a later one.
+ * Executes calls to services. A call that may not be repeated is sent once, by the leader that committed its intent,
+ * and never by a later leader.
  */
 export class ServiceCallExecutor {
   readonly #context: NodeContext;
@@ -42,7 +42,7 @@
     this.#decisions = decisions;
   }
 
-  /** Carries out a call of this leader's own, or a repeatable one of an earlier leader. */
+  /** Executes a call that this leader admitted, or a repeatable call of an earlier leader. */
   async run(job: ServiceJob): Promise<CallConclusion> {
     const startMs = this.#context.clock.monotonicMs();
     await job.committed;
@@ -63,7 +63,10 @@
     }
   }
 
-  /** After a pause in which another leader may have been elected, nothing may be sent: that one has said how it ended. */
+  /**
+   * Throws a redirect after a pause in which another leader may have been elected, unless this node still has a
+   * majority. Nothing may be sent then: the other leader may already have reported the outcome.
+   */
   #requireMajorityAfterPause(job: ServiceJob, startMs: number): void {
     const nowMs = this.#context.clock.monotonicMs();
     const { electionTimeoutMs } = this.#context.settings.timing.shardGroup;
@@ -71,7 +74,7 @@
     throw new RedirectSignal(job.replica.leader?.address);
   }
 
-  /** A call of an earlier leader that may not be repeated: whether it ran cannot be known here. */
+  /** Concludes a non-repeatable call of an earlier leader: this node cannot know whether it ran. */
   concludeUnknown(job: ServiceJob): CallConclusion {
     const detail = `The leader that sent ${describe(job.request)} is gone, and no answer is recorded.`;
     return this.#conclude(job, job.record.attempt, 0, failedWith(problemOf("outcome-unknown", detail)));
--- a/src/node/calls/slot-client.ts
+++ b/src/node/calls/slot-client.ts
@@ -4,11 +4,11 @@
 import type { NodeContext } from "../node-context.ts";
 import type { RunnerDirectory } from "../runners/runner-directory.ts";
 
-/** How a request for a slot ended. */
+/** The result of a slot request. */
 export type SlotReply =
   | { readonly type: "granted"; readonly fencingToken: number; readonly waitedMs: number }
   | { readonly type: "refused"; readonly reason: SlotRefused["reason"]; readonly retryAfterMs: number }
-  /** The home does not answer. */
+  /** The runner's home did not answer, or the request was withdrawn. */
   | { readonly type: "silent" };
 
 interface PendingSlot {
@@ -20,10 +20,13 @@
   timer: TimerHandle;
 }
 
-/** Repetitions without any answer after which a home counts as gone. */
+/** Number of sends without any answer after which a home counts as unreachable. */
 const MAX_UNANSWERED_SENDS = 4;
 
-/** The leader's side of slot requests: repeats them until the home answers, or gives the home up. */
+/**
+ * Requests slots from runner homes on behalf of a shard's leader. Resends each request until the home grants or
+ * refuses it, and gives up when the home stops answering.
+ */
 export class SlotClient {
   readonly #context: NodeContext;
   readonly #directory: RunnerDirectory;
@@ -35,7 +38,7 @@
     this.#directory = directory;
   }
 
-  /** Asks a runner's home for a slot. A slot that was granted must be given to {@link release}. */
+  /** Requests a slot from a runner's home. A granted slot must be returned with {@link release}. */
   request(runner: string, home: string, request: SlotRequest): Promise<SlotReply> {
     return new Promise((resolve) => {
       const key = slotKey(request.call, request.attempt);
@@ -45,7 +48,7 @@
     });
   }
 
-  /** Gives a slot back, or takes a request out of the line. */
+  /** Returns a slot, or withdraws a pending request from the home's queue. */
   release(runner: string, home: string, call: string, attempt: number): void {
     const key = slotKey(call, attempt);
     this.#settle(key, { type: "silent" });
@@ -53,7 +56,7 @@
     this.#context.transport.send(home, { type: "releaseSlot", runner, call, attempt });
   }
 
-  /** A home granted a slot. One that nobody waits for any more goes back at once. */
+  /** Handles a granted slot. Returns it immediately if no request waits for it any more. */
   onGranted(message: SlotGranted, from: string): void {
     this.#directory.learn(from, message.load);
     const { runner, call, attempt, fencingToken, waitedMs } = message;
@@ -66,13 +69,13 @@
     }
   }
 
-  /** A home put a request in line. */
+  /** Handles the notice that a home queued a request. */
   onQueued(message: SlotQueued): void {
     const pending = this.#pending.get(slotKey(message.call, message.attempt));
     if (pending) pending.unansweredSends = 0;
   }
 
-  /** A home refused a request. */
+  /** Handles a refused request. */
   onRefused(message: SlotRefused, from: string): void {
     this.#directory.learn(from, message.load);
     if (message.reason === "not-home") this.#directory.forgetHome(message.runner, from);
