--- a/src/node/ingress/call-session.ts
+++ b/src/node/ingress/call-session.ts
@@ -35,11 +35,11 @@
 
 const UNAVAILABLE_RETRY_AFTER_MS = 2_000;
 const MAX_DECISION_MARGIN_MS = 400;
-const DECISION_MARGIN_PART = 0.2;
+const DECISION_MARGIN_RATIO = 0.2;
 
 /** The leader must decide a little before the caller stops waiting, so that its certain answer beats "unknown". */
 function decisionMarginMs(patienceMs: number): number {
-  return Math.min(MAX_DECISION_MARGIN_MS, patienceMs * DECISION_MARGIN_PART);
+  return Math.min(MAX_DECISION_MARGIN_MS, patienceMs * DECISION_MARGIN_RATIO);
 }
 
 /**
@@ -59,7 +59,7 @@
   #submittedTo: string | undefined;
   #retryTimer: TimerHandle | undefined;
   #deadlineTimer: TimerHandle | undefined;
-  #lastHeardMs: number;
+  #lastEventMs: number;
 
   /** @param onText called with each further piece of the answer's text */
   constructor(port: CallSessionPort, parameters: CallParameters, onText: (text: string) => void) {
@@ -67,7 +67,7 @@
     this.#parameters = parameters;
     this.#onText = onText;
     this.#startMs = port.clock.monotonicMs();
-    this.#lastHeardMs = this.#startMs;
+    this.#lastEventMs = this.#startMs;
     let resolveResult: (result: CallResult) => void = () => undefined;
     this.result = new Promise((resolve) => {
       resolveResult = resolve;
@@ -99,7 +99,7 @@
   /** Takes in an event from a node. */
   onEvent(event: CallEvent, from: string): void {
     if (this.#settled) return;
-    this.#lastHeardMs = this.#port.clock.monotonicMs();
+    this.#lastEventMs = this.#port.clock.monotonicMs();
     switch (event.type) {
       case "callAccepted":
         this.#accepted = true;
@@ -135,22 +135,22 @@
         patienceMs: Math.max(1, patienceMs - elapsedMs - decisionMarginMs(patienceMs)),
       });
     }
-    this.#watch();
+    this.#scheduleSilenceCheck();
   }
 
   /** Looks after a while whether the leader has given a sign of life. */
-  #watch(): void {
+  #scheduleSilenceCheck(): void {
     const { clock, settings } = this.#port;
     if (this.#retryTimer) clock.cancel(this.#retryTimer);
     const waitMs = this.#accepted ? settings.timing.leaderSilenceMs : settings.timing.submitRetryMs;
-    this.#retryTimer = clock.schedule(waitMs, () => this.#onQuiet(waitMs));
+    this.#retryTimer = clock.schedule(waitMs, () => this.#onSilence(waitMs));
   }
 
-  #onQuiet(waitMs: number): void {
+  #onSilence(waitMs: number): void {
     const { clock, router, settings } = this.#port;
     if (this.#settled) return;
-    const silenceMs = clock.monotonicMs() - this.#lastHeardMs;
-    if (this.#accepted && silenceMs < waitMs) return this.#watch();
+    const silenceMs = clock.monotonicMs() - this.#lastEventMs;
+    if (this.#accepted && silenceMs < waitMs) return this.#scheduleSilenceCheck();
     if (silenceMs > settings.timing.unavailableAfterMs) return this.#giveUp();
     router.learn(this.#parameters.shard, undefined);
     this.#accepted = false;
@@ -161,21 +161,21 @@
     this.#port.router.learn(this.#parameters.shard, leader);
     this.#accepted = false;
     if (leader && leader !== from) return this.#submit(from, leader);
-    this.#watch();
+    this.#scheduleSilenceCheck();
   }
 
   /** Pieces that were seen before are cut off; after a gap the call is handed in again to get what is missing. */
   #onChunk({ offset, text }: CallChunk, from: string): void {
-    const fresh = text.slice(this.#received.length - offset);
+    const newText = text.slice(this.#received.length - offset);
     if (offset > this.#received.length) return this.#submit(undefined, from);
     if (offset + text.length <= this.#received.length) return;
-    this.#received += fresh;
-    if (this.#parameters.streamed) this.#onText(fresh);
+    this.#received += newText;
+    if (this.#parameters.streamed) this.#onText(newText);
   }
 
   #onFinished({ number, answer }: CallFinished): void {
     if (answer.type === "completion" && this.#parameters.streamed) {
-      if (!answer.text.startsWith(this.#received)) return this.#settle(this.#interrupted());
+      if (!answer.text.startsWith(this.#received)) return this.#settle(this.#interruptedResult());
       const rest = answer.text.slice(this.#received.length);
       this.#received = answer.text;
       if (rest) this.#onText(rest);
@@ -183,7 +183,7 @@
     this.#settle({ type: "answered", number, answer });
   }
 
-  #interrupted(): CallResult {
+  #interruptedResult(): CallResult {
     const detail = `Another answer to ${this.call} was committed than the one that had begun.`;
     return { type: "failed", problem: problemOf("answer-interrupted", detail) };
   }
--- a/src/node/ingress/chat-completions.ts
+++ b/src/node/ingress/chat-completions.ts
@@ -14,7 +14,7 @@
 export type CallHeaders = Omit<MakeCallParameters, "request" | "streamed">;
 
 /** Answers `POST /v1/chat/completions`, streamed or whole, as OpenAI clients expect. */
-export async function chatCompletions(
+export async function handleChatCompletion(
   ingress: Ingress,
   exchange: HttpExchange,
   headers: CallHeaders,
@@ -76,7 +76,7 @@
       return this.#exchange.sendProblem(problem);
     }
     if (this.#body.stream) this.#endStream(result.answer);
-    else this.#sendWhole(result.answer, result.number);
+    else this.#sendUnstreamed(result.answer, result.number);
   }
 
   #endFailed(result: Extract<CallResult, { type: "failed" }>): void {
@@ -99,7 +99,7 @@
     this.#exchange.response.end();
   }
 
-  #sendWhole(answer: CompletionAnswer, number: number): void {
+  #sendUnstreamed(answer: CompletionAnswer, number: number): void {
     const message = { role: "assistant", content: answer.text };
     const choice = { index: 0, message, finish_reason: answer.finishReason };
     const body = { ...this.#envelope("chat.completion"), choices: [choice], usage: usageOf(answer) };
@@ -126,7 +126,7 @@
 }
 
 /** The header without which no call can be placed. */
-export function requireProgram(program: string | undefined): string {
+export function requireProgramHeader(program: string | undefined): string {
   if (program) return program;
   throw requestError(
     "invalid-request",
--- a/src/node/ingress/http-exchange.ts
+++ b/src/node/ingress/http-exchange.ts
@@ -4,7 +4,7 @@
 
 const MS_PER_SECOND = 1_000;
 /** Bytes that may wait for a caller who does not read. */
-const MAX_UNREAD_BYTES = 8 * 1024 * 1024;
+const MAX_UNSENT_BYTES = 8 * 1024 * 1024;
 
 /** One request and its response, with what every route needs. */
 export class HttpExchange {
@@ -41,7 +41,7 @@
         length += part.length;
         // What is too much is read and dropped, so that the caller gets to see the answer.
         if (length <= this.#bodyBytes) parts.push(part);
-        else reject(bodyTooLarge(this.#bodyBytes));
+        else reject(bodyTooLargeError(this.#bodyBytes));
       });
       this.request.on("end", () => resolve(Buffer.concat(parts).toString("utf8")));
       this.request.on("error", () => reject(requestError("request-timeout", "The request broke off.")));
@@ -99,7 +99,7 @@
 
   /** Sends one event. A caller who does not read is cut off. */
   sendEvent(data: string): void {
-    if (this.response.writableLength > MAX_UNREAD_BYTES) this.response.destroy();
+    if (this.response.writableLength > MAX_UNSENT_BYTES) this.response.destroy();
     else this.response.write(`data: ${data}\n\n`);
   }
 }
@@ -125,7 +125,7 @@
   return { "retry-after": String(Math.max(1, Math.ceil(retryAfterMs / MS_PER_SECOND))) };
 }
 
-function bodyTooLarge(limit: number) {
+function bodyTooLargeError(limit: number) {
   return requestError("body-too-large", `The body is larger than ${limit} bytes.`);
 }
 
--- a/src/node/ingress/ingress-server.ts
+++ b/src/node/ingress/ingress-server.ts
@@ -4,13 +4,13 @@
 import { listenAt } from "../../runtime/listen-at.ts";
 import type { ProgramRecord } from "../../scheduling/program/records.ts";
 import type { IngressSettings } from "../../settings/ingress-settings.ts";
-import { type CallHeaders, chatCompletions, requireProgram } from "./chat-completions.ts";
+import { type CallHeaders, handleChatCompletion, requireProgramHeader } from "./chat-completions.ts";
 import { HttpExchange, problemDocument } from "./http-exchange.ts";
 import type { Ingress } from "./ingress.ts";
-import { checkBody, checkPositiveInteger, openProgramSchema } from "./request-schemas.ts";
-import { serviceCalls } from "./service-calls.ts";
+import { checkBody, openProgramSchema, parsePositiveInteger } from "./request-schemas.ts";
+import { handleServiceCall } from "./service-calls.ts";
 
-const CONNECTIONS_CHECK_MS = 500;
+const CONNECTIONS_CHECK_INTERVAL_MS = 500;
 const CREATED = 201;
 const OK = 200;
 const NOT_READY = 503;
@@ -30,7 +30,7 @@
   readonly #settings: IngressSettings;
   readonly #node: IngressNode;
   readonly #server: Server;
-  #active = 0;
+  #activeRequests = 0;
   #draining = false;
 
   constructor(ingress: Ingress, settings: IngressSettings, node: IngressNode) {
@@ -42,15 +42,15 @@
       maxHeaderSize: headerBytes,
       requestTimeout: requestMs,
       headersTimeout: requestMs,
-      connectionsCheckingInterval: CONNECTIONS_CHECK_MS,
+      connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MS,
     });
     this.#server.on("request", (request, response) => void this.#serve(request, response));
-    this.#server.on("clientError", (error, socket) => refuseMalformed(error, socket as Socket));
+    this.#server.on("clientError", (error, socket) => sendMalformedProblem(error, socket as Socket));
   }
 
   /** Requests in progress. */
   get activeRequests(): number {
-    return this.#active;
+    return this.#activeRequests;
   }
 
   /** Listens; returns the address, with the port that was taken for port 0. */
@@ -79,9 +79,9 @@
   async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const exchange = new HttpExchange(request, response, this.#settings.limits.bodyBytes);
     if (this.#draining) response.setHeader("connection", "close");
-    this.#active += 1;
+    this.#activeRequests += 1;
     try {
-      if (this.#active > this.#settings.limits.concurrentRequests) {
+      if (this.#activeRequests > this.#settings.limits.concurrentRequests) {
         const detail = `More than ${this.#settings.limits.concurrentRequests} requests are in progress.`;
         throw requestError("overloaded", detail, { retryAfterMs: RETRY_AFTER_MS });
       }
@@ -89,25 +89,26 @@
     } catch (error) {
       exchange.sendError(error);
     } finally {
-      this.#active -= 1;
+      this.#activeRequests -= 1;
     }
   }
 
   #route(exchange: HttpExchange): Promise<void> | void {
     const { pathname } = exchange.url;
-    if (pathname === "/healthz") return this.#health(exchange);
+    if (pathname === "/healthz") return this.#sendHealth(exchange);
     if (pathname === "/v1/addresses" && exchange.method === "GET") return this.#sendAddresses(exchange);
-    if (pathname === "/v1/chat/completions" && exchange.method === "POST") return this.#chat(exchange);
+    if (pathname === "/v1/chat/completions" && exchange.method === "POST")
+      return this.#handleChatCompletion(exchange);
     if (pathname === "/v1/programs" && exchange.method === "POST") return this.#openProgram(exchange);
-    if (pathname.startsWith("/v1/programs/")) return this.#program(exchange);
+    if (pathname.startsWith("/v1/programs/")) return this.#handleProgram(exchange);
     if (pathname.startsWith("/v1/services/")) {
-      return serviceCalls(this.#ingress, exchange, this.#callHeaders(exchange));
+      return handleServiceCall(this.#ingress, exchange, this.#callHeaders(exchange));
     }
-    if (pathname.startsWith("/v1/decisions/")) return this.#decision(exchange);
+    if (pathname.startsWith("/v1/decisions/")) return this.#sendDecision(exchange);
     throw requestError("not-found", `There is nothing at ${exchange.method} ${pathname}.`);
   }
 
-  #health(exchange: HttpExchange): void {
+  #sendHealth(exchange: HttpExchange): void {
     const ready = this.#node.ready && !this.#draining;
     exchange.sendJson(ready ? OK : NOT_READY, { ready, draining: this.#draining });
   }
@@ -120,22 +121,22 @@
     exchange.sendJson(OK, { addresses, ttlSeconds: this.#settings.timing.addressesTtlS });
   }
 
-  #chat(exchange: HttpExchange): Promise<void> {
+  #handleChatCompletion(exchange: HttpExchange): Promise<void> {
     const headers = this.#callHeaders(exchange);
-    return chatCompletions(this.#ingress, exchange, headers, this.#settings.limits.defaultMaxTokens);
+    return handleChatCompletion(this.#ingress, exchange, headers, this.#settings.limits.defaultMaxTokens);
   }
 
   async #openProgram(exchange: HttpExchange): Promise<void> {
     const body = checkBody(openProgramSchema, await exchange.json());
-    const tenant = body.tenant ?? this.#tenant(exchange);
+    const tenant = body.tenant ?? this.#requireTenant(exchange);
     const { template, parent, deadlineMs } = body;
     const program = await this.#ingress.openProgram({ tenant, template, parent, deadlineMs });
     exchange.sendJson(CREATED, programView(program), { location: `/v1/programs/${program.id}` });
   }
 
-  async #program(exchange: HttpExchange): Promise<void> {
+  async #handleProgram(exchange: HttpExchange): Promise<void> {
     const [, , , id, part, ...rest] = exchange.url.pathname.split("/");
-    const tenant = this.#tenant(exchange);
+    const tenant = this.#requireTenant(exchange);
     if (exchange.method === "DELETE" && part === undefined) {
       return exchange.sendJson(OK, programView(await this.#ingress.endProgram(id, tenant)));
     }
@@ -146,12 +147,12 @@
     throw requestError("not-found", `There is nothing at ${exchange.method} ${exchange.url.pathname}.`);
   }
 
-  async #decision(exchange: HttpExchange): Promise<void> {
+  async #sendDecision(exchange: HttpExchange): Promise<void> {
     const subject = decodeURIComponent(exchange.url.pathname.slice("/v1/decisions/".length));
-    exchange.sendJson(OK, await this.#ingress.readDecision(subject, this.#tenant(exchange)));
+    exchange.sendJson(OK, await this.#ingress.readDecision(subject, this.#requireTenant(exchange)));
   }
 
-  #tenant(exchange: HttpExchange): string {
+  #requireTenant(exchange: HttpExchange): string {
     const tenant = exchange.header("tulipwheel-tenant") ?? this.#settings.defaultTenant;
     if (tenant) return tenant;
     throw requestError("invalid-request", "The header Tulipwheel-Tenant must name the tenant.");
@@ -159,11 +160,11 @@
 
   #callHeaders(exchange: HttpExchange): CallHeaders {
     return {
-      tenant: this.#tenant(exchange),
-      program: requireProgram(exchange.header("tulipwheel-program")),
-      number: checkPositiveInteger("Tulipwheel-Call", exchange.header("tulipwheel-call")),
+      tenant: this.#requireTenant(exchange),
+      program: requireProgramHeader(exchange.header("tulipwheel-program")),
+      number: parsePositiveInteger("Tulipwheel-Call", exchange.header("tulipwheel-call")),
       idempotencyKey: exchange.header("idempotency-key"),
-      patienceMs: checkPositiveInteger("Tulipwheel-Timeout-Ms", exchange.header("tulipwheel-timeout-ms")),
+      patienceMs: parsePositiveInteger("Tulipwheel-Timeout-Ms", exchange.header("tulipwheel-timeout-ms")),
     };
   }
 }
@@ -198,7 +199,7 @@
 }
 
 /** Answers what Node.js itself could not read as a request. */
-function refuseMalformed(error: NodeJS.ErrnoException, socket: Socket): void {
+function sendMalformedProblem(error: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable) return;
   const problem = malformedProblem(error.code);
   const body = JSON.stringify(problemDocument(problem));
--- a/src/node/ingress/ingress.ts
+++ b/src/node/ingress/ingress.ts
@@ -36,7 +36,7 @@
 }
 
 /** A program to be opened. */
-export interface OpenParameters {
+export interface OpenProgramParameters {
   readonly tenant: string;
   readonly template: string;
   readonly parent: ForkPoint | undefined;
@@ -80,7 +80,7 @@
   }
 
   /** Opens a program. */
-  async openProgram({ tenant, template, parent, deadlineMs }: OpenParameters): Promise<ProgramRecord> {
+  async openProgram({ tenant, template, parent, deadlineMs }: OpenProgramParameters): Promise<ProgramRecord> {
     if (parent) requireProgramId(parent.program);
     const token = this.#ports.random.token(parent ? CHILD_TOKEN_LENGTH : ROOT_TOKEN_LENGTH);
     const program = parent ? childProgramId(parent.program, token) : rootProgramId(token);
@@ -101,7 +101,7 @@
 
   /** Reads why a call or a program was treated as it was. */
   async readDecision(subject: string, tenant: string): Promise<DecisionView> {
-    if (!isCallId(subject) && !isProgramId(subject)) throw badIdentifier(subject);
+    if (!isCallId(subject) && !isProgramId(subject)) throw invalidIdentifierError(subject);
     return this.#askLeader(programOfCall(subject), "readDecision", { subject, tenant });
   }
 
@@ -117,7 +117,7 @@
       { program, call, tenant, shard, number, request, patienceMs, streamed },
       onText,
     );
-    this.#track(session);
+    this.#trackSession(session);
     session.start();
     return session;
   }
@@ -128,7 +128,7 @@
     return `k${hash.hash64(idempotencyKey)}${hash.hash64(`${idempotencyKey}|`)}`;
   }
 
-  #track(session: CallSession): void {
+  #trackSession(session: CallSession): void {
     const sessions = this.#sessions.get(session.call) ?? new Set();
     sessions.add(session);
     this.#sessions.set(session.call, sessions);
@@ -154,9 +154,9 @@
 }
 
 function requireProgramId(program: string): void {
-  if (!isProgramId(program)) throw badIdentifier(program);
+  if (!isProgramId(program)) throw invalidIdentifierError(program);
 }
 
-function badIdentifier(text: string) {
+function invalidIdentifierError(text: string) {
   return requestError("invalid-request", `"${text.slice(0, 80)}" is not an identifier of a program or call.`);
 }
--- a/src/node/ingress/request-schemas.ts
+++ b/src/node/ingress/request-schemas.ts
@@ -49,7 +49,7 @@
 }
 
 /** Reads a header that must be a positive integer. */
-export function checkPositiveInteger(name: string, value: string | undefined): number | undefined {
+export function parsePositiveInteger(name: string, value: string | undefined): number | undefined {
   if (value === undefined) return undefined;
   if (/^[1-9]\d{0,9}$/.test(value)) return Number(value);
   throw requestError(
--- a/src/node/ingress/service-calls.ts
+++ b/src/node/ingress/service-calls.ts
@@ -8,7 +8,7 @@
 const METHODS = new Set(["GET", "POST", "PUT", "PATCH", "DELETE"]);
 
 /** Answers `ANY /v1/services/{service}/{path}`: a call to a tool or application service. */
-export async function serviceCalls(
+export async function handleServiceCall(
   ingress: Ingress,
   exchange: HttpExchange,
   headers: CallHeaders,
--- a/src/node/programs/program-service.ts
+++ b/src/node/programs/program-service.ts
@@ -24,7 +24,7 @@
 import type { ShardReplica } from "../shard-replica.ts";
 
 /** Time between looks for programs that are abandoned or can be forgotten, in ms. */
-const SWEEP_MS = 5_000;
+const SWEEP_INTERVAL_MS = 5_000;
 const RETRY_AFTER_MS = 1_000;
 
 /** Opens, ends, shows and forgets the programs of the shards that this node leads. */
@@ -53,7 +53,7 @@
     rpc.handle("openProgram", (request) => this.#open(request));
     rpc.handle("endProgram", (request) => this.#end(request));
     rpc.handle("readProgram", async ({ program, tenant }) => ({
-      program: this.#owned(program, tenant).program,
+      program: this.#requireOwned(program, tenant).program,
     }));
     rpc.handle("readDecision", async (request) => this.#readDecision(request));
     rpc.handle("findGone", async (request) => this.#findGone(request));
@@ -61,7 +61,11 @@
 
   /** Starts looking for programs that are abandoned or can be forgotten. */
   start(): void {
-    this.#stopSweep = repeat(this.#context.clock, SWEEP_MS, () => void this.#sweep().catch(() => undefined));
+    this.#stopSweep = repeat(
+      this.#context.clock,
+      SWEEP_INTERVAL_MS,
+      () => void this.#sweep().catch(() => undefined),
+    );
   }
 
   /** Stops looking. */
@@ -79,7 +83,7 @@
     if (!this.#configuration.ready || !this.#admitting) throw new RedirectSignal(undefined);
     const existing = replica.state.programs.get(request.program);
     if (existing) return { program: existing };
-    const parent = request.parent && this.#owned(request.parent.program, request.tenant).program;
+    const parent = request.parent && this.#requireOwned(request.parent.program, request.tenant).program;
     const refusal = await this.#refuseIfNeeded(replica, request, parent);
     if (refusal) throw refusal;
     const policy = this.#configuration.policyOf(request.tenant, request.template);
@@ -115,7 +119,7 @@
   ) {
     const refused = replica.state.programs.refused(request.program);
     if (refused) return errorOfProblem(refused.problem);
-    const problem = this.#checkOpen(replica, request, parent);
+    const problem = this.#findOpenProblem(replica, request, parent);
     if (!problem) return undefined;
     const inputs = programInputs(request, this.#configuration.findPolicy(request), request.deadlineMs);
     const decision = this.#decisions.build({
@@ -129,10 +133,10 @@
     return errorOfProblem(problem);
   }
 
-  #checkOpen(replica: ShardReplica, request: OpenProgramRequest, parent: ProgramRecord | undefined) {
+  #findOpenProblem(replica: ShardReplica, request: OpenProgramRequest, parent: ProgramRecord | undefined) {
     try {
       const policy = this.#configuration.policyOf(request.tenant, request.template);
-      const open = this.#countOpen(replica, request);
+      const open = this.#countOpenPrograms(replica, request);
       const refusal = checkProgram(policy, parent ? parent.depth + 1 : 0, open);
       if (!refusal) return undefined;
       const retryAfterMs = refusal.limit?.name === "openPrograms" ? { retryAfterMs: RETRY_AFTER_MS } : {};
@@ -142,7 +146,7 @@
     }
   }
 
-  #countOpen(replica: ShardReplica, { tenant, template }: OpenProgramRequest): number {
+  #countOpenPrograms(replica: ShardReplica, { tenant, template }: OpenProgramRequest): number {
     let open = 0;
     for (const program of replica.state.programs.all()) {
       if (program.endedAtMs === undefined && program.tenant === tenant && program.template === template)
@@ -152,7 +156,7 @@
   }
 
   async #end({ program: id, tenant, reason }: EndProgramRequest): Promise<ProgramView> {
-    const { replica, program } = this.#owned(id, tenant);
+    const { replica, program } = this.#requireOwned(id, tenant);
     if (program.endedAtMs === undefined) await this.#commitEnd(replica, program, reason);
     return { program };
   }
@@ -170,7 +174,7 @@
     }
   }
 
-  #owned(id: string, tenant: string | undefined): { replica: ShardReplica; program: ProgramRecord } {
+  #requireOwned(id: string, tenant: string | undefined): { replica: ShardReplica; program: ProgramRecord } {
     const replica = this.#shards.led(this.#shards.shardOfProgram(id));
     const program = replica.state.programs.get(id);
     if (!program) throw requestError("not-found", `There is no program ${id}.`);
@@ -186,7 +190,7 @@
     if (refusedProgram && (tenant === undefined || tenant === refusedProgram.tenant)) {
       return { decision: refusedProgram.decision, state: "refused", problem: refusedProgram.problem };
     }
-    const { program } = this.#owned(programOfCall(subject), tenant);
+    const { program } = this.#requireOwned(programOfCall(subject), tenant);
     if (subject === program.id) {
       const state = program.endedAtMs === undefined ? "open" : "ended";
       return { decision: program.decision, state, problem: undefined };
@@ -219,13 +223,13 @@
     const gone = programs.filter((id) => {
       const replica = this.#shards.led(this.#shards.shardOfProgram(id));
       const program = replica.state.programs.get(id);
-      return !program || program.endedAtMs !== undefined || this.#pausesTooLong(program);
+      return !program || program.endedAtMs !== undefined || this.#isIdleTooLong(program);
     });
     return { gone };
   }
 
   /** Whether a program's pause has become longer than its template keeps cache for. */
-  #pausesTooLong(program: ProgramRecord): boolean {
+  #isIdleTooLong(program: ProgramRecord): boolean {
     const policy = this.#configuration.findPolicy(program);
     if (!policy || openCallOf(program)) return false;
     return this.#context.clock.wallMs() - program.lastActiveAtMs > policy.cacheKeepMs;
@@ -241,11 +245,11 @@
     const nowMs = this.#context.clock.wallMs();
     const { endedProgramsMs, idleProgramsMs } = this.#context.settings.retention;
     const programs = [...replica.state.programs.all()];
-    const forgotten = programs.filter(
+    const expired = programs.filter(
       ({ endedAtMs }) => endedAtMs !== undefined && nowMs - endedAtMs > endedProgramsMs,
     );
-    if (forgotten.length > 0) {
-      const ids = forgotten.map((program) => program.id);
+    if (expired.length > 0) {
+      const ids = expired.map((program) => program.id);
       await this.#shards.propose(replica, { type: "forgetPrograms", programs: ids });
     }
     const idle = programs.filter(
