--- a/src/node/ingress/call-session.ts
+++ b/src/node/ingress/call-session.ts
@@ -7,7 +7,7 @@
 import type { CallAnswer, CallRequest } from "../../scheduling/program/records.ts";
 import type { IngressSettings } from "../../settings/ingress-settings.ts";
 
-/** A call to be made. */
+/** The parameters of a call session. */
 export interface CallParameters {
   readonly program: string;
   readonly call: string;
@@ -16,16 +16,16 @@
   readonly number: number | undefined;
   readonly request: CallRequest;
   readonly patienceMs: number;
-  /** Whether the caller sees the answer's text as it comes; otherwise only the whole, committed answer counts. */
+  /** Whether the caller receives the answer's text as it arrives; otherwise only the whole, committed answer. */
   readonly streamed: boolean;
 }
 
-/** How a call ended for the caller. */
+/** The result of a call as the caller receives it. */
 export type CallResult =
   | { readonly type: "answered"; readonly number: number; readonly answer: CallAnswer }
   | { readonly type: "failed"; readonly problem: Problem };
 
-/** What a session needs. */
+/** The dependencies of a call session. */
 export interface CallSessionPort {
   readonly clock: Clock;
   readonly transport: Pick<Transport, "send">;
@@ -37,14 +37,15 @@
 const MAX_DECISION_MARGIN_MS = 400;
 const DECISION_MARGIN_RATIO = 0.2;
 
-/** The leader must decide a little before the caller stops waiting, so that its certain answer beats "unknown". */
+/** The leader must decide shortly before the caller's timeout, so that its definite result arrives before "unknown". */
 function decisionMarginMs(patienceMs: number): number {
   return Math.min(MAX_DECISION_MARGIN_MS, patienceMs * DECISION_MARGIN_RATIO);
 }
 
 /**
- * One call as the node that its caller speaks to sees it: hands it to whoever leads the program's shard, hands it in again after silence,
- * and puts the answer together from its pieces, each exactly once and in order, whoever sends them.
+ * One call on the caller's ingress node. Submits the call to the leader of the program's shard and resubmits it when
+ * the leader stays silent. Assembles the answer from its chunks, each exactly once and in order, whichever node sends
+ * them.
  */
 export class CallSession {
   readonly #port: CallSessionPort;
@@ -61,7 +62,7 @@
   #deadlineTimer: TimerHandle | undefined;
   #lastEventMs: number;
 
-  /** @param onText called with each further piece of the answer's text */
+  /** @param onText called with each new part of the answer's text */
   constructor(port: CallSessionPort, parameters: CallParameters, onText: (text: string) => void) {
     this.#port = port;
     this.#parameters = parameters;
@@ -80,14 +81,14 @@
     return this.#parameters.call;
   }
 
-  /** Hands the call in. */
+  /** Submits the call and starts the caller's timeout. */
   start(): void {
     const { clock } = this.#port;
     this.#deadlineTimer = clock.schedule(this.#parameters.patienceMs, () => this.#giveUp());
     this.#submit(undefined);
   }
 
-  /** The caller hung up. */
+  /** Ends the session after the caller disconnected, and notifies the node that has the call. */
   abandon(): void {
     if (this.#settled) return;
     if (this.#submittedTo) {
@@ -96,7 +97,7 @@
     this.#settle({ type: "failed", problem: problemOf("back-end-failed", "The caller hung up.") });
   }
 
-  /** Takes in an event from a node. */
+  /** Handles an event from a node. */
   onEvent(event: CallEvent, from: string): void {
     if (this.#settled) return;
     this.#lastEventMs = this.#port.clock.monotonicMs();
@@ -138,7 +139,7 @@
     this.#scheduleSilenceCheck();
   }
 
-  /** Looks after a while whether the leader has given a sign of life. */
+  /** Schedules a check whether the leader has sent an event in the meantime. */
   #scheduleSilenceCheck(): void {
     const { clock, settings } = this.#port;
     if (this.#retryTimer) clock.cancel(this.#retryTimer);
@@ -164,7 +165,7 @@
     this.#scheduleSilenceCheck();
   }
 
-  /** Pieces that were seen before are cut off; after a gap the call is handed in again to get what is missing. */
+  /** Cuts off text that was received before. After a gap, resubmits the call to get the missing text. */
   #onChunk({ offset, text }: CallChunk, from: string): void {
     const newText = text.slice(this.#received.length - offset);
     if (offset > this.#received.length) return this.#submit(undefined, from);
@@ -188,7 +189,7 @@
     return { type: "failed", problem: problemOf("answer-interrupted", detail) };
   }
 
-  /** The final answer comes at once; whether the call ran is not known here. */
+  /** Ends the session with an unknown outcome immediately, since this node cannot know whether the call ran. */
   #giveUp(): void {
     const { transport } = this.#port;
     if (this.#submittedTo) transport.send(this.#submittedTo, { type: "abandonCall", call: this.call });
--- a/src/node/ingress/chat-completions.ts
+++ b/src/node/ingress/chat-completions.ts
@@ -7,13 +7,13 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Header with the identifier under which a call can be asked about. */
+/** Header with the identifier of a call, for later queries about its decision. */
 export const CALL_ID_HEADER = "tulipwheel-call-id";
 
-/** What the headers say of a call. */
+/** The parameters of a call that come from its headers. */
 export type CallHeaders = Omit<MakeCallParameters, "request" | "streamed">;
 
-/** Answers `POST /v1/chat/completions`, streamed or whole, as OpenAI clients expect. */
+/** Handles `POST /v1/chat/completions`, streamed or not, in the format that OpenAI clients expect. */
 export async function handleChatCompletion(
   ingress: Ingress,
   exchange: HttpExchange,
@@ -40,7 +40,7 @@
   };
 }
 
-/** Writes an answer in the form that the caller asked for. */
+/** Writes a completion as a stream or as one response, as the caller requested. */
 class CompletionWriter {
   readonly #exchange: HttpExchange;
   readonly #body: ChatCompletionBody;
@@ -58,7 +58,7 @@
     this.#call = session.call;
   }
 
-  /** The first piece starts the stream: until then a refusal still has its own status. */
+  /** Starts the stream with the first text: until then, a refusal can still be sent with its own status. */
   onText(text: string): void {
     if (!this.#body.stream) return;
     if (!this.#started) {
@@ -125,7 +125,7 @@
   };
 }
 
-/** The header without which no call can be placed. */
+/** Returns the program header, which every call must have; throws `invalid-request` if it is missing. */
 export function requireProgramHeader(program: string | undefined): string {
   if (program) return program;
   throw requestError(
--- a/src/node/ingress/http-exchange.ts
+++ b/src/node/ingress/http-exchange.ts
@@ -3,17 +3,17 @@
 import { problemOfError, requestError } from "../../errors/tulipwheel-error.ts";
 
 const MS_PER_SECOND = 1_000;
-/** Bytes that may wait for a caller who does not read. */
+/** Maximum number of bytes buffered for a caller that does not read its response. */
 const MAX_UNSENT_BYTES = 8 * 1024 * 1024;
 
-/** One request and its response, with what every route needs. */
+/** One request and its response, with helpers for every route. */
 export class HttpExchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly url: URL;
   readonly #bodyBytes: number;
 
-  /** @param bodyBytes the largest body that is read */
+  /** @param bodyBytes the maximum size of a request body */
   constructor(request: IncomingMessage, response: ServerResponse, bodyBytes: number) {
     this.request = request;
     this.response = response;
@@ -21,25 +21,25 @@
     this.#bodyBytes = bodyBytes;
   }
 
-  /** Method of the request. */
+  /** The method of the request. */
   get method(): string {
     return this.request.method ?? "GET";
   }
 
-  /** A header's only value. */
+  /** Returns a header's value, or the first one if there are several. */
   header(name: string): string | undefined {
     const value = this.request.headers[name];
     return Array.isArray(value) ? value[0] : value;
   }
 
-  /** The whole body as text; throws `body-too-large`. */
+  /** Reads the whole body as text; throws `body-too-large`, or `request-timeout` if the request breaks off. */
   text(): Promise<string> {
     return new Promise((resolve, reject) => {
       const parts: Buffer[] = [];
       let length = 0;
       this.request.on("data", (part: Buffer) => {
         length += part.length;
-        // What is too much is read and dropped, so that the caller gets to see the answer.
+        // Reads and discards the excess, so that the caller can receive the response.
         if (length <= this.#bodyBytes) parts.push(part);
         else reject(bodyTooLargeError(this.#bodyBytes));
       });
@@ -48,7 +48,7 @@
     });
   }
 
-  /** The whole body as JSON; throws `invalid-request`. */
+  /** Reads the whole body as JSON; throws `invalid-request` if it is not JSON. */
   async json(): Promise<unknown> {
     const text = await this.text();
     try {
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Answers with JSON. */
+  /** Sends a JSON response. */
   sendJson(status: number, body: unknown, headers: Record<string, string> = {}): void {
     const content = Buffer.from(JSON.stringify(body));
     this.response.writeHead(status, {
@@ -69,7 +69,7 @@
     this.response.end(content);
   }
 
-  /** Answers with a problem document (RFC 9457). */
+  /** Sends a problem document (RFC 9457). Only ends the response if its headers were already sent. */
   sendProblem(problem: Problem): void {
     if (this.response.headersSent) return void this.response.end();
     if (!this.request.complete) this.response.setHeader("connection", "close");
@@ -82,7 +82,7 @@
     this.response.end(content);
   }
 
-  /** Answers with whatever problem an error stands for. */
+  /** Sends the problem document of an error. */
   sendError(error: unknown): void {
     this.sendProblem(problemOfError(error));
   }
@@ -97,14 +97,14 @@
     this.response.flushHeaders();
   }
 
-  /** Sends one event. A caller who does not read is cut off. */
+  /** Sends one event. Closes the connection of a caller that does not read. */
   sendEvent(data: string): void {
     if (this.response.writableLength > MAX_UNSENT_BYTES) this.response.destroy();
     else this.response.write(`data: ${data}\n\n`);
   }
 }
 
-/** A problem in the form of RFC 9457, with our members beside. */
+/** Returns a problem in the format of RFC 9457, with additional members of tulipwheel. */
 export function problemDocument(problem: Problem): object {
   const { kind, title, status, detail, outcome, remedy, retriable, retryAfterMs } = problem;
   return {
--- a/src/node/ingress/ingress-server.ts
+++ b/src/node/ingress/ingress-server.ts
@@ -16,11 +16,11 @@
 const NOT_READY = 503;
 const RETRY_AFTER_MS = 1_000;
 
-/** What the server asks of its node. */
+/** The state of the node that the server needs. */
 export interface IngressNode {
-  /** Whether the node can serve. */
+  /** Whether the node can serve requests. */
   readonly ready: boolean;
-  /** Where callers of a zone may go, nearest first. */
+  /** Returns the addresses that callers of a zone may use, nearest first. */
   callerAddresses(zone: string | undefined): readonly string[];
 }
 
@@ -48,17 +48,17 @@
     this.#server.on("clientError", (error, socket) => sendMalformedProblem(error, socket as Socket));
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get activeRequests(): number {
     return this.#activeRequests;
   }
 
-  /** Listens; returns the address, with the port that was taken for port 0. */
+  /** Starts listening; returns the address, with the assigned port if port 0 was given. */
   listen(address: string): Promise<string> {
     return listenAt(this.#server, address);
   }
 
-  /** Takes no new connections and lets requests in progress end. */
+  /** Accepts no new connections and waits for requests in progress, until the drain time is over. */
   async drain(): Promise<void> {
     this.#draining = true;
     const closed = new Promise<void>((resolve) => {
@@ -70,7 +70,7 @@
     clearTimeout(timer);
   }
 
-  /** Ends at once. */
+  /** Closes all connections immediately. */
   close(): void {
     this.#server.closeAllConnections();
     this.#server.close();
@@ -198,7 +198,7 @@
   return { id: program.id, messages: program.history, tokens: program.historyTokens };
 }
 
-/** Answers what Node.js itself could not read as a request. */
+/** Sends a problem document for input that Node.js could not parse as a request. */
 function sendMalformedProblem(error: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable) return;
   const problem = malformedProblem(error.code);
--- a/src/node/ingress/ingress.ts
+++ b/src/node/ingress/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * A node's side towards callers, without HTTP: opens programs, makes calls and asks questions for them, wherever the
- * programs' shards are led. The simulation drives this class directly.
+ * The node's interface for callers, without HTTP: opens programs, makes calls and reads state, on whichever node leads
+ * the program's shard. The simulation uses this class directly.
  */
 import { requestError } from "../../errors/tulipwheel-error.ts";
 import type { CallEvent } from "../../messages/call-messages.ts";
@@ -23,7 +23,7 @@
 import type { IngressSettings } from "../../settings/ingress-settings.ts";
 import { CallSession } from "./call-session.ts";
 
-/** What an ingress is given. */
+/** The dependencies of an ingress. */
 export interface IngressPorts {
   readonly settings: IngressSettings;
   readonly clock: Clock;
@@ -31,11 +31,11 @@
   readonly hash: TextHash;
   readonly transport: Pick<Transport, "send">;
   readonly router: ShardRouter;
-  /** Number of shards that programs are spread over. */
+  /** Number of shards that programs are distributed over. */
   readonly shardCount: number;
 }
 
-/** A program to be opened. */
+/** The parameters of a program to open. */
 export interface OpenProgramParameters {
   readonly tenant: string;
   readonly template: string;
@@ -43,16 +43,16 @@
   readonly deadlineMs: number | undefined;
 }
 
-/** A call to be made. */
+/** The parameters of a call to make. */
 export interface MakeCallParameters {
   readonly tenant: string;
   readonly program: string;
   readonly number: number | undefined;
-  /** Calls with the same key are the same call. */
+  /** Calls of a program with the same key are the same call. */
   readonly idempotencyKey: string | undefined;
   readonly request: CallRequest;
   readonly patienceMs: number | undefined;
-  /** Whether `onText` is to be given the answer as it comes. */
+  /** Whether `onText` receives the answer's text as it arrives. */
   readonly streamed: boolean;
 }
 
@@ -60,7 +60,7 @@
 const CHILD_TOKEN_LENGTH = 6;
 const CALL_TOKEN_LENGTH = 12;
 
-/** See the module's comment. */
+/** Forwards callers' requests to the leaders of the programs' shards. */
 export class Ingress {
   readonly #ports: IngressPorts;
   readonly #sessions = new Map<string, Set<CallSession>>();
@@ -69,12 +69,12 @@
     this.#ports = ports;
   }
 
-  /** Calls in progress. */
+  /** Number of calls in progress. */
   get activeCalls(): number {
     return this.#sessions.size;
   }
 
-  /** A leader tells of a call. */
+  /** Passes an event from a leader to the sessions of its call. */
   onCallEvent(event: CallEvent, from: string): void {
     for (const session of [...(this.#sessions.get(event.call) ?? [])]) session.onEvent(event, from);
   }
@@ -99,13 +99,13 @@
     return (await this.#askLeader(program, "readProgram", { program, tenant })).program;
   }
 
-  /** Reads why a call or a program was treated as it was. */
+  /** Reads the decision about a call or a program. */
   async readDecision(subject: string, tenant: string): Promise<DecisionView> {
     if (!isCallId(subject) && !isProgramId(subject)) throw invalidIdentifierError(subject);
     return this.#askLeader(programOfCall(subject), "readDecision", { subject, tenant });
   }
 
-  /** Makes a call. Its pieces go to `onText`; the end is in the session's `result`. */
+  /** Makes a call. Passes the parts of its text to `onText`; the session's `result` resolves when the call ends. */
   async makeCall(parameters: MakeCallParameters, onText: (text: string) => void): Promise<CallSession> {
     const { program, tenant, number, request, idempotencyKey, streamed } = parameters;
     requireProgramId(program);
--- a/src/node/ingress/request-schemas.ts
+++ b/src/node/ingress/request-schemas.ts
@@ -23,8 +23,8 @@
 });
 
 /**
- * Body of `POST /v1/chat/completions`. Fields of the interface that do not change where a call runs are passed over;
- * those that would change the answer and are not supported are refused.
+ * Body of `POST /v1/chat/completions`. Fields of the OpenAI API that do not affect where a call runs are ignored.
+ * Unsupported fields that would change the answer are refused.
  */
 export const chatCompletionSchema = z.looseObject({
   model: nameSchema,
@@ -40,7 +40,7 @@
 /** A checked chat completion request. */
 export type ChatCompletionBody = z.infer<typeof chatCompletionSchema>;
 
-/** Checks a body; throws `invalid-request` with every field that is wrong. */
+/** Validates a body; throws `invalid-request` with every invalid field. */
 export function checkBody<Schema extends z.ZodType>(schema: Schema, body: unknown): z.infer<Schema> {
   const checked = schema.safeParse(body);
   if (checked.success) return checked.data;
@@ -48,7 +48,7 @@
   throw requestError("invalid-request", `${issues.join("; ")}.`);
 }
 
-/** Reads a header that must be a positive integer. */
+/** Parses a header that must be a positive integer; throws `invalid-request` for any other value. */
 export function parsePositiveInteger(name: string, value: string | undefined): number | undefined {
   if (value === undefined) return undefined;
   if (/^[1-9]\d{0,9}$/.test(value)) return Number(value);
--- a/src/node/ingress/service-calls.ts
+++ b/src/node/ingress/service-calls.ts
@@ -7,7 +7,7 @@
 const PATH_PATTERN = /^\/v1\/services\/([a-z0-9-]{1,63})(\/.*)$/;
 const METHODS = new Set(["GET", "POST", "PUT", "PATCH", "DELETE"]);
 
-/** Answers `ANY /v1/services/{service}/{path}`: a call to a tool or application service. */
+/** Handles a request with any method to `/v1/services/{service}/{path}`: a call to a tool or application service. */
 export async function handleServiceCall(
   ingress: Ingress,
   exchange: HttpExchange,
--- a/src/node/programs/program-service.ts
+++ b/src/node/programs/program-service.ts
@@ -23,11 +23,11 @@
 import type { ShardHost } from "../shard-host.ts";
 import type { ShardReplica } from "../shard-replica.ts";
 
-/** Time between looks for programs that are abandoned or can be forgotten, in ms. */
+/** Interval between sweeps for programs that are abandoned or can be deleted, in ms. */
 const SWEEP_INTERVAL_MS = 5_000;
 const RETRY_AFTER_MS = 1_000;
 
-/** Opens, ends, shows and forgets the programs of the shards that this node leads. */
+/** Opens, ends, reads and deletes the programs of the shards that this node leads. */
 export class ProgramService {
   readonly #context: NodeContext;
   readonly #shards: ShardHost;
@@ -59,7 +59,7 @@
     rpc.handle("findGone", async (request) => this.#findGone(request));
   }
 
-  /** Starts looking for programs that are abandoned or can be forgotten. */
+  /** Starts the sweeps for programs that are abandoned or can be deleted. */
   start(): void {
     this.#stopSweep = repeat(
       this.#context.clock,
@@ -68,12 +68,12 @@
     );
   }
 
-  /** Stops looking. */
+  /** Stops the sweeps. */
   stop(): void {
     this.#stopSweep();
   }
 
-  /** From now on new programs are sent elsewhere. */
+  /** Redirects new programs from now on. */
   stopAdmitting(): void {
     this.#admitting = false;
   }
@@ -111,7 +111,7 @@
     throw requestError("program-ended", `The parent of ${request.program} has ended.`);
   }
 
-  /** Refusals are kept, so that operators can ask about them. */
+  /** Checks whether the program must be refused. Commits the refusal, so that operators can read its decision later. */
   async #refuseIfNeeded(
     replica: ShardReplica,
     request: OpenProgramRequest,
@@ -228,7 +228,7 @@
     return { gone };
   }
 
-  /** Whether a program's pause has become longer than its template keeps cache for. */
+  /** Whether a program has been idle for longer than its template keeps the cache. */
   #isIdleTooLong(program: ProgramRecord): boolean {
     const policy = this.#configuration.findPolicy(program);
     if (!policy || openCallOf(program)) return false;
