--- a/src/node/ingress/call-session.ts
+++ b/src/node/ingress/call-session.ts
@@ -7,7 +7,7 @@
 import type { CallAnswer, CallRequest } from "../../scheduling/program/records.ts";
 import type { IngressSettings } from "../../settings/ingress-settings.ts";
 
-/** A call to be made. */
+/** The parameters of a call session. */
 export interface CallParameters {
   readonly program: string;
   readonly call: string;
@@ -16,16 +16,16 @@
   readonly number: number | undefined;
   readonly request: CallRequest;
   readonly patienceMs: number;
-  /** Whether the caller sees the answer's text as it comes; otherwise only the whole, committed answer counts. */
+  /** Whether the caller receives the answer's text as it arrives; otherwise only the whole, committed answer. */
   readonly streamed: boolean;
 }
 
-/** How a call ended for the caller. */
+/** The result of a call as the caller receives it. */
 export type CallResult =
   | { readonly type: "answered"; readonly number: number; readonly answer: CallAnswer }
   | { readonly type: "failed"; readonly problem: Problem };
 
-/** What a session needs. */
+/** The dependencies of a call session. */
 export interface CallSessionPort {
   readonly clock: Clock;
   readonly transport: Pick<Transport, "send">;
@@ -35,16 +35,17 @@
 
 const UNAVAILABLE_RETRY_AFTER_MS = 2_000;
 const MAX_DECISION_MARGIN_MS = 400;
-const DECISION_MARGIN_PART = 0.2;
+const DECISION_MARGIN_RATIO = 0.2;
 
-/** The leader must decide a little before the caller stops waiting, so that its certain answer beats "unknown". */
+/** The leader must decide shortly before the caller's timeout, so that its definite result arrives before "unknown". */
 function decisionMarginMs(patienceMs: number): number {
-  return Math.min(MAX_DECISION_MARGIN_MS, patienceMs * DECISION_MARGIN_PART);
+  return Math.min(MAX_DECISION_MARGIN_MS, patienceMs * DECISION_MARGIN_RATIO);
 }
 
 /**
- * One call as the node that its caller speaks to sees it: hands it to whoever leads the program's shard, hands it in again after silence,
- * and puts the answer together from its pieces, each exactly once and in order, whoever sends them.
+ * One call on the caller's ingress node. Submits the call to the leader of the program's shard and resubmits it when
+ * the leader stays silent. Assembles the answer from its chunks, each exactly once and in order, whichever node sends
+ * them.
  */
 export class CallSession {
   readonly #port: CallSessionPort;
@@ -59,15 +60,15 @@
   #submittedTo: string | undefined;
   #retryTimer: TimerHandle | undefined;
   #deadlineTimer: TimerHandle | undefined;
-  #lastHeardMs: number;
+  #lastEventMs: number;
 
-  /** @param onText called with each further piece of the answer's text */
+  /** @param onText called with each new part of the answer's text */
   constructor(port: CallSessionPort, parameters: CallParameters, onText: (text: string) => void) {
     this.#port = port;
     this.#parameters = parameters;
     this.#onText = onText;
     this.#startMs = port.clock.monotonicMs();
-    this.#lastHeardMs = this.#startMs;
+    this.#lastEventMs = this.#startMs;
     let resolveResult: (result: CallResult) => void = () => undefined;
     this.result = new Promise((resolve) => {
       resolveResult = resolve;
@@ -80,14 +81,14 @@
     return this.#parameters.call;
   }
 
-  /** Hands the call in. */
+  /** Submits the call and starts the caller's timeout. */
   start(): void {
     const { clock } = this.#port;
     this.#deadlineTimer = clock.schedule(this.#parameters.patienceMs, () => this.#giveUp());
     this.#submit(undefined);
   }
 
-  /** The caller hung up. */
+  /** Ends the session after the caller disconnected, and notifies the node that has the call. */
   abandon(): void {
     if (this.#settled) return;
     if (this.#submittedTo) {
@@ -96,10 +97,10 @@
     this.#settle({ type: "failed", problem: problemOf("back-end-failed", "The caller hung up.") });
   }
 
-  /** Takes in an event from a node. */
+  /** Handles an event from a node. */
   onEvent(event: CallEvent, from: string): void {
     if (this.#settled) return;
-    this.#lastHeardMs = this.#port.clock.monotonicMs();
+    this.#lastEventMs = this.#port.clock.monotonicMs();
     switch (event.type) {
       case "callAccepted":
         this.#accepted = true;
@@ -135,22 +136,22 @@
         patienceMs: Math.max(1, patienceMs - elapsedMs - decisionMarginMs(patienceMs)),
       });
     }
-    this.#watch();
+    this.#scheduleSilenceCheck();
   }
 
-  /** Looks after a while whether the leader has given a sign of life. */
-  #watch(): void {
+  /** Schedules a check whether the leader has sent an event in the meantime. */
+  #scheduleSilenceCheck(): void {
     const { clock, settings } = this.#port;
     if (this.#retryTimer) clock.cancel(this.#retryTimer);
     const waitMs = this.#accepted ? settings.timing.leaderSilenceMs : settings.timing.submitRetryMs;
-    this.#retryTimer = clock.schedule(waitMs, () => this.#onQuiet(waitMs));
+    this.#retryTimer = clock.schedule(waitMs, () => this.#onSilence(waitMs));
   }
 
-  #onQuiet(waitMs: number): void {
+  #onSilence(waitMs: number): void {
     const { clock, router, settings } = this.#port;
     if (this.#settled) return;
-    const silenceMs = clock.monotonicMs() - this.#lastHeardMs;
-    if (this.#accepted && silenceMs < waitMs) return this.#watch();
+    const silenceMs = clock.monotonicMs() - this.#lastEventMs;
+    if (this.#accepted && silenceMs < waitMs) return this.#scheduleSilenceCheck();
     if (silenceMs > settings.timing.unavailableAfterMs) return this.#giveUp();
     router.setLeader(this.#parameters.shard, undefined);
     this.#accepted = false;
@@ -161,21 +162,21 @@
     this.#port.router.setLeader(this.#parameters.shard, leader);
     this.#accepted = false;
     if (leader && leader !== from) return this.#submit(from, leader);
-    this.#watch();
+    this.#scheduleSilenceCheck();
   }
 
-  /** Pieces that were seen before are cut off; after a gap the call is handed in again to get what is missing. */
+  /** Cuts off text that was received before. After a gap, resubmits the call to get the missing text. */
   #onChunk({ offset, text }: CallChunk, from: string): void {
-    const fresh = text.slice(this.#received.length - offset);
+    const newText = text.slice(this.#received.length - offset);
     if (offset > this.#received.length) return this.#submit(undefined, from);
     if (offset + text.length <= this.#received.length) return;
-    this.#received += fresh;
-    if (this.#parameters.streamed) this.#onText(fresh);
+    this.#received += newText;
+    if (this.#parameters.streamed) this.#onText(newText);
   }
 
   #onFinished({ number, answer }: CallFinished): void {
     if (answer.type === "completion" && this.#parameters.streamed) {
-      if (!answer.text.startsWith(this.#received)) return this.#settle(this.#interrupted());
+      if (!answer.text.startsWith(this.#received)) return this.#settle(this.#interruptedResult());
       const rest = answer.text.slice(this.#received.length);
       this.#received = answer.text;
       if (rest) this.#onText(rest);
@@ -183,12 +184,12 @@
     this.#settle({ type: "answered", number, answer });
   }
 
-  #interrupted(): CallResult {
+  #interruptedResult(): CallResult {
     const detail = `Another answer to ${this.call} was committed than the one that had begun.`;
     return { type: "failed", problem: problemOf("answer-interrupted", detail) };
   }
 
-  /** The final answer comes at once; whether the call ran is not known here. */
+  /** Ends the session with an unknown outcome immediately, since this node cannot know whether the call ran. */
   #giveUp(): void {
     const { transport } = this.#port;
     if (this.#submittedTo) transport.send(this.#submittedTo, { type: "abandonCall", call: this.call });
--- a/src/node/ingress/chat-completions.ts
+++ b/src/node/ingress/chat-completions.ts
@@ -7,14 +7,14 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Header with the identifier under which a call can be asked about. */
+/** Header with the identifier of a call, for later queries about its decision. */
 export const CALL_ID_HEADER = "tulipwheel-call-id";
 
-/** What the headers say of a call. */
+/** The parameters of a call that come from its headers. */
 export type CallHeaders = Omit<MakeCallParameters, "request" | "streamed">;
 
-/** Answers `POST /v1/chat/completions`, streamed or whole, as OpenAI clients expect. */
-export async function chatCompletions(
+/** Handles `POST /v1/chat/completions`, streamed or not, in the format that OpenAI clients expect. */
+export async function handleChatCompletion(
   ingress: Ingress,
   exchange: HttpExchange,
   headers: CallHeaders,
@@ -40,7 +40,7 @@
   };
 }
 
-/** Writes an answer in the form that the caller asked for. */
+/** Writes a completion as a stream or as one response, as the caller requested. */
 class CompletionWriter {
   readonly #exchange: HttpExchange;
   readonly #body: ChatCompletionBody;
@@ -58,7 +58,7 @@
     this.#call = session.call;
   }
 
-  /** The first piece starts the stream: until then a refusal still has its own status. */
+  /** Starts the stream with the first text: until then, a refusal can still be sent with its own status. */
   onText(text: string): void {
     if (!this.#body.stream) return;
     if (!this.#started) {
@@ -76,7 +76,7 @@
       return this.#exchange.sendProblem(problem);
     }
     if (this.#body.stream) this.#endStream(result.answer);
-    else this.#sendWhole(result.answer, result.number);
+    else this.#sendUnstreamed(result.answer, result.number);
   }
 
   #endFailed(result: Extract<CallResult, { type: "failed" }>): void {
@@ -99,7 +99,7 @@
     this.#exchange.response.end();
   }
 
-  #sendWhole(answer: CompletionAnswer, number: number): void {
+  #sendUnstreamed(answer: CompletionAnswer, number: number): void {
     const message = { role: "assistant", content: answer.text };
     const choice = { index: 0, message, finish_reason: answer.finishReason };
     const body = { ...this.#envelope("chat.completion"), choices: [choice], usage: usageOf(answer) };
@@ -125,8 +125,8 @@
   };
 }
 
-/** The header without which no call can be placed. */
-export function requireProgram(program: string | undefined): string {
+/** Returns the program header, which every call must have; throws `invalid-request` if it is missing. */
+export function requireProgramHeader(program: string | undefined): string {
   if (program) return program;
   throw requestError(
     "invalid-request",
