--- a/bench/mutations/tenant-mutations.ts
+++ b/bench/mutations/tenant-mutations.ts
@@ -85,8 +85,8 @@
     edits: [
       {
         file: "src/gateway/configuration/table-follower.ts",
-        from: '    this.#health.note(outcome);\n    if (outcome.type === "historyGone") return false;',
-        to: '    this.#health.note(outcome);\n    this.#listener.onCurrent?.(askedAtMs);\n    if (outcome.type === "historyGone") return false;',
+        from: '    this.#health.recordOutcome(outcome);\n    if (outcome.type === "historyGone") return false;',
+        to: '    this.#health.recordOutcome(outcome);\n    this.#listener.onCurrent?.(askedAtMs);\n    if (outcome.type === "historyGone") return false;',
       },
     ],
     script,
--- a/src/gateway/configuration/table-follower.ts
+++ b/src/gateway/configuration/table-follower.ts
@@ -97,7 +97,7 @@
     for (;;) {
       const range = { table: this.#table, part: "", ...(from === undefined ? {} : { from }) };
       const read = await this.#context.platform.store.read(range);
-      this.#health.note(read);
+      this.#health.recordOutcome(read);
       if (read.type !== "rows") {
         this.#noteFailed("read", read, askedAtMs);
         return false;
@@ -120,7 +120,7 @@
   async #watchOnce(): Promise<boolean> {
     const askedAtMs = this.#context.clock.monotonicMs();
     const outcome = await this.#context.platform.store.watch(this.#table, this.#version, this.#waitMs);
-    this.#health.note(outcome);
+    this.#health.recordOutcome(outcome);
     if (outcome.type === "historyGone") return false;
     if (outcome.type !== "changes") {
       this.#noteFailed("watch", outcome, askedAtMs);
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -35,9 +35,9 @@
 import { StoreHealth } from "./store-health.ts";
 import { CallLog } from "./telemetry/call-log.ts";
 
-const STOP_POLL_MS = 50;
+const STOP_POLL_INTERVAL_MS = 50;
 /** Longest time that a stop waits for the log to be written, in ms. */
-const LOG_FLUSH_MS = 500;
+const LOG_FLUSH_TIMEOUT_MS = 500;
 
 /** See the module's comment. */
 export class GatewayDaemon {
@@ -47,9 +47,9 @@
   readonly #members: MemberDirectory;
   readonly #registry: MemberRegistry;
   readonly #partitions: PartitionHost;
-  readonly #rates: RateHost;
+  readonly #rateHost: RateHost;
   readonly #placeHost: PlaceHost;
-  readonly #places: PlaceClient;
+  readonly #placeClient: PlaceClient;
   readonly #routing: RoutingWatch;
   readonly #runners: RunnerWatch;
   readonly #board: RunnerBoard;
@@ -63,19 +63,19 @@
   readonly #health: StoreHealth;
   readonly #store: RelayedRowStore;
   /** Types of messages that could not be taken in. */
-  readonly #passedOver = new Set<string>();
-  #announcedReady = false;
+  readonly #ignoredTypes = new Set<string>();
+  #hasAnnouncedReady = false;
   /** Whether a planned stop has let go of the partitions, or waits for it no longer. */
-  #hasLetGo = false;
+  #hasReleasedPartitions = false;
   #stopping: Promise<void> | undefined;
 
-  /** @param given the context, with the store over this gateway's own connections */
-  constructor(given: GatewayContext, transport: TcpTransport<GatewayMessage>) {
+  /** @param baseContext the context, with the store over this gateway's own connections */
+  constructor(baseContext: GatewayContext, transport: TcpTransport<GatewayMessage>) {
     this.#transport = transport;
-    this.#rpc = new RpcEndpoint<GatewayRpcSchema>(transport, given.clock, given.random);
-    const { clock, random, log, platform } = given;
+    this.#rpc = new RpcEndpoint<GatewayRpcSchema>(transport, baseContext.clock, baseContext.random);
+    const { clock, random, log, platform } = baseContext;
     this.#store = new RelayedRowStore({ direct: platform.store, clock, random, rpc: this.#rpc, log });
-    const context = { ...given, platform: { ...given.platform, store: this.#store } };
+    const context = { ...baseContext, platform: { ...baseContext.platform, store: this.#store } };
     this.#context = context;
     const health = new StoreHealth(context);
     const { byExpectedTime } = context.settings.balance;
@@ -83,14 +83,14 @@
     this.#members = new MemberDirectory(context, transport, health);
     this.#registry = new MemberRegistry(context, this.#members, transport.self.address);
     this.#partitions = new PartitionHost(context, this.#members, health, this.#rpc);
-    this.#rates = new RateHost(context, this.#members, this.#partitions, this.#rpc);
+    this.#rateHost = new RateHost(context, this.#members, this.#partitions, this.#rpc);
     this.#routing = new RoutingWatch(context, health);
     this.#runners = new RunnerWatch(context, health, this.#board);
-    const liveGateways = () => this.#members.aliveCount + 1;
+    const countLiveGateways = () => this.#members.aliveCount + 1;
     this.#connections = new RunnerConnections({
       clock,
       board: this.#board,
-      gateways: liveGateways,
+      gateways: countLiveGateways,
       maxConnections: (pool) => this.#routing.routes?.pool(pool)?.maxConnections,
     });
     this.#buffers = new BufferLimiter(context);
@@ -98,30 +98,36 @@
     const { byHeadroom } = context.settings.balance;
     if (byHeadroom) this.#headroom = new HeadroomWatch(context, () => this.#ingress.active);
     this.#entry = new EntryServer(context, this.#members, () => this.state === "ready");
-    const client = new PartitionClient(context, this.#members, this.#partitions, this.#rpc, health);
+    const partitionClient = new PartitionClient(context, this.#members, this.#partitions, this.#rpc, health);
     this.#callLog = new CallLog(context.log, context.clock);
     this.#health = health;
     const groups = new RunnerGroups(context, this.#board);
     const dispatchers = new DispatcherDirectory(context, this.#members);
-    const places = { context, board: this.#board, groups, dispatchers, rpc: this.#rpc, transport };
+    const placeDependencies = { context, board: this.#board, groups, dispatchers, rpc: this.#rpc, transport };
     this.#placeHost = new PlaceHost({
-      ...places,
+      ...placeDependencies,
       weights: new TenantWeights(() => this.#routing.routes),
       memoryTokens: (pool) => this.#routing.routes?.pool(pool)?.engine?.cacheTokens,
     });
-    const scarcity = new PoolScarcity(context, this.#board, groups, liveGateways);
-    this.#places = new PlaceClient({ ...places, scarcity });
-    const parts = {
+    const scarcity = new PoolScarcity(context, this.#board, groups, countLiveGateways);
+    this.#placeClient = new PlaceClient({ ...placeDependencies, scarcity });
+    const callDependencies = {
       context,
       board: this.#board,
       connections: this.#connections,
       callLog: this.#callLog,
-      places: this.#places,
+      places: this.#placeClient,
       buffers: this.#buffers,
     };
-    const rates = new RateClient(context, this.#members, this.#partitions, this.#rpc);
+    const rateClient = new RateClient(context, this.#members, this.#partitions, this.#rpc);
     const routes = () => (this.#canServe ? this.#routing.routes : undefined);
-    const calls = new CallService(parts, client, rates, routes, () => this.#routing.canTrustKeys);
+    const calls = new CallService(
+      callDependencies,
+      partitionClient,
+      rateClient,
+      routes,
+      () => this.#routing.canTrustKeys,
+    );
     this.#ingress.onHead = (head) => calls.decide(head);
     this.#routing.onChanged = (routes) => {
       this.#ingress.setLimits(routes.configuration.limits);
@@ -133,11 +139,11 @@
     this.#members.selfReport = () => ({
       state: this.state,
       storeDirect: this.#store.isDirect,
-      owned: this.#hasLetGo ? [] : this.#partitions.owned,
+      owned: this.#hasReleasedPartitions ? [] : this.#partitions.owned,
       runners: this.#board.ownReport(context.clock.monotonicMs()),
       headroom: this.#headroom?.headroom,
     });
-    this.#wireMembers();
+    this.#registerCallbacks();
   }
 
   /** Where this gateway is in its life. */
@@ -155,7 +161,7 @@
     this.#members.start();
     this.#registry.start();
     this.#partitions.start();
-    this.#rates.start();
+    this.#rateHost.start();
     this.#placeHost.start();
     this.#headroom?.start();
     await this.#entry.listen([listen.readiness, listen.directory]);
@@ -176,15 +182,15 @@
   }
 
   /** Notes an error that no part has handled; what it touched has failed, the rest goes on. */
-  noteUnexpected(reason: unknown): void {
+  logUnexpectedError(reason: unknown): void {
     const stack = reason instanceof Error ? reason.stack : String(reason);
     this.#context.log.error({ stack }, "unexpected error");
   }
 
   /** Tells the others at once when this gateway begins to serve: they wait for it with the partitions they take over. */
   #announceReady(): void {
-    if (this.#announcedReady || this.state !== "ready") return;
-    this.#announcedReady = true;
+    if (this.#hasAnnouncedReady || this.state !== "ready") return;
+    this.#hasAnnouncedReady = true;
     this.#members.tick();
   }
 
@@ -208,7 +214,7 @@
     return this.#context.metrics.serve(gauges, () => this.state === "ready");
   }
 
-  #wireMembers(): void {
+  #registerCallbacks(): void {
     this.#store.relays = () => this.#members.storeRelays();
     this.#store.answerTimeoutMs = () => this.#health.writeTimeout.currentMs;
     this.#members.onHeard = (member) => {
@@ -222,7 +228,7 @@
       this.#partitions.forget(member);
       this.#board.dropReport(member.instance);
       this.#placeHost.onGatewayLost(member.instance);
-      this.#places.onGatewayLost(member.instance);
+      this.#placeClient.onGatewayLost(member.instance);
       this.#store.removeRelay(member.instance);
       this.#rpc.abandon(member.address);
     };
@@ -238,7 +244,7 @@
     try {
       this.#dispatch(message, from);
     } catch (error) {
-      this.#notePassedOver(message.type, from, (error as Error).message);
+      this.#logIgnoredMessage(message.type, from, (error as Error).message);
     }
   }
 
@@ -249,7 +255,7 @@
       case "memberDigest":
         return this.#members.onDigest(message, from);
       case "placeSettled":
-        return this.#places.onSettled(message, from);
+        return this.#placeClient.onSettled(message, from);
       case "returnPlaces":
         return this.#placeHost.onReturned(message);
       case "rpcRequest":
@@ -257,14 +263,14 @@
       case "rpcResponse":
         return this.#rpc.onResponse(message);
       default:
-        return this.#notePassedOver((message as GatewayMessage).type, from, "unknown type");
+        return this.#logIgnoredMessage((message as GatewayMessage).type, from, "unknown type");
     }
   }
 
   /** A line for the first message of a type. */
-  #notePassedOver(type: string, { instance }: Sender, reason: string): void {
-    if (this.#passedOver.has(type)) return;
-    this.#passedOver.add(type);
+  #logIgnoredMessage(type: string, { instance }: Sender, reason: string): void {
+    if (this.#ignoredTypes.has(type)) return;
+    this.#ignoredTypes.add(type);
     this.#context.log.warn({ type, from: instance, reason }, "message passed over");
   }
 
@@ -276,17 +282,18 @@
     this.#members.tick();
     this.#ingress.beginStop();
     await Promise.race([this.#partitions.release(), delay(clock, settings.timing.lingerMs)]);
-    this.#hasLetGo = true;
+    this.#hasReleasedPartitions = true;
     this.#members.tick();
     await delay(clock, Math.max(0, startedMs + settings.timing.lingerMs - clock.monotonicMs()));
     this.#ingress.stopListening();
     const deadlineMs = startedMs + settings.timing.stopMs;
-    while (this.#ingress.active > 0 && clock.monotonicMs() < deadlineMs) await delay(clock, STOP_POLL_MS);
+    while (this.#ingress.active > 0 && clock.monotonicMs() < deadlineMs)
+      await delay(clock, STOP_POLL_INTERVAL_MS);
     log.info({ active: this.#ingress.active, connections: this.#ingress.connections }, "stopped");
     this.#context.metrics.close();
     await this.#transport.close();
     // Lines are written in batches; a reader of standard output that stalls must not hold up the stop.
-    const written = new Promise<void>((resolve) => log.flush(() => resolve()));
-    await Promise.race([written, delay(clock, LOG_FLUSH_MS)]);
+    const flushed = new Promise<void>((resolve) => log.flush(() => resolve()));
+    await Promise.race([flushed, delay(clock, LOG_FLUSH_TIMEOUT_MS)]);
   }
 }
--- a/src/gateway/load-gateway-settings.ts
+++ b/src/gateway/load-gateway-settings.ts
@@ -15,15 +15,15 @@
   schema: JsonSchema | undefined,
   onUnknown?: (keys: readonly string[]) => void,
 ): Promise<GatewaySettings> {
-  const known = file !== undefined && schema ? readJson(file, schema) : undefined;
-  if (known) return known as GatewaySettings;
+  const parsed = file !== undefined && schema ? readValidJson(file, schema) : undefined;
+  if (parsed) return parsed as GatewaySettings;
   const { loadSettings } = await import("../settings/load-settings.ts");
   const { gatewaySettingsSchema } = await import("./gateway-settings.ts");
   return loadSettings(file, [], gatewaySettingsSchema, onUnknown);
 }
 
 /** Undefined for whatever is not valid JSON of the schema, or can't be read. */
-function readJson(file: string, schema: JsonSchema): unknown {
+function readValidJson(file: string, schema: JsonSchema): unknown {
   try {
     return readBySchema(JSON.parse(readFileSync(file, "utf8")), schema);
   } catch {
--- a/src/gateway/members/headroom-watch.ts
+++ b/src/gateway/members/headroom-watch.ts
@@ -4,7 +4,7 @@
 import type { Headroom } from "../../scheduling/caller-spread/headroom.ts";
 import { HeadroomControl } from "../../scheduling/caller-spread/headroom-control.ts";
 import type { GatewayContext } from "../gateway-context.ts";
-import { Standstill } from "../standstill.ts";
+import { PauseDetector } from "../pause-detector.ts";
 import { roundedShare } from "../telemetry/rounded-share.ts";
 import { ProcessPressure } from "./process-pressure.ts";
 
@@ -18,7 +18,7 @@
   readonly #callsInProgress: () => number;
   readonly #pressure = new ProcessPressure();
   readonly #control = new HeadroomControl();
-  readonly #standstill = new Standstill(STANDSTILL_MS);
+  readonly #standstill = new PauseDetector(STANDSTILL_MS);
   #stop: () => void = () => undefined;
 
   constructor(context: GatewayContext, callsInProgress: () => number) {
@@ -41,7 +41,7 @@
 
   #look(): void {
     const nowMs = this.#context.clock.monotonicMs();
-    const stoodStill = this.#standstill.look(nowMs);
+    const stoodStill = this.#standstill.detectPause(nowMs);
     const pressure = { ...this.#pressure.look(this.#callsInProgress()), stoodStill };
     const before = this.headroom;
     this.#control.look(pressure, nowMs);
--- a/src/gateway/members/member-view.ts
+++ b/src/gateway/members/member-view.ts
@@ -5,7 +5,7 @@
 import { PeerLiveness } from "../../coordination/liveness/index.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { MemberDigest, MemberStatus } from "../gateway-messages.ts";
-import { Standstill } from "../standstill.ts";
+import { PauseDetector } from "../pause-detector.ts";
 import type { Member } from "./member.ts";
 import { sameStatus } from "./same-status.ts";
 import { type RelayVouchers, Vouchers } from "./vouchers.ts";
@@ -36,7 +36,7 @@
   readonly #members = new Map<string, Member>();
   /** Incarnations that are no longer alive, and since when (monotonic clock, ms). */
   readonly #lost = new Map<string, number>();
-  readonly #standstill: Standstill;
+  readonly #standstill: PauseDetector;
   /** Who is alive, until something withdraws or adds evidence of a life, or a piece of evidence grows old. */
   #aliveNow: AliveMembers | undefined;
 
@@ -44,7 +44,7 @@
     const { suspectMs } = context.settings.timing;
     this.#context = context;
     this.#listener = listener;
-    this.#standstill = new Standstill(suspectMs);
+    this.#standstill = new PauseDetector(suspectMs);
     this.#liveness = new PeerLiveness(suspectMs);
     this.#vouchers = new Vouchers(suspectMs);
   }
@@ -220,7 +220,7 @@
   /** This process stood still: what others sent meanwhile is still to be read. */
   #noticePause(): void {
     const nowMs = this.#nowMs;
-    if (!this.#standstill.look(nowMs)) return;
+    if (!this.#standstill.detectPause(nowMs)) return;
     this.#aliveNow = undefined;
     this.#liveness.recordOwnPause(nowMs);
     this.#vouchers.resume(nowMs);
--- a/src/gateway/partitions/partition-host.ts
+++ b/src/gateway/partitions/partition-host.ts
@@ -267,7 +267,7 @@
       puts: [{ ...key, value: encodeOwner(owner) }],
       removes: [],
     });
-    this.#health.note(outcome);
+    this.#health.recordOutcome(outcome);
     if (outcome.type !== "committed") return undefined;
     return {
       ...previousOwnership,
@@ -291,7 +291,7 @@
 
   async #readOwnerRow(partition: number): Promise<{ readonly row: StoredRow | undefined } | undefined> {
     const { outcome, row } = await readOwnerRow(this.#context.platform.store, partition);
-    this.#health.note(outcome);
+    this.#health.recordOutcome(outcome);
     return outcome.type === "rows" ? { row } : undefined;
   }
 
@@ -338,7 +338,7 @@
         ...(from === undefined ? {} : { from }),
       };
       const read = await this.#context.platform.store.read(range);
-      this.#health.note(read);
+      this.#health.recordOutcome(read);
       if (read.type !== "rows" || read.version < epoch) return undefined;
       for (const { key, value } of read.rows) {
         const account = decodeAccount(value);
--- a/src/gateway/partitions/transaction-sender.ts
+++ b/src/gateway/partitions/transaction-sender.ts
@@ -68,7 +68,7 @@
     const elapsedMs = clock.monotonicMs() - startedMs;
     if (isAnswer(outcome)) this.#health.writeTimeout.recordAnswer(elapsedMs);
     metrics.storeWritten(outcome.type, elapsedMs);
-    this.#health.note(outcome);
+    this.#health.recordOutcome(outcome);
     return outcome;
   }
 }
--- a/src/gateway/rates/rate-host.ts
+++ b/src/gateway/rates/rate-host.ts
@@ -19,7 +19,7 @@
 import type { PartitionHost, PartitionOwnership } from "../partitions/partition-host.ts";
 import { decodeOwner } from "../partitions/partition-rows.ts";
 import { readOwnerRow } from "../partitions/read-owner-row.ts";
-import { Standstill } from "../standstill.ts";
+import { PauseDetector } from "../pause-detector.ts";
 import type { RateStartGrounds } from "./rate-start-grounds.ts";
 
 /**
@@ -53,7 +53,7 @@
   readonly #members: MemberDirectory;
   readonly #partitions: PartitionHost;
   readonly #ledgers = new Map<number, PartitionLedger>();
-  readonly #standstill: Standstill;
+  readonly #standstill: PauseDetector;
   /** When a pause of this process was last detected. */
   #lastStandstillAtMs = Number.NEGATIVE_INFINITY;
   /** When ownership was last checked with the store, by partition: the ledger was then confirmed or replaced. */
@@ -69,7 +69,7 @@
     this.#context = context;
     this.#members = members;
     this.#partitions = partitions;
-    this.#standstill = new Standstill(context.settings.timing.suspectMs);
+    this.#standstill = new PauseDetector(context.settings.timing.suspectMs);
     partitions.handOverRates = (partition) => this.#handOver(partition);
     rpc.handle("admitRequests", (request, from) => this.#admit(request, from));
   }
@@ -141,7 +141,7 @@
   /** Detects that this process was paused: other gateways may have taken over its partitions without its knowledge. */
   #checkStandstill(): void {
     const nowMs = this.#context.clock.monotonicMs();
-    if (this.#standstill.look(nowMs)) this.#lastStandstillAtMs = nowMs;
+    if (this.#standstill.detectPause(nowMs)) this.#lastStandstillAtMs = nowMs;
   }
 
   /** Whether a partition that this gateway considers its own may have been taken over during a pause of this process. */
--- a/src/gateway/start-gateway.ts
+++ b/src/gateway/start-gateway.ts
@@ -12,7 +12,7 @@
 import { NoMetrics } from "./telemetry/no-metrics.ts";
 
 const INSTANCE_TOKEN_LENGTH = 8;
-const STANDARD_OUTPUT = 1;
+const STDOUT_DESCRIPTOR = 1;
 
 /** Starts a gateway in this process, on the real clock and network. */
 export async function startGateway(
@@ -21,13 +21,13 @@
 ): Promise<GatewayDaemon> {
   const random = systemRandom();
   const instance = `${settings.name}#${random.token(INSTANCE_TOKEN_LENGTH)}`;
-  const sink = new LogSink(STANDARD_OUTPUT);
+  const sink = new LogSink(STDOUT_DESCRIPTOR);
   const log = pino({ level: settings.logging.level, base: { node: settings.name } }, sink);
   const address = settings.listen.peers;
   const transport = await TcpTransport.listen<GatewayMessage>({ instance, address });
   const hash = await loadTextHash();
   const clock = new SystemClock();
-  const metrics = await metricsFor(settings);
+  const metrics = await createMetrics(settings);
   const context = { settings, instance, clock, random, hash, log, metrics, platform };
   const daemon = new GatewayDaemon(context, transport);
   await daemon.start();
@@ -36,7 +36,7 @@
 }
 
 /** The library is loaded only where metrics are served: it costs a starting process a tenth of its time. */
-async function metricsFor({ listen }: GatewaySettings): Promise<GatewayMetrics> {
+async function createMetrics({ listen }: GatewaySettings): Promise<GatewayMetrics> {
   if (listen.metrics === undefined) return new NoMetrics();
   const { PrometheusMetrics } = await import("./telemetry/prometheus-metrics.ts");
   return new PrometheusMetrics(listen.metrics);
--- a/src/gateway/store-health.ts
+++ b/src/gateway/store-health.ts
@@ -7,7 +7,7 @@
  * Time without any answer, in ms, after which a call that fails shows that the store is out of reach. Some answers may
  * be lost all the time; the waits for changes are answered every two seconds at least.
  */
-const LOST_AFTER_MS = 2_200;
+const UNREACHABLE_AFTER_MS = 2_200;
 
 /** See the module's comment. */
 export class StoreHealth {
@@ -39,22 +39,22 @@
   }
 
   /** Takes in how a call ended. */
-  note(outcome: ReadOutcome | TransactionOutcome | WatchOutcome): void {
+  recordOutcome(outcome: ReadOutcome | TransactionOutcome | WatchOutcome): void {
     const nowMs = this.#context.clock.monotonicMs();
     if (outcome.type === "refused" || outcome.type === "unknown") {
-      if (nowMs - this.#lastAnswerMs < LOST_AFTER_MS) return;
-      this.#set(false, outcome.detail);
+      if (nowMs - this.#lastAnswerMs < UNREACHABLE_AFTER_MS) return;
+      this.#setReachable(false, outcome.detail);
       return;
     }
     if ("version" in outcome) this.#newestVersion = Math.max(this.#newestVersion, outcome.version);
-    const wasSilent = nowMs - this.#lastAnswerMs >= LOST_AFTER_MS;
+    const wasSilent = nowMs - this.#lastAnswerMs >= UNREACHABLE_AFTER_MS;
     this.#lastAnswerMs = nowMs;
-    this.#set(true, "answers");
+    this.#setReachable(true, "answers");
     // An outage may end before any call of this gateway has failed.
     if (wasSilent) this.#reachableSinceMs = nowMs;
   }
 
-  #set(reachable: boolean, reason: string): void {
+  #setReachable(reachable: boolean, reason: string): void {
     if (this.#reachable === reachable) return;
     this.#reachable = reachable;
     this.#reachableSinceMs = reachable ? this.#context.clock.monotonicMs() : Number.POSITIVE_INFINITY;
--- a/test/contract/partition-writer.test.ts
+++ b/test/contract/partition-writer.test.ts
@@ -35,7 +35,7 @@
   });
   if (outcome.type !== "committed") throw new Error(`not taken over: ${outcome.type}`);
   const health = new StoreHealth(owner);
-  health.note(outcome);
+  health.recordOutcome(outcome);
   const epoch = outcome.version;
   const onLost = () => {
     lostCount += 1;
--- a/test/contract/platform-settings.test.ts
+++ b/test/contract/platform-settings.test.ts
@@ -7,7 +7,7 @@
 
 const TEMPLATE = readFileSync("deploy/settings.json", "utf8");
 const ADDRESS = "10.1.0.38:8149";
-const VALUES: Record<string, string> = {
+const PLATFORM_VALUES: Record<string, string> = {
   "node-name": "front-hall-a-1",
   region: "dixie-east",
   zone: "hall-a",
@@ -23,25 +23,25 @@
 describe("settings template", () => {
   /** Fills the gaps, and the parts that stand only where a value is missing. */
   function fill(values: Record<string, string | undefined>): string {
-    const chosen = TEMPLATE.replace(
+    const rendered = TEMPLATE.replace(
       /\{\{\^([^{}]*)\}\}(.*?)\{\{\/\1\}\}/g,
       (_, name: string, otherwise: string) => (values[name] === undefined ? otherwise : ""),
     ).replace(/\{\{#([^{}]*)\}\}(.*?)\{\{\/\1\}\}/g, (_, name: string, part: string) => {
       return values[name] === undefined || values[name] === "false" ? "" : part;
     });
-    return chosen.replace(/\{\{([^{}]*)\}\}/g, (_, name: string) => {
+    return rendered.replace(/\{\{([^{}]*)\}\}/g, (_, name: string) => {
       return name in values ? (values[name] ?? "") : `no ${name}`;
     });
   }
 
   /** What a gateway reads of the template, filled. */
-  function settingsOf(values: Record<string, string | undefined>) {
+  function parseSettings(values: Record<string, string | undefined>) {
     const [parsed] = parseYaml(fill(values), "settings", gatewaySettingsSchema, "invalid-settings");
     return parsed?.value;
   }
 
   it("becomes valid settings with the platform's values", () => {
-    const settings = settingsOf(VALUES);
+    const settings = parseSettings(PLATFORM_VALUES);
     expect(settings?.seeds).toEqual([ADDRESS]);
     expect(settings?.name).toEqual("front-hall-a-1");
   });
@@ -54,17 +54,20 @@
     };
     const keys = { "bounds.fail-closed": "true", "bounds.revoke-ms": "5000" };
     for (const more of [{}, limits, keys, { ...limits, ...keys }])
-      expect((JSON.parse(fill({ ...VALUES, ...more })) as { name: string }).name).toEqual("front-hall-a-1");
+      expect((JSON.parse(fill({ ...PLATFORM_VALUES, ...more })) as { name: string }).name).toEqual(
+        "front-hall-a-1",
+      );
   });
 
   it("trusts keys for as long as the platform says, where it wants them refused in doubt", () => {
-    for (const [closed, expected] of [
+    for (const [failClosed, expected] of [
       ["true", 5_000],
       ["false", undefined],
       [undefined, undefined],
     ] as const) {
       expect(
-        settingsOf({ ...VALUES, "bounds.fail-closed": closed, "bounds.revoke-ms": "5000" })?.keys.revokeMs,
+        parseSettings({ ...PLATFORM_VALUES, "bounds.fail-closed": failClosed, "bounds.revoke-ms": "5000" })
+          ?.keys.revokeMs,
       ).toEqual(expected);
     }
   });
@@ -74,7 +77,9 @@
       ["178", 178],
       [undefined, 256],
     ] as const) {
-      expect(settingsOf({ ...VALUES, "limits.memory-mb": given })?.buffers.memoryMb).toEqual(expected);
+      expect(parseSettings({ ...PLATFORM_VALUES, "limits.memory-mb": given })?.buffers.memoryMb).toEqual(
+        expected,
+      );
     }
   });
 
@@ -83,7 +88,9 @@
       ["4000", 4_000],
       [undefined, 1_500],
     ] as const) {
-      expect(settingsOf({ ...VALUES, "bounds.drain-ms": given })?.timing.runnerDrainMs).toEqual(expected);
+      expect(parseSettings({ ...PLATFORM_VALUES, "bounds.drain-ms": given })?.timing.runnerDrainMs).toEqual(
+        expected,
+      );
     }
   });
 
@@ -92,9 +99,9 @@
       ["4000", 4_000],
       [undefined, 2_000],
     ] as const) {
-      expect(settingsOf({ ...VALUES, "bounds.config-apply-ms": given })?.timing.configurationMs).toEqual(
-        expected,
-      );
+      expect(
+        parseSettings({ ...PLATFORM_VALUES, "bounds.config-apply-ms": given })?.timing.configurationMs,
+      ).toEqual(expected);
     }
   });
 });
--- a/test/contract/read-by-schema.test.ts
+++ b/test/contract/read-by-schema.test.ts
@@ -12,13 +12,18 @@
 const SCHEMA = z.toJSONSchema(gatewaySettingsSchema, { io: "input" }) as JsonSchema;
 const ADDRESS = "10.1.0.38:8149";
 const LISTEN = { callers: ADDRESS, readiness: ADDRESS, directory: ADDRESS, peers: ADDRESS };
-const LEAST = { name: "one", region: "r", zone: "z", listen: LISTEN, store: ADDRESS };
+const MINIMAL_SETTINGS = { name: "one", region: "r", zone: "z", listen: LISTEN, store: ADDRESS };
 
 const VALID: readonly object[] = [
-  LEAST,
-  { ...LEAST, seeds: [ADDRESS], timing: { claimMs: 50, directoryTtlS: 0.5 }, logging: { level: "debug" } },
+  MINIMAL_SETTINGS,
   {
-    ...LEAST,
+    ...MINIMAL_SETTINGS,
+    seeds: [ADDRESS],
+    timing: { claimMs: 50, directoryTtlS: 0.5 },
+    logging: { level: "debug" },
+  },
+  {
+    ...MINIMAL_SETTINGS,
     keys: { revokeMs: 5_000 },
     requestLimits: { overage: 0.1, slack: 20 },
     balance: { byHeadroom: true },
@@ -27,18 +32,18 @@
 const INVALID: readonly unknown[] = [
   null,
   [],
-  { ...LEAST, name: undefined },
-  { ...LEAST, name: "No Name" },
-  { ...LEAST, colour: "red" },
-  { ...LEAST, constructor: 1 },
-  { ...LEAST, seeds: ["nowhere"] },
-  { ...LEAST, seeds: null },
-  { ...LEAST, partitions: 0 },
-  { ...LEAST, partitions: 1.5 },
-  { ...LEAST, partitions: "64" },
-  { ...LEAST, timing: { directoryTtlS: Number.POSITIVE_INFINITY } },
-  { ...LEAST, logging: { level: "loud" } },
-  { ...LEAST, balance: { byHeadroom: "yes" } },
+  { ...MINIMAL_SETTINGS, name: undefined },
+  { ...MINIMAL_SETTINGS, name: "No Name" },
+  { ...MINIMAL_SETTINGS, colour: "red" },
+  { ...MINIMAL_SETTINGS, constructor: 1 },
+  { ...MINIMAL_SETTINGS, seeds: ["nowhere"] },
+  { ...MINIMAL_SETTINGS, seeds: null },
+  { ...MINIMAL_SETTINGS, partitions: 0 },
+  { ...MINIMAL_SETTINGS, partitions: 1.5 },
+  { ...MINIMAL_SETTINGS, partitions: "64" },
+  { ...MINIMAL_SETTINGS, timing: { directoryTtlS: Number.POSITIVE_INFINITY } },
+  { ...MINIMAL_SETTINGS, logging: { level: "loud" } },
+  { ...MINIMAL_SETTINGS, balance: { byHeadroom: "yes" } },
 ];
 
 const folder = mkdtempSync(join(tmpdir(), "tulipwheel-settings-"));
@@ -61,16 +66,16 @@
 
   it("are not read by a schema with keywords that are not known", () => {
     const schema = { ...SCHEMA, minProperties: 1 } as JsonSchema;
-    expect(readBySchema(LEAST, schema)).toEqual(undefined);
+    expect(readBySchema(MINIMAL_SETTINGS, schema)).toEqual(undefined);
   });
 
   it("keep their messages where something is wrong, and may be YAML", async () => {
-    writeFileSync(file, JSON.stringify({ ...LEAST, colour: "red" }));
+    writeFileSync(file, JSON.stringify({ ...MINIMAL_SETTINGS, colour: "red" }));
     await expect(loadGatewaySettings(file, SCHEMA)).toBeRejectedWith(/settings\.json:1: .*colour/);
     writeFileSync(
       file,
       `name: one\nregion: r\nzone: z\nstore: ${ADDRESS}\nlisten: ${JSON.stringify(LISTEN)}\n`,
     );
-    expect(await loadGatewaySettings(file, SCHEMA)).toEqual(gatewaySettingsSchema.parse(LEAST));
+    expect(await loadGatewaySettings(file, SCHEMA)).toEqual(gatewaySettingsSchema.parse(MINIMAL_SETTINGS));
   });
 });
