--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -8,7 +8,7 @@
 import type { GatewaySettings } from "./gateway-settings.ts";
 import type { GatewayMetrics } from "./telemetry/gateway-metrics.ts";
 
-/** How the platform around a gateway speaks. */
+/** Adapters to the platform that a gateway runs on: its store, headers, directory and records. */
 export interface GatewayPlatform {
   readonly store: RowStore;
   readonly calls: CallProtocol;
@@ -16,10 +16,10 @@
   readonly records: PlatformRecords;
 }
 
-/** What all parts of a gateway share. */
+/** Settings and dependencies that all components of a gateway share. */
 export interface GatewayContext {
   readonly settings: GatewaySettings;
-  /** Unique per start of the process. */
+  /** Identifies this run of the process; each start gets a new one. */
   readonly instance: string;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -1,4 +1,6 @@
-/** One gateway: takes callers' requests, owns partitions of programs, and answers who should be called. */
+/**
+ * One gateway process: accepts callers' requests, owns partitions of programs, and tells callers which gateways to use.
+ */
 import { delay } from "../runtime/clock.ts";
 import { RpcEndpoint } from "../runtime/rpc.ts";
 import type { TcpTransport } from "../runtime/tcp-transport.ts";
@@ -36,10 +38,9 @@
 import { CallLog } from "./telemetry/call-log.ts";
 
 const STOP_POLL_INTERVAL_MS = 50;
-/** Longest time that a stop waits for the log to be written, in ms. */
+/** Maximum time that a stop waits for the log to be flushed, in ms. */
 const LOG_FLUSH_TIMEOUT_MS = 500;
 
-/** See the module's comment. */
 export class GatewayDaemon {
   readonly #context: GatewayContext;
   readonly #transport: TcpTransport<GatewayMessage>;
@@ -56,20 +57,20 @@
   readonly #connections: RunnerConnections;
   readonly #buffers: BufferLimiter;
   readonly #ingress: IngressServer;
-  /** Undefined where callers are told of all gateways alike. */
+  /** Undefined if the directory lists all gateways equally, without regard to their headroom. */
   readonly #headroom: HeadroomWatch | undefined;
   readonly #entry: EntryServer;
   readonly #callLog: CallLog;
   readonly #health: StoreHealth;
   readonly #store: RelayedRowStore;
-  /** Types of messages that could not be taken in. */
+  /** Types of messages that could not be handled and were ignored. */
   readonly #ignoredTypes = new Set<string>();
   #hasAnnouncedReady = false;
-  /** Whether a planned stop has let go of the partitions, or waits for it no longer. */
+  /** Set once a planned stop has released the partitions, or no longer waits for their release. */
   #hasReleasedPartitions = false;
   #stopping: Promise<void> | undefined;
 
-  /** @param baseContext the context, with the store over this gateway's own connections */
+  /** @param baseContext the context, whose store uses this gateway's own connections only */
   constructor(baseContext: GatewayContext, transport: TcpTransport<GatewayMessage>) {
     this.#transport = transport;
     this.#rpc = new RpcEndpoint<GatewayRpcSchema>(transport, baseContext.clock, baseContext.random);
@@ -146,13 +147,13 @@
     this.#registerCallbacks();
   }
 
-  /** Where this gateway is in its life. */
+  /** Lifecycle state of this gateway. */
   get state(): GatewayState {
     if (this.#stopping) return "stopping";
     return this.#canServe ? "ready" : "starting";
   }
 
-  /** Starts all parts. */
+  /** Starts all components. */
   async start(): Promise<void> {
     const { listen } = this.#context.settings;
     this.#routing.start();
@@ -169,25 +170,28 @@
     await this.#serveMetrics();
   }
 
-  /** A planned stop: leaves the directory, lets requests in flight end, and hands its partitions over. */
+  /** Stops as planned: leaves the directory, lets requests in flight finish, and hands its partitions over. */
   stop(): Promise<void> {
     this.#stopping ??= this.#stop();
     return this.#stopping;
   }
 
-  /** Takes what may change while the process runs: the seeds. */
+  /** Applies the settings that may change while the process runs: the seeds. */
   reload(settings: GatewaySettings): void {
     this.#members.knowAll(settings.seeds);
     this.#context.log.info({ seeds: settings.seeds }, "settings read again");
   }
 
-  /** Notes an error that no part has handled; what it touched has failed, the rest goes on. */
+  /** Logs an error that no component has handled. The operation that it hit has failed; the process continues. */
   logUnexpectedError(reason: unknown): void {
     const stack = reason instanceof Error ? reason.stack : String(reason);
     this.#context.log.error({ stack }, "unexpected error");
   }
 
-  /** Tells the others at once when this gateway begins to serve: they wait for it with the partitions they take over. */
+  /**
+   * Sends heartbeats at once when this gateway becomes ready: the others wait for starting gateways before they claim
+   * partitions.
+   */
   #announceReady(): void {
     if (this.#hasAnnouncedReady || this.state !== "ready") return;
     this.#hasAnnouncedReady = true;
@@ -239,7 +243,7 @@
     this.#transport.onMessage((message, from) => this.#onMessage(message, from));
   }
 
-  /** Other builds run beside this one: what they say and this one can't take in is passed over. */
+  /** Ignores messages that can't be handled: peers may run other builds. */
   #onMessage(message: GatewayMessage, from: Sender): void {
     try {
       this.#dispatch(message, from);
@@ -267,7 +271,7 @@
     }
   }
 
-  /** A line for the first message of a type. */
+  /** Logs only the first ignored message of each type. */
   #logIgnoredMessage(type: string, { instance }: Sender, reason: string): void {
     if (this.#ignoredTypes.has(type)) return;
     this.#ignoredTypes.add(type);
@@ -292,7 +296,7 @@
     log.info({ active: this.#ingress.active, connections: this.#ingress.connections }, "stopped");
     this.#context.metrics.close();
     await this.#transport.close();
-    // Lines are written in batches; a reader of standard output that stalls must not hold up the stop.
+    // Lines are written in batches. A stalled reader of standard output must not delay the stop.
     const flushed = new Promise<void>((resolve) => log.flush(() => resolve()));
     await Promise.race([flushed, delay(clock, LOG_FLUSH_TIMEOUT_MS)]);
   }
--- a/src/gateway/gateway-messages.ts
+++ b/src/gateway/gateway-messages.ts
@@ -1,4 +1,4 @@
-/** What gateways say to each other. */
+/** Messages that gateways send to each other. */
 
 import type { RateAnswer, RateLimit } from "../coordination/request-rate/index.ts";
 import type { RpcRequest, RpcResponse } from "../messages/rpc-messages.ts";
@@ -17,188 +17,188 @@
 import type { NodeReport } from "../scheduling/runner-board/node-report.ts";
 import type { StoreCall, StoreCallOutcome } from "./store/store-call.ts";
 
-/** Where a gateway is in its life. Only ready ones are given to callers; only they own partitions. */
+/** Lifecycle state of a gateway. Only ready gateways are listed for callers and may claim partitions. */
 export type GatewayState = "starting" | "ready" | "stopping";
 
-/** What a gateway says of itself. */
+/** What a gateway reports about itself. */
 export interface MemberStatus {
-  /** Rises with each change of what the incarnation says of itself. */
+  /** Increases with each change of the status within one incarnation of the gateway. */
   readonly revision: number;
   readonly name: string;
   readonly zone: string;
-  /** Where callers reach it. */
+  /** Address at which callers reach it. */
   readonly callerAddress: string;
   readonly state: GatewayState;
-  /** Whether it reaches the store, over its own connections or through a peer. */
+  /** Whether it can reach the store, over its own connections or through a peer. */
   readonly storeReachable: boolean;
-  /** Whether its own connections to the store work, so that it may carry calls of others. */
+  /** Whether its own connections to the store work, so that it can relay the calls of others. */
   readonly storeDirect: boolean;
   /** Partitions that it owns, with the epochs of its ownership. */
   readonly owned: readonly (readonly [partition: number, epoch: number])[];
-  /** Newest version of the protocol between gateways that it speaks; undefined for builds older than the field. */
+  /** Newest version of the gateway protocol that it supports; undefined for builds older than this field. */
   readonly protocol?: number;
-  /** Callers that it can take beside those it has, in coarse steps; undefined for builds that do not tell. */
+  /** Capacity left for more callers, in coarse steps; undefined for builds that do not report it. */
   readonly headroom?: Headroom;
 }
 
-/** A gateway says that it is alive, and what others need to know of it. */
+/** Tells a peer that the sender is alive, with its current status. */
 export interface Heartbeat extends MemberStatus {
   readonly type: "heartbeat";
-  /** Its requests at runners. */
+  /** Requests that the sender has in flight at runners. */
   readonly runners: NodeReport;
-  /** Addresses of gateways that it knows; only now and then. */
+  /** Addresses of gateways that the sender knows; sent only from time to time. */
   readonly peers: readonly string[];
-  /** Whether it missed a digest of the receiver, and has to be told everything again. */
+  /** Whether the sender missed a digest of the receiver and needs the complete state again. */
   readonly missedDigest: boolean;
 }
 
-/** What a relay passes on of a gateway that it hears. */
+/** Status of a gateway from which a relay receives heartbeats, as the relay forwards it. */
 export interface RelayedMember {
   readonly address: string;
   readonly instance: string;
   readonly status: MemberStatus;
 }
 
-/** A relay passes on what is news to the receiver of the gateways that it hears. */
+/** Forwards to the receiver what has changed among the gateways from which the relay receives heartbeats. */
 export interface MemberDigest {
   readonly type: "memberDigest";
-  /** Counts the relay's digests to this receiver. */
+  /** Sequence number of the relay's digests to this receiver. */
   readonly sequence: number;
-  /** Gateways that are new, or say something else of themselves. */
+  /** Gateways that are new or whose status has changed. */
   readonly changed: readonly RelayedMember[];
-  /** Incarnations that the relay no longer hears. */
+  /** Incarnations from which the relay no longer receives heartbeats. */
   readonly lost: readonly string[];
-  /** Whether `changed` names every gateway that the relay hears. */
+  /** Whether `changed` lists every gateway from which the relay receives heartbeats. */
   readonly whole: boolean;
-  /** Requests at runners, summed by zone: those of gateways that the receiver does not hear itself. */
+  /** Requests at runners, summed by zone, of the gateways that send the receiver no heartbeats themselves. */
   readonly loads: readonly (readonly [zone: string, report: NodeReport])[];
 }
 
-/** Asks the owner of a program's partition whether a turn may run. Repeating it changes nothing. */
+/** Asks the owner of a program's partition whether a turn may run. Idempotent. */
 export interface AdmitTurnRequest {
   readonly partition: number;
   readonly program: ProgramId;
   readonly session: string | undefined;
   readonly turn: RequestId;
-  /** Undefined where the program has no budget. */
+  /** Undefined if the program has no budget. */
   readonly budget: { readonly tokens: number; readonly most: number } | undefined;
-  /** Undefined where the caller sends the whole prompt itself. */
+  /** Undefined if the caller sends the whole prompt itself. */
   readonly history:
     | { readonly previousTurn: RequestId | undefined; readonly tenant?: TenantName | undefined }
     | undefined;
 }
 
-/** The owner's answer. */
+/** The owner's decision on a turn. */
 export type AdmitTurnResponse =
   | {
       readonly type: "granted";
-      /** Input and output of every turn before, oldest first. */
+      /** Input and output of every previous turn, oldest first. */
       readonly history: readonly Uint8Array[];
-      /** The runner that ran the turn before, and holds its prompt. */
+      /** The runner that ran the previous turn and has its prompt cached. */
       readonly runner: RunnerId | undefined;
     }
   | { readonly type: "exhausted"; readonly spent: number }
   | { readonly type: "noSuchTurn" }
-  /** The owner cannot be sure now. */
+  /** The owner cannot decide at present. */
   | { readonly type: "unavailable"; readonly detail: string };
 
-/** A turn that has ended and is kept. */
+/** Content of a finished turn that is retained so that later turns can continue it. */
 export interface RetainedTurnContent {
   readonly previousTurn: RequestId | undefined;
-  /** Whose turn it is: no other tenant's turn goes on from it. Undefined where callers need no key. */
+  /** The tenant that the turn belongs to; no other tenant can continue it. Undefined if callers need no key. */
   readonly tenant?: TenantName | undefined;
   readonly input: Uint8Array;
   readonly output: Uint8Array;
-  /** Tokens that it generated; undefined where it counts against no budget, and in records of earlier builds. */
+  /** Tokens that it generated; undefined if it counts against no budget, and in records of earlier builds. */
   readonly tokens?: number;
 }
 
-/** Tells the owner how a turn ended. Repeating it changes nothing. */
+/** Tells the owner of a program's partition how a turn ended. Idempotent. */
 export interface EndTurnRequest {
   readonly partition: number;
   readonly program: ProgramId;
   readonly session: string | undefined;
   readonly turn: RequestId;
   readonly budget: { readonly tokens: number; readonly most: number } | undefined;
-  /** Tokens that the caller was handed. */
+  /** Tokens that were delivered to the caller. */
   readonly tokens: number;
   readonly runner: RunnerId | undefined;
-  /** Set when the turn ended whole, its route retains turns, and the store has it. */
+  /** Set if the turn completed, its route retains turns, and the store holds it. */
   readonly retained: RetainedTurnContent | undefined;
 }
 
-/** The owner's answer. */
+/** The owner's acknowledgement that it has recorded the end of a turn. */
 export interface EndTurnResponse {
   readonly type: "ended";
 }
 
-/** Asks a gateway for a turn in its memory. */
+/** Asks a gateway for a turn that it may hold in memory. */
 export interface FindTurnRequest {
   readonly turn: RequestId;
 }
 
-/** The gateway's answer. */
+/** The turn, or the answer that the gateway does not hold it. */
 export type FindTurnResponse =
   | { readonly type: "found"; readonly content: RetainedTurnContent }
   | { readonly type: "absent" };
 
 /**
- * Asks the owner of a tenant's limit whether some requests may go on. What it grants is used or lost; a question that is
- * repeated, since its answer did not come, gets the same answer.
+ * Asks the owner of a tenant's rate limit to admit some requests. Grants that are not used are lost. A question that is
+ * repeated because its answer was lost gets the same answer.
  */
 export interface AdmitRequestsRequest {
   readonly partition: number;
   readonly tenant: TenantName;
   readonly wanted: number;
-  /** The limit in force at the gateway that asks, and the version of its configuration. */
+  /** The limit in force at the asking gateway, with the version of its configuration. */
   readonly limit: RateLimit;
   readonly limitVersion: number;
-  /** Rises with each new question of a gateway; left out by older builds. */
+  /** Increases with each new question of a gateway; omitted by older builds. */
   readonly question?: number;
 }
 
-/** The owner's answer. */
+/** How many of the requests the owner of the limit admits. */
 export type AdmitRequestsResponse = RateAnswer;
 
-/** Asks the dispatcher of some runners for a place for a call. Nothing of it is kept in the store. */
+/** Asks the dispatcher of a group of runners for a place for a call. Nothing about it is stored. */
 export interface AskPlaceRequest {
   readonly pool: string;
-  /** The group of runners that is meant; see `src/gateway/places`. */
+  /** Number of the group within the pool's runners; see `src/gateway/places`. */
   readonly group: number;
   readonly call: PlaceCall;
 }
 
-/** What the dispatcher says at once. */
+/** The dispatcher's immediate answer: granted, refused or queued. */
 export type AskPlaceResponse = PlaceDecision;
 
-/** Tells what has become of a call that was queued. */
+/** Reports the final decision on a call that was queued. */
 export interface PlaceSettled {
   readonly type: "placeSettled";
   readonly lease: number;
-  /** Moved: another gateway hands out the places now. */
+  /** `moved` means that another gateway has become the dispatcher. */
   readonly decision: PlaceGrant | PlaceRefused | { readonly type: "moved" };
 }
 
-/** Gives places back. What is lost on the way is made good by the end of the lease. */
+/** Returns places to their dispatcher. If the message is lost, the places become free when their leases expire. */
 export interface ReturnPlaces {
   readonly type: "returnPlaces";
   readonly returned: readonly ReturnedPlace[];
-  /** Calls that asked, and have had no answer in time: they want none any more. */
+  /** Calls that asked for a place, got no answer in time and no longer need one. */
   readonly withdrawn?: readonly RequestId[];
 }
 
-/** Requests between gateways. */
+/** Requests and responses of the RPCs between gateways. */
 export interface GatewayRpcSchema {
   admitTurn: { request: AdmitTurnRequest; response: AdmitTurnResponse };
   endTurn: { request: EndTurnRequest; response: EndTurnResponse };
   admitRequests: { request: AdmitRequestsRequest; response: AdmitRequestsResponse };
-  /** Makes a call to the store for a peer that does not reach it itself. */
+  /** Makes a call to the store on behalf of a peer that cannot reach it. */
   callStore: { request: StoreCall; response: StoreCallOutcome };
   findTurn: { request: FindTurnRequest; response: FindTurnResponse };
   askPlace: { request: AskPlaceRequest; response: AskPlaceResponse };
 }
 
-/** Every message between gateways. */
+/** Any message between gateways. */
 export type GatewayMessage =
   | Heartbeat
   | MemberDigest
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -11,34 +11,38 @@
 
 const timingSchema = z.strictObject({
   heartbeatMs: durationSchema.default(500).describe("Time between heartbeats to each peer, ms"),
-  suspectMs: durationSchema.default(1_250).describe("Silence after which a peer counts as gone, ms"),
+  suspectMs: durationSchema.default(1_250).describe("Silence after which a peer is considered lost, ms"),
   forgetMs: durationSchema.default(60_000).describe("Silence after which a peer's address is dropped, ms"),
-  claimMs: durationSchema.default(200).describe("Time between looks for partitions without an owner, ms"),
+  claimMs: durationSchema
+    .default(200)
+    .describe("Interval between checks for partitions without an owner, ms"),
   settleInMs: durationSchema
     .default(600)
-    .describe("Time after the start in which peers are heard before partitions are claimed, ms"),
+    .describe("Time after the start to hear from peers before partitions are claimed, ms"),
   watchOwnerMs: durationSchema
     .default(700)
     .describe(
-      "Time for which a gateway that hears fewer than half of the others watches an owner's writes, ms",
+      "Time for which a gateway that hears from fewer than half of the others watches an owner's writes, ms",
     ),
   storeSettleMs: durationSchema
     .default(2_000)
     .describe(
-      "Time for which the store has answered before owners that do not reach it are replaced, ms; longer than a call that is not answered and a heartbeat",
+      "Time for which the store must have answered before owners that cannot reach it are replaced, ms; longer than an unanswered call plus a heartbeat",
     ),
-  ownerWaitMs: durationSchema.default(1_500).describe("Longest wait for a partition's owner, ms"),
+  ownerWaitMs: durationSchema.default(1_500).describe("Maximum wait for a partition's owner, ms"),
   configurationMs: durationSchema
     .default(2_000)
-    .describe("Within what time a configuration must be in force after the store has confirmed it, ms"),
+    .describe("Maximum time until a configuration is in force after the store has confirmed it, ms"),
   runnerDrainMs: durationSchema
     .default(1_500)
-    .describe("How long a leaving runner goes on serving after its entry says so, ms"),
-  stopMs: durationSchema.default(6_500).describe("Longest time that a planned stop takes, ms"),
+    .describe("How long a draining runner continues to serve after its entry says that it drains, ms"),
+  stopMs: durationSchema.default(6_500).describe("Maximum duration of a planned stop, ms"),
   lingerMs: durationSchema
     .default(2_500)
-    .describe("Time that a planned stop keeps taking connections of callers that know no better, ms"),
-  directoryTtlS: z.number().min(0.1).max(60).default(1).describe("How long callers keep addresses, s"),
+    .describe(
+      "Time for which a planned stop still accepts connections of callers that do not know of it yet, ms",
+    ),
+  directoryTtlS: z.number().min(0.1).max(60).default(1).describe("How long callers may cache addresses, s"),
 });
 
 const membershipSchema = z.strictObject({
@@ -46,7 +50,9 @@
     .int()
     .min(1)
     .default(24)
-    .describe("Most gateways that send heartbeats to all others; with more, some per zone relay them"),
+    .describe(
+      "Maximum number of gateways that send heartbeats to all others; with more, some per zone relay them",
+    ),
 });
 
 const budgetSchema = z.strictObject({
@@ -55,7 +61,7 @@
     .min(0)
     .max(16)
     .default(4)
-    .describe("Turns for which tokens are set aside in the store along with the present one"),
+    .describe("Further turns for which tokens are reserved in the store along with the current one"),
 });
 
 const requestLimitsSchema = z.strictObject({
@@ -67,19 +73,19 @@
     .min(0)
     .max(1)
     .default(0)
-    .describe("Part of what a limit allows in a window by which it may be exceeded"),
+    .describe("Fraction of a window's limit by which the limit may be exceeded"),
   slack: z
     .number()
     .min(0)
     .default(0)
-    .describe("Requests in a window by which a limit may be exceeded on top"),
+    .describe("Additional requests in a window by which a limit may be exceeded"),
 });
 
 const keysSchema = z.strictObject({
   revokeMs: durationSchema
     .optional()
     .describe(
-      "Longest time for which a key may still be used after a configuration without it was acknowledged, ms; gateways that cannot be sure refuse keyed requests. Left out, they go on by the configuration that they have",
+      "Maximum time for which a key may still be used after a configuration without it was acknowledged, ms; gateways whose configuration may be older refuse keyed requests. If omitted, they continue with the configuration that they have",
     ),
 });
 
@@ -89,7 +95,7 @@
     .min(0)
     .default(0)
     .describe(
-      "Places of a pool for each live gateway below which dispatchers hand them out while they are scarce, a quarter of it for runners that are no model engines; 0: each gateway places its calls alone",
+      "Number of a pool's places per live gateway below which dispatchers hand them out while they are scarce, a quarter of it for runners that are not model engines; 0: each gateway places its calls by itself",
     ),
   scarceFrom: z
     .number()
@@ -97,7 +103,7 @@
     .max(1)
     .default(0.7)
     .describe(
-      "Share of a pool's places that are taken from which on they are scarce; until it falls to seven tenths of this",
+      "Share of a pool's places in use from which they are scarce, until it falls to seven tenths of this value",
     ),
 });
 
@@ -105,13 +111,13 @@
   byHeadroom: z
     .boolean()
     .default(false)
-    .describe("Whether callers are told of gateways by what these can take; otherwise all are told alike"),
+    .describe(
+      "Whether the directory lists gateways according to their headroom; otherwise it lists all equally",
+    ),
   byExpectedTime: z
     .boolean()
     .default(false)
-    .describe(
-      "Whether runners are chosen by the time in which a call is expected to be over; otherwise by load",
-    ),
+    .describe("Whether runners are chosen by the expected duration of a call; otherwise by load"),
 });
 
 const buffersSchema = z.strictObject({
@@ -119,19 +125,21 @@
     .int()
     .min(0)
     .default(0)
-    .describe("Most bytes held for callers and runners that read slowly; 0: a part of the machine's memory"),
+    .describe(
+      "Maximum number of bytes buffered for callers and runners that read slowly; 0: a share of the process's memory",
+    ),
   memoryMb: z
     .number()
     .min(1)
     .default(256)
-    .describe("Memory that this process may use, MB; 15 in 100 of it may be held for slow readers"),
+    .describe("Memory that this process may use, MB; 15 % of it may be buffered for slow readers"),
 });
 
 /** Settings of a gateway process. */
 export const gatewaySettingsSchema = z.strictObject({
-  name: nameSchema.describe("Name of the machine, unique in the system"),
-  region: z.string().describe("Region that the machine is in"),
-  zone: z.string().describe("Zone that the machine is in"),
+  name: nameSchema.describe("Name of the machine, unique within the system"),
+  region: z.string().describe("Region of the machine"),
+  zone: z.string().describe("Zone of the machine"),
   listen: listenSchema,
   seeds: z.array(addressSchema).default([]).describe("Peer addresses to start from; may be stale"),
   store: addressSchema.describe("The platform's transactional store, IP:port"),
@@ -146,7 +154,9 @@
     .min(1)
     .max(65_536)
     .default(64)
-    .describe("Number of the store's parts that retained turns lie in; fixed once the system has started"),
+    .describe(
+      "Number of parts of the store over which retained turns are spread; fixed once the system has started",
+    ),
   timing: timingSchema.prefault({}),
   membership: membershipSchema.prefault({}),
   budget: budgetSchema.prefault({}),
--- a/src/gateway/load-gateway-settings.ts
+++ b/src/gateway/load-gateway-settings.ts
@@ -1,14 +1,15 @@
 /**
- * Reads a gateway's settings. Valid ones in JSON are read by a schema that the build has made of the settings' own; the
- * libraries that say what is wrong with others, and read YAML, take a tenth of a start to load, so only those wait for them.
+ * Reads a gateway's settings. Valid settings in JSON are read with a JSON Schema that the build generates from the settings
+ * schema. The libraries that report errors and parse YAML take a tenth of the start-up time to load, so they are imported
+ * only for other settings files.
  */
 import { readFileSync } from "node:fs";
 import { type JsonSchema, readBySchema } from "../settings/read-by-schema.ts";
 import type { GatewaySettings } from "./gateway-settings.ts";
 
 /**
- * @param schema what the build has made of the settings' schema; undefined where nothing was built
- * @param onUnknown told of keys that are passed over because the settings do not have them; without it they are errors
+ * @param schema the JSON Schema that the build has generated; undefined when running from source
+ * @param onUnknown called with the unknown keys, which are then ignored; if omitted, unknown keys are errors
  */
 export async function loadGatewaySettings(
   file: string | undefined,
@@ -22,7 +23,7 @@
   return loadSettings(file, [], gatewaySettingsSchema, onUnknown);
 }
 
-/** Undefined for whatever is not valid JSON of the schema, or can't be read. */
+/** Returns undefined if the file can't be read or is not JSON that is valid by the schema. */
 function readValidJson(file: string, schema: JsonSchema): unknown {
   try {
     return readBySchema(JSON.parse(readFileSync(file, "utf8")), schema);
--- a/src/gateway/pause-detector.ts
+++ b/src/gateway/pause-detector.ts
@@ -1,17 +1,17 @@
 /**
- * Notices that this process stood still, as when its machine was frozen: between two looks lies more time than a look
- * should ever take. Times in ms of a monotonic clock.
+ * Detects that this process was paused, for example because its machine was frozen: more time has passed between two
+ * checks than in a running process. Times are in ms of a monotonic clock.
  */
 export class PauseDetector {
   readonly #maxIntervalMs: number;
   #lastCheckedAtMs: number | undefined;
 
-  /** @param maxIntervalMs longest time between two looks of a process that runs */
+  /** @param maxIntervalMs maximum time between two checks in a running process */
   constructor(maxIntervalMs: number) {
     this.#maxIntervalMs = maxIntervalMs;
   }
 
-  /** Whether the process has stood still since the look before. */
+  /** Records a check; returns whether the process was paused since the previous one. */
   detectPause(nowMs: number): boolean {
     const previousMs = this.#lastCheckedAtMs ?? nowMs;
     this.#lastCheckedAtMs = nowMs;
--- a/src/gateway/run-gateway.ts
+++ b/src/gateway/run-gateway.ts
@@ -1,4 +1,4 @@
-/** The life of a gateway's process: settings, start, signals, end. */
+/** Runs a gateway process: reads its settings, starts it and handles its signals. */
 import { TulipwheelError } from "../errors/tulipwheel-error.ts";
 import type { JsonSchema } from "../settings/read-by-schema.ts";
 import type { GatewayPlatform } from "./gateway-context.ts";
@@ -8,15 +8,16 @@
 import { startGateway } from "./start-gateway.ts";
 
 const INVALID_SETTINGS_EXIT_CODE = 2;
-/** Put here by the build; not defined where nothing is built. */
+/** Inserted by the build; not defined when running from source. */
 declare const SETTINGS_SCHEMA: JsonSchema | undefined;
 const builtSchema = typeof SETTINGS_SCHEMA === "undefined" ? undefined : SETTINGS_SCHEMA;
 
 /**
- * Runs a gateway until it is told to stop. SIGTERM is a planned stop; SIGHUP reads the settings again and takes the
- * seeds from them. Settings that are not valid end the process with code 2 and a message that names line and remedy.
+ * Runs a gateway until it is told to stop. SIGTERM starts a planned stop; SIGHUP reads the settings again and applies
+ * their seeds. If the settings are invalid, the process exits with code 2 and a message that names the line and the
+ * remedy.
  *
- * @param createPlatform how the platform around the gateway speaks
+ * @param createPlatform creates the adapters to the platform that the gateway runs on
  */
 export async function runGateway(
   settingsFile: string | undefined,
@@ -43,11 +44,11 @@
   }
 }
 
-/** A file that was laid out for a newer build may have keys that this one does not know: it goes on without them. */
+/** Reads the settings file. Keys of a newer build that this one does not know are ignored with a message. */
 function readSettings(settingsFile: string | undefined): Promise<GatewaySettings> {
   return loadGatewaySettings(settingsFile, builtSchema, (keys) => {
     process.stderr.write(
-      `${settingsFile}: keys that this build does not know are passed over: ${keys.join(", ")}\n`,
+      `${settingsFile}: keys that this build does not know are ignored: ${keys.join(", ")}\n`,
     );
   });
 }
--- a/src/gateway/start-gateway.ts
+++ b/src/gateway/start-gateway.ts
@@ -14,7 +14,7 @@
 const INSTANCE_TOKEN_LENGTH = 8;
 const STDOUT_DESCRIPTOR = 1;
 
-/** Starts a gateway in this process, on the real clock and network. */
+/** Starts a gateway in this process with the real clock and network. */
 export async function startGateway(
   settings: GatewaySettings,
   platform: GatewayPlatform,
@@ -35,7 +35,7 @@
   return daemon;
 }
 
-/** The library is loaded only where metrics are served: it costs a starting process a tenth of its time. */
+/** Imports the metrics library only if metrics are served: loading it takes a tenth of the start-up time. */
 async function createMetrics({ listen }: GatewaySettings): Promise<GatewayMetrics> {
   if (listen.metrics === undefined) return new NoMetrics();
   const { PrometheusMetrics } = await import("./telemetry/prometheus-metrics.ts");
--- a/src/gateway/store-health.ts
+++ b/src/gateway/store-health.ts
@@ -1,44 +1,43 @@
-/** Whether the platform's store answers this gateway, and the newest version that it has named. */
+/** Tracks whether the platform's store answers this gateway, and the newest store version seen in its answers. */
 import { AdaptiveTimeout } from "../coordination/adaptive-timeout/index.ts";
 import type { ReadOutcome, TransactionOutcome, WatchOutcome } from "../ports/store/row-store.ts";
 import type { GatewayContext } from "./gateway-context.ts";
 
 /**
- * Time without any answer, in ms, after which a call that fails shows that the store is out of reach. Some answers may
- * be lost all the time; the waits for changes are answered every two seconds at least.
+ * Time without any answer, in ms, after which a failed call means that the store is unreachable. Single answers may be
+ * lost at any time; the waits for changes are answered at least every two seconds.
  */
 const UNREACHABLE_AFTER_MS = 2_200;
 
-/** See the module's comment. */
 export class StoreHealth {
   readonly #context: GatewayContext;
   #lastAnswerMs = Number.NEGATIVE_INFINITY;
   #reachable = false;
   #reachableSinceMs = Number.POSITIVE_INFINITY;
   #newestVersion = 0;
-  /** How long writes of this gateway wait for their answers. */
+  /** How long writes of this gateway wait for an answer. */
   readonly writeTimeout = new AdaptiveTimeout();
 
   constructor(context: GatewayContext) {
     this.#context = context;
   }
 
-  /** Whether the store has answered lately. */
+  /** Whether the store has answered recently. */
   get reachable(): boolean {
     return this.#reachable;
   }
 
-  /** For how long the store has been answering without a gap, in ms; 0 while it does not. */
+  /** How long the store has been answering without interruption, in ms; 0 while it is unreachable. */
   get reachableForMs(): number {
     return Math.max(0, this.#context.clock.monotonicMs() - this.#reachableSinceMs);
   }
 
-  /** The newest version that any answer has named. */
+  /** The newest store version in any answer. */
   get newestVersion(): number {
     return this.#newestVersion;
   }
 
-  /** Takes in how a call ended. */
+  /** Updates the state with the outcome of a call. */
   recordOutcome(outcome: ReadOutcome | TransactionOutcome | WatchOutcome): void {
     const nowMs = this.#context.clock.monotonicMs();
     if (outcome.type === "refused" || outcome.type === "unknown") {
--- a/test/contract/platform-settings.test.ts
+++ b/test/contract/platform-settings.test.ts
@@ -1,4 +1,4 @@
-/** The template that the platform fills in becomes valid settings. */
+/** Checks that the settings template yields valid settings once the platform has filled it in. */
 import { readFileSync } from "node:fs";
 import { describe, it } from "node:test";
 import { expect } from "earl";
@@ -21,7 +21,7 @@
 };
 
 describe("settings template", () => {
-  /** Fills the gaps, and the parts that stand only where a value is missing. */
+  /** Renders the template's variables, its sections and its inverted sections, which appear only if a value is missing. */
   function fill(values: Record<string, string | undefined>): string {
     const rendered = TEMPLATE.replace(
       /\{\{\^([^{}]*)\}\}(.*?)\{\{\/\1\}\}/g,
@@ -34,19 +34,19 @@
     });
   }
 
-  /** What a gateway reads of the template, filled. */
+  /** The settings that a gateway reads from the rendered template. */
   function parseSettings(values: Record<string, string | undefined>) {
     const [parsed] = parseYaml(fill(values), "settings", gatewaySettingsSchema, "invalid-settings");
     return parsed?.value;
   }
 
-  it("becomes valid settings with the platform's values", () => {
+  it("yields valid settings with the platform's values", () => {
     const settings = parseSettings(PLATFORM_VALUES);
     expect(settings?.seeds).toEqual([ADDRESS]);
     expect(settings?.name).toEqual("front-hall-a-1");
   });
 
-  it("becomes JSON, which a gateway reads faster than YAML, whatever the platform leaves out", () => {
+  it("yields JSON, which a gateway reads faster than YAML, whichever values the platform omits", () => {
     const limits = {
       "bounds.quota-window-s": "5",
       "bounds.quota-overage": "0.1",
@@ -59,7 +59,7 @@
       );
   });
 
-  it("trusts keys for as long as the platform says, where it wants them refused in doubt", () => {
+  it("limits the time that keys are trusted only if the platform wants uncertain keys refused", () => {
     for (const [failClosed, expected] of [
       ["true", 5_000],
       ["false", undefined],
@@ -72,7 +72,7 @@
     }
   });
 
-  it("takes the memory of a process from the platform, where it says it", () => {
+  it("takes the memory of a process from the platform, with a default", () => {
     for (const [given, expected] of [
       ["178", 178],
       [undefined, 256],
@@ -83,7 +83,7 @@
     }
   });
 
-  it("takes the time that leaving runners serve on from the platform, where it says one", () => {
+  it("takes the drain time of runners from the platform, with a default", () => {
     for (const [given, expected] of [
       ["4000", 4_000],
       [undefined, 1_500],
@@ -94,7 +94,7 @@
     }
   });
 
-  it("takes the time within which a configuration is in force from the platform, where it says one", () => {
+  it("takes the time until a configuration is in force from the platform, with a default", () => {
     for (const [given, expected] of [
       ["4000", 4_000],
       [undefined, 2_000],
--- a/test/contract/read-by-schema.test.ts
+++ b/test/contract/read-by-schema.test.ts
@@ -1,4 +1,4 @@
-/** Settings read by the schema that the build makes, against the library that it is made with. */
+/** Compares settings read with the JSON Schema that the build generates with those that zod parses. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -49,27 +49,27 @@
 const folder = mkdtempSync(join(tmpdir(), "tulipwheel-settings-"));
 const file = join(folder, "settings.json");
 
-describe("settings by the build's schema", () => {
+describe("settings read with the build's schema", () => {
   after(() => rmSync(folder, { recursive: true }));
 
-  it("are what the library gives, defaults included", () => {
+  it("equal the settings that zod parses, including defaults", () => {
     for (const value of VALID)
       expect(readBySchema(value, SCHEMA) as object).toEqual(gatewaySettingsSchema.parse(value) as object);
   });
 
-  it("are not read where the library finds a fault", () => {
+  it("are not read if zod rejects them", () => {
     for (const value of INVALID) {
       expect(gatewaySettingsSchema.safeParse(value).success).toEqual(false);
       expect(readBySchema(value, SCHEMA)).toEqual(undefined);
     }
   });
 
-  it("are not read by a schema with keywords that are not known", () => {
+  it("are not read with a schema that has unknown keywords", () => {
     const schema = { ...SCHEMA, minProperties: 1 } as JsonSchema;
     expect(readBySchema(MINIMAL_SETTINGS, schema)).toEqual(undefined);
   });
 
-  it("keep their messages where something is wrong, and may be YAML", async () => {
+  it("produce zod's error messages if invalid, and may be YAML", async () => {
     writeFileSync(file, JSON.stringify({ ...MINIMAL_SETTINGS, colour: "red" }));
     await expect(loadGatewaySettings(file, SCHEMA)).toBeRejectedWith(/settings\.json:1: .*colour/);
     writeFileSync(
