--- a/src/cli/logs/call-entry.ts
+++ b/src/cli/logs/call-entry.ts
@@ -1,8 +1,8 @@
 import type { AdmissionRecord } from "../../gateway/telemetry/admission-record.ts";
-import type { PlacedRecord } from "../../gateway/telemetry/placed-record.ts";
+import type { AttemptRecord } from "../../gateway/telemetry/attempt-record.ts";
 import type { RateRecord } from "../../gateway/telemetry/rate-record.ts";
 import type { RetentionRecord } from "../../gateway/telemetry/retention-record.ts";
-import type { TryRecord } from "../../gateway/telemetry/try-record.ts";
+import type { TimedPlaceRecord } from "../../gateway/telemetry/timed-place-record.ts";
 import type { LogEntry } from "./log-entry.ts";
 
 /** The line that a gateway writes when a call is over. */
@@ -20,9 +20,9 @@
   readonly elapsedMs: number;
   readonly firstByteMs?: number;
   readonly admission?: AdmissionRecord;
-  readonly places?: readonly PlacedRecord[];
+  readonly places?: readonly TimedPlaceRecord[];
   readonly retention?: RetentionRecord;
-  readonly tries?: readonly TryRecord[];
+  readonly tries?: readonly AttemptRecord[];
 }
 
 /** Whether a line is that of a call. */
--- a/src/cli/logs/tell-story.ts
+++ b/src/cli/logs/tell-story.ts
@@ -2,9 +2,9 @@
 
 import { nameOf } from "../../gateway/members/instance-name.ts";
 import type { AdmissionRecord } from "../../gateway/telemetry/admission-record.ts";
-import type { PlacedRecord } from "../../gateway/telemetry/placed-record.ts";
 import type { RateRecord } from "../../gateway/telemetry/rate-record.ts";
 import type { RetentionRecord } from "../../gateway/telemetry/retention-record.ts";
+import type { TimedPlaceRecord } from "../../gateway/telemetry/timed-place-record.ts";
 import { type CallEntry, isCallEntry } from "./call-entry.ts";
 import type { LogEntry } from "./log-entry.ts";
 import type { StoryLine } from "./story-line.ts";
@@ -106,7 +106,7 @@
   return `${request}${before}: partition ${partition}, owned by ${whose}, says ${answer}${spent} after ${elapsedMs} ms`;
 }
 
-function placeText(request: string, place: PlacedRecord): string {
+function placeText(request: string, place: TimedPlaceRecord): string {
   const { verdict, reason, unasked, dispatcher, group, lease, behind, waitedMs } = place;
   const { expectedMs, holdingMs, ownDelayMs } = place;
   const forecast = expectedMs === undefined ? "" : `, ${expectedMs} ms expected`;
--- a/src/gateway/buffers/buffer-limiter.ts
+++ b/src/gateway/buffers/buffer-limiter.ts
@@ -108,7 +108,7 @@
       allHeldBytes: this.#heldBytes,
     };
     log.warn(line, "slow reader cut");
-    metrics.readerCut(holdsRunner ? "runnerWaits" : "memoryShort");
+    metrics.recordReaderDisconnect(holdsRunner ? "runnerWaits" : "memoryShort");
     buffers.cut();
     buffers.close();
   }
--- a/src/gateway/calls/call-service.ts
+++ b/src/gateway/calls/call-service.ts
@@ -120,7 +120,7 @@
     const { version } = routes.configuration;
     const verdict = await this.#rates.admit(tenant, version, askedAtMs + waitMs);
     const elapsedMs = clock.monotonicMs() - askedAtMs;
-    metrics.rated(tenant.name, verdict.type, elapsedMs);
+    metrics.recordRateDecision(tenant.name, verdict.type, elapsedMs);
     const rate: RateRecord = {
       ...this.#rates.ownerOf(tenant.name),
       verdict: verdict.type,
@@ -189,8 +189,8 @@
     record.rate = rate;
     const elapsedMs = rate === undefined ? 0 : rate.atMs + rate.elapsedMs;
     const end = { status, kind, detail };
-    this.#parts.callLog.ended(record, end, elapsedMs);
-    this.#parts.context.metrics.callEnded(record.route, end, elapsedMs, undefined);
+    this.#parts.callLog.logCall(record, end, elapsedMs);
+    this.#parts.context.metrics.recordCall(record.route, end, elapsedMs, undefined);
   }
 }
 
--- a/src/gateway/calls/routed-call.ts
+++ b/src/gateway/calls/routed-call.ts
@@ -306,7 +306,7 @@
     const load = board.load(runner.id);
     const failureRate = roundedShare(board.failureRate(runner.id, context.clock.monotonicMs()));
     const expectedMs = this.#choice && board.expectedMs(runner.id, this.#choice);
-    if (expectedMs !== undefined) context.metrics.tryExpected(expectedMs);
+    if (expectedMs !== undefined) context.metrics.recordExpectedAttemptTime(expectedMs);
     const expected = expectedMs === undefined ? {} : { expectedMs: Math.round(expectedMs) };
     this.record.tries.push({ runner: runner.id, load, failureRate, ...expected, atMs: this.elapsedMs });
   }
@@ -356,8 +356,8 @@
     this.endTry();
     if (this.#question) this.parts.places.cancel(this.#question);
     const { elapsedMs, record } = this;
-    this.parts.callLog.ended(record, end, elapsedMs);
-    this.parts.context.metrics.callEnded(record.route, end, elapsedMs, record.firstByteMs);
+    this.parts.callLog.logCall(record, end, elapsedMs);
+    this.parts.context.metrics.recordCall(record.route, end, elapsedMs, record.firstByteMs);
     if (this.#timer) this.parts.context.clock.cancel(this.#timer);
     this.#cancelSilenceTimer();
     this.attempt?.abort();
--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -195,7 +195,7 @@
     this.#over = true;
     const nowMs = this.#nowMs;
     this.#parts.board.ended(this.#pending, outcome, nowMs);
-    this.#parts.context.metrics.tryEnded(outcome, nowMs - this.#pending.startedAtMs);
+    this.#parts.context.metrics.recordAttempt(outcome, nowMs - this.#pending.startedAtMs);
   }
 
   /** Events of a stream come as they are made; another answer is one step. */
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -157,13 +157,13 @@
     const previousTurn = this.call.program?.previousTurn;
     const goesOn = previousTurn === undefined ? {} : { previousTurn };
     this.record.admission = { partition, owner, answer: answer.type, ...goesOn, ...spent, elapsedMs };
-    this.parts.context.metrics.admitted(answer.type, elapsedMs);
+    this.parts.context.metrics.recordAdmission(answer.type, elapsedMs);
   }
 
   #noteRetention(heldBy: RetentionRecord["heldBy"], atMs: number): void {
     const elapsedMs = this.elapsedMs - atMs;
     this.record.retention = { heldBy, atMs, elapsedMs };
-    this.parts.context.metrics.retained(heldBy, elapsedMs);
+    this.parts.context.metrics.recordRetention(heldBy, elapsedMs);
   }
 
   #onAdmission(answer: AdmitTurnResponse): void {
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -210,7 +210,7 @@
       runnerConnections: () => this.#connections.count,
       headroom: () => this.#headroom?.headroom ?? FULL_HEADROOM,
       heldBytes: (reason: BufferReason) => this.#buffers.heldFor(reason),
-      linesLeftOut: () => this.#callLog.leftOutTotal,
+      omittedLogLines: () => this.#callLog.omittedTotal,
       configurationVersion: () => this.#routing.routes?.configuration.version ?? 0,
       configurationBehindMs: () => this.#routing.behindMs,
       storeReachable: () => this.#health.reachable,
--- a/src/gateway/members/caller-directory.ts
+++ b/src/gateway/members/caller-directory.ts
@@ -34,7 +34,7 @@
     const named = this.#shuffled(spreadCallers(candidates, zone)).slice(0, MAX_ADDRESSES);
     // Callers may say anything: only zones that have gateways are counted and remembered.
     const known = gateways.some((gateway) => gateway.zone === zone) ? zone : undefined;
-    for (const gateway of named) this.#context.metrics.named(gateway.zone, known);
+    for (const gateway of named) this.#context.metrics.recordNamedGateway(gateway.zone, known);
     if (known !== undefined) this.#noteShortage(known, named);
     return named.map(({ address }) => address);
   }
--- a/src/gateway/partitions/transaction-sender.ts
+++ b/src/gateway/partitions/transaction-sender.ts
@@ -67,7 +67,7 @@
     const outcome = await platform.store.transact(transaction);
     const elapsedMs = clock.monotonicMs() - startedMs;
     if (isAnswer(outcome)) this.#health.writeTimeout.recordAnswer(elapsedMs);
-    metrics.storeWritten(outcome.type, elapsedMs);
+    metrics.recordStoreWrite(outcome.type, elapsedMs);
     this.#health.recordOutcome(outcome);
     return outcome;
   }
--- a/src/gateway/places/place-client.ts
+++ b/src/gateway/places/place-client.ts
@@ -321,7 +321,7 @@
       ...(behind === undefined ? {} : { behind }),
       waitedMs: Math.round(this.#nowMs - askedAtMs),
     };
-    this.#context.metrics.placed(requester.pool.name, record);
+    this.#context.metrics.recordPlaceDecision(requester.pool.name, record);
     requester.onVerdict(verdict, record);
   }
 
--- a/src/gateway/places/place-host.ts
+++ b/src/gateway/places/place-host.ts
@@ -137,7 +137,7 @@
       this.#settleWaiting(group);
       const { leased, waiting } = dispatcher;
       if (waiting > 0) this.#logQueue(group);
-      this.#context.metrics.dispatched(pool, index, {
+      this.#context.metrics.setDispatchedPlaces(pool, index, {
         places: dispatcher.room(nowMs).places,
         leased,
         waiting,
@@ -160,7 +160,7 @@
   /** Drops a group: another gateway hands out its places now, or no more requests arrive. */
   #stopDispatching(key: string, { pool, index, dispatcher }: HostedGroup): void {
     this.#groups.delete(key);
-    this.#context.metrics.dispatched(pool, index, { places: 0, leased: 0, waiting: 0 });
+    this.#context.metrics.setDispatchedPlaces(pool, index, { places: 0, leased: 0, waiting: 0 });
     const waiting = dispatcher.drain();
     for (const { holder, lease } of waiting)
       this.#notify(holder, { type: "placeSettled", lease, decision: { type: "moved" } });
--- a/src/gateway/store/unreadable-row-reporter.ts
+++ b/src/gateway/store/unreadable-row-reporter.ts
@@ -20,7 +20,7 @@
   /** Reports that the row with this key can't be decoded. */
   report(key: string): void {
     const { clock, log, metrics } = this.#context;
-    metrics.rowUnreadable(this.#table);
+    metrics.recordUnreadableRow(this.#table);
     this.#unloggedCount += 1;
     const nowMs = clock.monotonicMs();
     if (nowMs - this.#loggedAtMs < LOG_INTERVAL_MS) return;
--- a/src/gateway/telemetry/try-record.ts
+++ b/src/gateway/telemetry/attempt-record.ts
@@ -1,5 +1,5 @@
 /** One try at a runner. */
-export interface TryRecord {
+export interface AttemptRecord {
   readonly runner: string;
   /** Requests in flight at the runner when it was chosen, as far as known. */
   readonly load: number;
--- a/src/gateway/telemetry/call-log.ts
+++ b/src/gateway/telemetry/call-log.ts
@@ -8,9 +8,9 @@
 import type { CallRecord } from "./call-record.ts";
 
 /** Most lines a second. */
-const MAX_LINES = 300;
+const MAX_LINES_PER_WINDOW = 300;
 /** Lines a second from which on only failures are written. */
-const MAX_ANSWERED_LINES = 150;
+const FAILURES_ONLY_FROM_LINES = 150;
 const WINDOW_MS = 1_000;
 const FIRST_FAILURE_STATUS = 300;
 
@@ -19,10 +19,10 @@
   readonly #log: Logger;
   readonly #clock: Clock;
   #windowStartMs = 0;
-  #lines = 0;
-  #leftOut = 0;
+  #linesInWindow = 0;
+  #omittedInWindow = 0;
   /** Lines left out since the start. */
-  leftOutTotal = 0;
+  omittedTotal = 0;
 
   constructor(log: Logger, clock: Clock) {
     this.#log = log;
@@ -30,24 +30,25 @@
   }
 
   /** Notes that a call is over. */
-  ended(record: CallRecord, end: CallEnd, elapsedMs: number): void {
-    this.#turnWindow();
+  logCall(record: CallRecord, end: CallEnd, elapsedMs: number): void {
+    this.#advanceWindow();
     const answered = end.status > 0 && end.status < FIRST_FAILURE_STATUS;
-    if (this.#lines >= (answered ? MAX_ANSWERED_LINES : MAX_LINES)) {
-      this.#leftOut += 1;
-      this.leftOutTotal += 1;
+    if (this.#linesInWindow >= (answered ? FAILURES_ONLY_FROM_LINES : MAX_LINES_PER_WINDOW)) {
+      this.#omittedInWindow += 1;
+      this.omittedTotal += 1;
       return;
     }
-    this.#lines += 1;
-    this.#log.info(record.line(end, elapsedMs), answered ? "call answered" : "call failed");
+    this.#linesInWindow += 1;
+    this.#log.info(record.toLogFields(end, elapsedMs), answered ? "call answered" : "call failed");
   }
 
-  #turnWindow(): void {
+  #advanceWindow(): void {
     const nowMs = this.#clock.monotonicMs();
     if (nowMs - this.#windowStartMs < WINDOW_MS) return;
-    if (this.#leftOut > 0) this.#log.warn({ lines: this.#leftOut }, "lines of calls left out");
+    if (this.#omittedInWindow > 0)
+      this.#log.warn({ lines: this.#omittedInWindow }, "lines of calls left out");
     this.#windowStartMs = nowMs;
-    this.#lines = 0;
-    this.#leftOut = 0;
+    this.#linesInWindow = 0;
+    this.#omittedInWindow = 0;
   }
 }
--- a/src/gateway/telemetry/call-record.ts
+++ b/src/gateway/telemetry/call-record.ts
@@ -1,10 +1,10 @@
 /** What was decided about one call, on which grounds, and what came of it: the content of its line in the log. */
 import type { AdmissionRecord } from "./admission-record.ts";
+import type { AttemptRecord } from "./attempt-record.ts";
 import type { CallEnd } from "./call-end.ts";
-import type { PlacedRecord } from "./placed-record.ts";
 import type { RateRecord } from "./rate-record.ts";
 import type { RetentionRecord } from "./retention-record.ts";
-import type { TryRecord } from "./try-record.ts";
+import type { TimedPlaceRecord } from "./timed-place-record.ts";
 
 /** See the module's comment. */
 export class CallRecord {
@@ -18,8 +18,8 @@
   /** Undefined where the tenant has no limit. */
   rate: RateRecord | undefined;
   /** What came of each question for a place. */
-  readonly places: PlacedRecord[] = [];
-  readonly tries: TryRecord[] = [];
+  readonly places: TimedPlaceRecord[] = [];
+  readonly tries: AttemptRecord[] = [];
   admission: AdmissionRecord | undefined;
   retention: RetentionRecord | undefined;
   /** Since the call arrived until its first byte was handed on, in ms. */
@@ -33,7 +33,7 @@
   }
 
   /** The fields of its line. */
-  line(end: CallEnd, elapsedMs: number): object {
+  toLogFields(end: CallEnd, elapsedMs: number): object {
     const { request, program, route, configuration, tenant, rate, admission, places, retention, tries } =
       this;
     const { firstByteMs } = this;
--- a/src/gateway/telemetry/gateway-gauges.ts
+++ b/src/gateway/telemetry/gateway-gauges.ts
@@ -8,7 +8,7 @@
   readonly runnerConnections: () => number;
   readonly headroom: () => number;
   readonly heldBytes: (reason: BufferReason) => number;
-  readonly linesLeftOut: () => number;
+  readonly omittedLogLines: () => number;
   readonly configurationVersion: () => number;
   /** For how long nothing newer than the configuration in force can have been known, in ms. */
   readonly configurationBehindMs: () => number;
--- a/src/gateway/telemetry/log-sink.ts
+++ b/src/gateway/telemetry/log-sink.ts
@@ -6,14 +6,14 @@
 
 /** Lines are written together once they are so many bytes, or after so long. */
 const BATCH_BYTES = 4_096;
-const FLUSH_AFTER_MS = 250;
+const FLUSH_DELAY_MS = 250;
 /** Bytes that wait for a reader at most. */
-const MAX_WAITING_BYTES = 4 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
 /** See the module's comment. */
 export class LogSink {
   readonly #destination: ReturnType<typeof pino.destination>;
-  #flushing = false;
+  #isFlushScheduled = false;
 
   /** @param descriptor an open file descriptor */
   constructor(descriptor: number) {
@@ -21,19 +21,19 @@
       fd: descriptor,
       sync: false,
       minLength: BATCH_BYTES,
-      maxLength: MAX_WAITING_BYTES,
+      maxLength: MAX_BUFFERED_BYTES,
     });
   }
 
   /** Takes a line. */
   write(line: string): void {
     this.#destination.write(line);
-    if (this.#flushing) return;
-    this.#flushing = true;
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     setTimeout(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       this.#destination.flush();
-    }, FLUSH_AFTER_MS).unref();
+    }, FLUSH_DELAY_MS).unref();
   }
 
   /** Calls back once everything was written. */
--- a/src/gateway/telemetry/prometheus-metrics.ts
+++ b/src/gateway/telemetry/prometheus-metrics.ts
@@ -22,39 +22,43 @@
     registers: [],
   });
   readonly #callTimes = histogram("call_seconds", "Time from a call's arrival to its end", CALL_BUCKETS_S);
-  readonly #firstBytes = histogram("first_byte_seconds", "Time to the first byte handed on", CALL_BUCKETS_S);
-  readonly #tries = histogram("try_seconds", "Time of a try at a runner", CALL_BUCKETS_S, "outcome");
-  readonly #expected = histogram(
+  readonly #firstByteTimes = histogram(
+    "first_byte_seconds",
+    "Time to the first byte handed on",
+    CALL_BUCKETS_S,
+  );
+  readonly #attemptTimes = histogram("try_seconds", "Time of a try at a runner", CALL_BUCKETS_S, "outcome");
+  readonly #expectedAttemptTimes = histogram(
     "try_expected_seconds",
     "Time in which a try at a runner was expected to be over",
     CALL_BUCKETS_S,
   );
-  readonly #named = new Counter({
+  readonly #namedGateways = new Counter({
     name: "tulipwheel_gateway_named_total",
     help: "Gateways named to callers, by their zone and that of the caller",
     labelNames: ["zone", "caller_zone"],
     registers: [],
   });
-  readonly #admissions = histogram(
+  readonly #admissionTimes = histogram(
     "admission_seconds",
     "Time until the owner's answer",
     CALL_BUCKETS_S,
     "answer",
   );
-  readonly #rated = new Counter({
+  readonly #rateDecisions = new Counter({
     name: "tulipwheel_gateway_tenant_requests_total",
     help: "Requests with a known key, by tenant and what was decided of them: granted, limited or unavailable",
     labelNames: ["tenant", "verdict"],
     registers: [],
   });
   readonly #rateTimes = histogram("rate_seconds", "Time until the owner of a limit answered", CALL_BUCKETS_S);
-  readonly #retentions = histogram(
+  readonly #retentionTimes = histogram(
     "retention_seconds",
     "Time for which the end of an answer waited until its turn was kept",
     CALL_BUCKETS_S,
     "held_by",
   );
-  readonly #writes = histogram(
+  readonly #storeWriteTimes = histogram(
     "store_write_seconds",
     "Time of a write of a partition",
     STORE_BUCKETS_S,
@@ -66,7 +70,7 @@
     labelNames: ["table"],
     registers: [],
   });
-  readonly #placed = new Counter({
+  readonly #placeDecisions = new Counter({
     name: "tulipwheel_gateway_places_total",
     help: "Calls that asked for a place, by pool, verdict (granted, refused or alone) and reason",
     labelNames: ["pool", "verdict", "reason"],
@@ -78,19 +82,19 @@
     CALL_BUCKETS_S,
     "pool",
   );
-  readonly #placeForecasts = histogram(
+  readonly #placeForecastErrors = histogram(
     "place_forecast_error_seconds",
     "How far the wait for a place was from what was forecast, by direction: longer or shorter",
     CALL_BUCKETS_S,
     "direction",
   );
-  readonly #dispatched = new Gauge({
+  readonly #dispatchedPlaces = new Gauge({
     name: "tulipwheel_gateway_dispatched_places",
     help: "Of the places that this gateway hands out: all, those leased, and calls that wait, by pool and group",
     labelNames: ["pool", "group", "state"],
     registers: [],
   });
-  readonly #cuts = new Counter({
+  readonly #readerDisconnects = new Counter({
     name: "tulipwheel_gateway_reader_cuts_total",
     help: "Callers that took nothing and were cut, by what was short: memory, or the place of a runner that waits",
     labelNames: ["reason"],
@@ -104,64 +108,68 @@
     this.#address = address;
   }
 
-  override callEnded(route: string, end: CallEnd, elapsedMs: number, firstByteMs: number | undefined): void {
+  override recordCall(route: string, end: CallEnd, elapsedMs: number, firstByteMs: number | undefined): void {
     this.#calls.inc({ route, status: String(end.status), kind: end.kind });
     this.#callTimes.observe(elapsedMs / MS_PER_S);
-    if (firstByteMs !== undefined) this.#firstBytes.observe(firstByteMs / MS_PER_S);
+    if (firstByteMs !== undefined) this.#firstByteTimes.observe(firstByteMs / MS_PER_S);
   }
 
-  override tryEnded(outcome: string, elapsedMs: number): void {
-    this.#tries.observe({ outcome }, elapsedMs / MS_PER_S);
+  override recordAttempt(outcome: string, elapsedMs: number): void {
+    this.#attemptTimes.observe({ outcome }, elapsedMs / MS_PER_S);
   }
 
-  override tryExpected(expectedMs: number): void {
-    this.#expected.observe(expectedMs / MS_PER_S);
+  override recordExpectedAttemptTime(expectedMs: number): void {
+    this.#expectedAttemptTimes.observe(expectedMs / MS_PER_S);
   }
 
-  override named(zone: string, callerZone: string | undefined): void {
-    this.#named.inc({ zone, caller_zone: callerZone ?? "" });
+  override recordNamedGateway(zone: string, callerZone: string | undefined): void {
+    this.#namedGateways.inc({ zone, caller_zone: callerZone ?? "" });
   }
 
-  override admitted(answer: string, elapsedMs: number): void {
-    this.#admissions.observe({ answer }, elapsedMs / MS_PER_S);
+  override recordAdmission(answer: string, elapsedMs: number): void {
+    this.#admissionTimes.observe({ answer }, elapsedMs / MS_PER_S);
   }
 
-  override rated(tenant: string, verdict: string, elapsedMs: number): void {
-    this.#rated.inc({ tenant, verdict });
+  override recordRateDecision(tenant: string, verdict: string, elapsedMs: number): void {
+    this.#rateDecisions.inc({ tenant, verdict });
     this.#rateTimes.observe(elapsedMs / MS_PER_S);
   }
 
-  override retained(heldBy: string, elapsedMs: number): void {
-    this.#retentions.observe({ held_by: heldBy }, elapsedMs / MS_PER_S);
+  override recordRetention(heldBy: string, elapsedMs: number): void {
+    this.#retentionTimes.observe({ held_by: heldBy }, elapsedMs / MS_PER_S);
   }
 
-  override storeWritten(outcome: string, elapsedMs: number): void {
-    this.#writes.observe({ outcome }, elapsedMs / MS_PER_S);
+  override recordStoreWrite(outcome: string, elapsedMs: number): void {
+    this.#storeWriteTimes.observe({ outcome }, elapsedMs / MS_PER_S);
   }
 
-  override rowUnreadable(table: string): void {
+  override recordUnreadableRow(table: string): void {
     this.#unreadableRows.inc({ table });
   }
 
-  override placed(pool: string, place: PlaceRecord): void {
+  override recordPlaceDecision(pool: string, place: PlaceRecord): void {
     const { verdict, reason = "", waitedMs, expectedMs } = place;
-    this.#placed.inc({ pool, verdict, reason: verdict === "refused" ? reason : "" });
+    this.#placeDecisions.inc({ pool, verdict, reason: verdict === "refused" ? reason : "" });
     if (verdict !== "granted") return;
     this.#placeWaits.observe({ pool }, waitedMs / MS_PER_S);
     if (expectedMs === undefined) return;
     const direction = waitedMs > expectedMs ? "longer" : "shorter";
-    this.#placeForecasts.observe({ direction }, Math.abs(waitedMs - expectedMs) / MS_PER_S);
+    this.#placeForecastErrors.observe({ direction }, Math.abs(waitedMs - expectedMs) / MS_PER_S);
   }
 
-  override dispatched(pool: string, group: number, { places, leased, waiting }: DispatchedPlaces): void {
+  override setDispatchedPlaces(
+    pool: string,
+    group: number,
+    { places, leased, waiting }: DispatchedPlaces,
+  ): void {
     const labels = { pool, group: String(group) };
-    this.#dispatched.set({ ...labels, state: "all" }, places);
-    this.#dispatched.set({ ...labels, state: "leased" }, leased);
-    this.#dispatched.set({ ...labels, state: "waiting" }, waiting);
+    this.#dispatchedPlaces.set({ ...labels, state: "all" }, places);
+    this.#dispatchedPlaces.set({ ...labels, state: "leased" }, leased);
+    this.#dispatchedPlaces.set({ ...labels, state: "waiting" }, waiting);
   }
 
-  override readerCut(reason: "memoryShort" | "runnerWaits"): void {
-    this.#cuts.inc({ reason });
+  override recordReaderDisconnect(reason: "memoryShort" | "runnerWaits"): void {
+    this.#readerDisconnects.inc({ reason });
   }
 
   override async serve(gauges: GatewayGauges, isReady: () => boolean): Promise<void> {
@@ -178,7 +186,7 @@
       gauge("held_collected_bytes", "Plain answers that are not whole", () => gauges.heldBytes("collected")),
       gauge("held_bodies_bytes", "Bodies of requests and their histories", () => gauges.heldBytes("bodies")),
       gauge("held_outputs_bytes", "Output of turns that are to be kept", () => gauges.heldBytes("outputs")),
-      gauge("lines_left_out", "Lines of calls that were not written", gauges.linesLeftOut),
+      gauge("lines_left_out", "Lines of calls that were not written", gauges.omittedLogLines),
       gauge("configuration_version", "Version in force", gauges.configurationVersion),
       gauge(
         "configuration_behind_seconds",
@@ -190,21 +198,21 @@
     for (const metric of [
       this.#calls,
       this.#callTimes,
-      this.#firstBytes,
-      this.#tries,
-      this.#expected,
-      this.#named,
-      this.#admissions,
-      this.#rated,
+      this.#firstByteTimes,
+      this.#attemptTimes,
+      this.#expectedAttemptTimes,
+      this.#namedGateways,
+      this.#admissionTimes,
+      this.#rateDecisions,
       this.#rateTimes,
-      this.#retentions,
-      this.#writes,
+      this.#retentionTimes,
+      this.#storeWriteTimes,
       this.#unreadableRows,
-      this.#placed,
+      this.#placeDecisions,
       this.#placeWaits,
-      this.#placeForecasts,
-      this.#dispatched,
-      this.#cuts,
+      this.#placeForecastErrors,
+      this.#dispatchedPlaces,
+      this.#readerDisconnects,
     ])
       metrics.register(metric);
     this.#server = new MetricsServer(metrics, isReady);
--- a/test/contract/call-log.test.ts
+++ b/test/contract/call-log.test.ts
@@ -24,9 +24,9 @@
   return { time, log: new CallLog(pino({}, sink), new SimulatedProcess("p", "z", time)), lines };
 }
 
-function end(log: CallLog, count: number, how: CallEnd): void {
+function logCalls(log: CallLog, count: number, callEnd: CallEnd): void {
   for (let index = 0; index < count; index += 1)
-    log.ended(new CallRecord(`request-${index}`, "program", "route", 7), how, 12);
+    log.logCall(new CallRecord(`request-${index}`, "program", "route", 7), callEnd, 12);
 }
 
 describe("log of calls", () => {
@@ -35,7 +35,7 @@
     const record = new CallRecord("request", "program", "route", 7);
     record.admission = { partition: 3, owner: "gateway#1", answer: "granted", elapsedMs: 2 };
     record.tries.push({ runner: "runner", load: 2, failureRate: 0.1, atMs: 3, elapsedMs: 30 });
-    log.ended(record, ANSWERED, 40);
+    log.logCall(record, ANSWERED, 40);
     expect(lines[0]).toLooseEqual({
       ...lines[0],
       request: "request",
@@ -53,13 +53,13 @@
 
   it("keeps to a bound, failures before answers, and says what it left out", async () => {
     const { time, log, lines } = start();
-    end(log, 1_000, ANSWERED);
-    end(log, 1_000, REFUSED);
+    logCalls(log, 1_000, ANSWERED);
+    logCalls(log, 1_000, REFUSED);
     expect(lines.filter(({ msg }) => msg === "call answered").length).toEqual(150);
     expect(lines.filter(({ msg }) => msg === "call failed").length).toEqual(150);
-    expect(log.leftOutTotal).toEqual(1_700);
+    expect(log.omittedTotal).toEqual(1_700);
     await time.runUntil(1_001);
-    end(log, 1, ANSWERED);
+    logCalls(log, 1, ANSWERED);
     expect(lines.find(({ msg }) => msg === "lines of calls left out")?.lines).toEqual(1_700);
     expect(lines.at(-1)?.msg).toEqual("call answered");
   });
--- a/test/process/places.test.ts
+++ b/test/process/places.test.ts
@@ -1,7 +1,7 @@
 /** Places that dispatchers hand out, at gateways that are separate processes. */
 import { after, before, describe, it } from "node:test";
 import { expect } from "earl";
-import type { PlacedRecord } from "../../src/gateway/telemetry/placed-record.ts";
+import type { TimedPlaceRecord } from "../../src/gateway/telemetry/timed-place-record.ts";
 import type { RunnerStandin } from "../../standins/platform/runner-standin.ts";
 import { knownRed } from "../support/known-red.ts";
 import { DispatchedCluster, HEARD_MS, SLOTS } from "./support/dispatched-cluster.ts";
@@ -18,7 +18,7 @@
 interface CallLine {
   readonly msg: string;
   readonly request: string;
-  readonly places?: readonly PlacedRecord[];
+  readonly places?: readonly TimedPlaceRecord[];
 }
 
 const PLACED_BESIDE =
