--- a/src/gateway/telemetry/attempt-record.ts
+++ b/src/gateway/telemetry/attempt-record.ts
@@ -1,16 +1,16 @@
-/** One try at a runner. */
+/** One attempt to run a call at a runner. */
 export interface AttemptRecord {
   readonly runner: string;
-  /** Requests in flight at the runner when it was chosen, as far as known. */
+  /** Known requests in flight at the runner when it was chosen. */
   readonly load: number;
-  /** Part of the requests of the last seconds that failed there, 0 to 1. */
+  /** Fraction of the runner's requests in the last seconds that failed, 0 to 1. */
   readonly failureRate: number;
-  /** In how many ms it was expected to be over; left out where runners are chosen by load. */
+  /** Expected duration in ms; undefined if runners are chosen by load. */
   readonly expectedMs?: number;
-  /** Since the call arrived, in ms. */
+  /** Time from the arrival of the call until the attempt started, in ms. */
   readonly atMs: number;
-  /** How long the try took, in ms; undefined while it goes on. */
+  /** Duration of the attempt in ms; undefined while it is in progress. */
   elapsedMs?: number;
-  /** Why it gave no answer. */
+  /** Why the attempt gave no answer. */
   failure?: string;
 }
--- a/src/gateway/telemetry/call-end.ts
+++ b/src/gateway/telemetry/call-end.ts
@@ -1,6 +1,6 @@
-/** How a call ended, from the caller's side. */
+/** How a call ended, as seen by the caller. */
 export interface CallEnd {
-  /** 0 when the connection ended without an answer of its own. */
+  /** HTTP status; 0 if the connection ended without an answer. */
   readonly status: number;
   readonly kind: string;
   readonly detail?: string;
--- a/src/gateway/telemetry/call-log.ts
+++ b/src/gateway/telemetry/call-log.ts
@@ -1,27 +1,26 @@
 /**
- * Writes a line for each call that is over, so many a second at most: failures first, answered calls as far as there is
- * room. What is left out is counted, and said once a second.
+ * Logs each finished call, up to a limit per second. The second half of the limit is reserved for failures. Omitted lines
+ * are counted and reported once a second.
  */
 import type { Logger } from "pino";
 import type { Clock } from "../../runtime/clock.ts";
 import type { CallEnd } from "./call-end.ts";
 import type { CallRecord } from "./call-record.ts";
 
-/** Most lines a second. */
+/** Maximum number of lines in a window. */
 const MAX_LINES_PER_WINDOW = 300;
-/** Lines a second from which on only failures are written. */
+/** Number of lines in a window after which only failures are logged. */
 const FAILURES_ONLY_FROM_LINES = 150;
 const WINDOW_MS = 1_000;
 const FIRST_FAILURE_STATUS = 300;
 
-/** See the module's comment. */
 export class CallLog {
   readonly #log: Logger;
   readonly #clock: Clock;
   #windowStartMs = 0;
   #linesInWindow = 0;
   #omittedInWindow = 0;
-  /** Lines left out since the start. */
+  /** Lines omitted since the start. */
   omittedTotal = 0;
 
   constructor(log: Logger, clock: Clock) {
@@ -29,7 +28,7 @@
     this.#clock = clock;
   }
 
-  /** Notes that a call is over. */
+  /** Logs a finished call, or counts its line as omitted. */
   logCall(record: CallRecord, end: CallEnd, elapsedMs: number): void {
     this.#advanceWindow();
     const answered = end.status > 0 && end.status < FIRST_FAILURE_STATUS;
--- a/src/gateway/telemetry/call-record.ts
+++ b/src/gateway/telemetry/call-record.ts
@@ -1,4 +1,4 @@
-/** What was decided about one call, on which grounds, and what came of it: the content of its line in the log. */
+/** Collects the decisions about one call, their reasons and their results for the call's log line. */
 import type { AdmissionRecord } from "./admission-record.ts";
 import type { AttemptRecord } from "./attempt-record.ts";
 import type { CallEnd } from "./call-end.ts";
@@ -6,23 +6,22 @@
 import type { RetentionRecord } from "./retention-record.ts";
 import type { TimedPlaceRecord } from "./timed-place-record.ts";
 
-/** See the module's comment. */
 export class CallRecord {
   readonly request: string;
   readonly program: string | undefined;
   readonly route: string;
-  /** Version of the configuration that the route is from. */
+  /** Version of the configuration that contains the route. */
   readonly configuration: number;
-  /** For whom the call was made; undefined where it needs no key. */
+  /** The tenant that made the call; undefined if it needs no key. */
   tenant: string | undefined;
-  /** Undefined where the tenant has no limit. */
+  /** Undefined if the tenant has no limit. */
   rate: RateRecord | undefined;
-  /** What came of each question for a place. */
+  /** Result of each request for a place. */
   readonly places: TimedPlaceRecord[] = [];
   readonly tries: AttemptRecord[] = [];
   admission: AdmissionRecord | undefined;
   retention: RetentionRecord | undefined;
-  /** Since the call arrived until its first byte was handed on, in ms. */
+  /** Time from the arrival of the call until its first byte was forwarded, in ms. */
   firstByteMs: number | undefined;
 
   constructor(request: string, program: string | undefined, route: string, configuration: number) {
@@ -32,7 +31,7 @@
     this.configuration = configuration;
   }
 
-  /** The fields of its line. */
+  /** The fields of the call's log line. */
   toLogFields(end: CallEnd, elapsedMs: number): object {
     const { request, program, route, configuration, tenant, rate, admission, places, retention, tries } =
       this;
--- a/src/gateway/telemetry/gateway-gauges.ts
+++ b/src/gateway/telemetry/gateway-gauges.ts
@@ -1,6 +1,6 @@
 import type { BufferReason } from "../../scheduling/buffers/buffer-reason.ts";
 
-/** Numbers of the whole process, read when the metrics are. */
+/** Functions that return the current values of the process's gauges when metrics are read. */
 export interface GatewayGauges {
   readonly members: () => number;
   readonly partitions: () => number;
@@ -10,7 +10,7 @@
   readonly heldBytes: (reason: BufferReason) => number;
   readonly omittedLogLines: () => number;
   readonly configurationVersion: () => number;
-  /** For how long nothing newer than the configuration in force can have been known, in ms. */
+  /** Upper bound on how outdated the configuration in force is, in ms. */
   readonly configurationBehindMs: () => number;
   readonly storeReachable: () => boolean;
 }
--- a/src/gateway/telemetry/gateway-metrics.ts
+++ b/src/gateway/telemetry/gateway-metrics.ts
@@ -3,34 +3,34 @@
 import type { GatewayGauges } from "./gateway-gauges.ts";
 import type { PlaceRecord } from "./place-record.ts";
 
-/** Counts what a gateway does. */
+/** Records what a gateway does, for its metrics. Times are in ms. */
 export abstract class GatewayMetrics {
-  /** A call is over; times in ms. */
+  /** Records a finished call. */
   abstract recordCall(route: string, end: CallEnd, elapsedMs: number, firstByteMs: number | undefined): void;
-  /** A try at a runner is over. */
+  /** Records a finished attempt at a runner. */
   abstract recordAttempt(outcome: string, elapsedMs: number): void;
-  /** A try began that was expected to be over in so many ms. */
+  /** Records the expected duration of an attempt that has started. */
   abstract recordExpectedAttemptTime(expectedMs: number): void;
-  /** A gateway of a zone was named to a caller, whose zone may be unknown. */
+  /** Records the zone of a gateway that the directory has named to a caller; the caller's zone may be unknown. */
   abstract recordNamedGateway(zone: string, callerZone: string | undefined): void;
-  /** An owner answered, or could not be asked. */
+  /** Records a partition owner's answer to a turn, or that the owner could not be asked. */
   abstract recordAdmission(answer: string, elapsedMs: number): void;
-  /** The owner of a tenant's limit answered for one request, or could not be asked. */
+  /** Records the rate limit decision on one request, or that the owner of the limit could not be asked. */
   abstract recordRateDecision(tenant: string, verdict: string, elapsedMs: number): void;
-  /** The end of an answer has waited until its turn was kept. */
+  /** Records how long the end of an answer waited until its turn was retained. */
   abstract recordRetention(heldBy: string, elapsedMs: number): void;
-  /** A write of a partition was answered, or not. */
+  /** Records the outcome of a partition's write to the store, which may have got no answer. */
   abstract recordStoreWrite(outcome: string, elapsedMs: number): void;
-  /** A row of a table of the store, met when it was read, is not what it should be. */
+  /** Records that a row read from a table of the store could not be decoded. */
   abstract recordUnreadableRow(table: string): void;
-  /** A call of a pool that asked for a place has its verdict. */
+  /** Records the decision on a call that asked for a place in a pool. */
   abstract recordPlaceDecision(pool: string, place: PlaceRecord): void;
-  /** What this gateway hands out of a group of a pool's runners, as of now. */
+  /** Sets the current counts of the places that this gateway dispatches in a group of a pool's runners. */
   abstract setDispatchedPlaces(pool: string, group: number, places: DispatchedPlaces): void;
-  /** The connection of a caller that took nothing was ended. */
+  /** Records that a caller was disconnected because it read nothing. */
   abstract recordReaderDisconnect(reason: "memoryShort" | "runnerWaits"): void;
-  /** Serves what was counted; returns the address. */
+  /** Starts serving the metrics and the gauges. */
   abstract serve(gauges: GatewayGauges, isReady: () => boolean): Promise<void>;
-  /** Serves no more. */
+  /** Stops serving. */
   abstract close(): void;
 }
--- a/src/gateway/telemetry/log-sink.ts
+++ b/src/gateway/telemetry/log-sink.ts
@@ -1,16 +1,15 @@
 /**
- * Where the lines of the log go: a descriptor, written to in batches. Nothing waits for its reader; what a reader that
- * stalls leaves unread is kept up to a bound, and dropped beyond.
+ * Writes log lines to a file descriptor in batches. Writing never blocks on the reader: if the reader stalls, lines are
+ * buffered up to a limit and dropped beyond it.
  */
 import { pino } from "pino";
 
-/** Lines are written together once they are so many bytes, or after so long. */
+/** Lines are written once this many bytes are buffered, or after the flush delay. */
 const BATCH_BYTES = 4_096;
 const FLUSH_DELAY_MS = 250;
-/** Bytes that wait for a reader at most. */
+/** Maximum number of bytes buffered while the reader stalls. */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-/** See the module's comment. */
 export class LogSink {
   readonly #destination: ReturnType<typeof pino.destination>;
   #isFlushScheduled = false;
@@ -25,7 +24,7 @@
     });
   }
 
-  /** Takes a line. */
+  /** Buffers a line and schedules a flush. */
   write(line: string): void {
     this.#destination.write(line);
     if (this.#isFlushScheduled) return;
@@ -36,7 +35,7 @@
     }, FLUSH_DELAY_MS).unref();
   }
 
-  /** Calls back once everything was written. */
+  /** Calls `done` once all buffered lines are written. */
   flush(done: () => void): void {
     this.#destination.flush(done);
   }
--- a/src/gateway/telemetry/no-metrics.ts
+++ b/src/gateway/telemetry/no-metrics.ts
@@ -1,6 +1,6 @@
 import { GatewayMetrics } from "./gateway-metrics.ts";
 
-/** Counts nothing: for gateways whose settings name no metrics address. */
+/** Records nothing; used if the settings contain no metrics address. */
 export class NoMetrics extends GatewayMetrics {
   override recordCall(): void {}
   override recordAttempt(): void {}
--- a/src/gateway/telemetry/place-record.ts
+++ b/src/gateway/telemetry/place-record.ts
@@ -1,25 +1,25 @@
-/** What a dispatcher said of a call, or why none was asked. */
+/** Decision on a call that needs a place: a dispatcher's answer, or the gateway's own decision and its reason. */
 export interface PlaceRecord {
   readonly verdict: "granted" | "refused" | "alone";
-  /** Why it was refused, or placed by its gateway alone. */
+  /** Why the call was refused, or placed by its gateway without a dispatcher. */
   readonly reason?: string;
-  /** Why its gateway refused it without a dispatcher's word. */
+  /** Why its gateway refused the call without a dispatcher's answer. */
   readonly unasked?: string;
-  /** The gateway that was asked, and for which group of the pool's runners. */
+  /** The gateway that was asked, and the group of the pool's runners that it dispatches. */
   readonly dispatcher?: string;
   readonly group?: number;
   readonly lease?: number;
-  /** The wait that the dispatcher expected, in whole ms; undefined when it made no forecast. */
+  /** The wait that was forecast, in whole ms; undefined if there was no forecast. */
   readonly expectedMs?: number;
-  /** For how long calls of the route hold their places, by the forecast that refused this one, in whole ms. */
+  /** How long calls of the route hold their places by the forecast that led to the refusal, in whole ms. */
   readonly holdingMs?: number;
   /**
-   * How late this gateway itself was when it counted an answer as missed, in whole ms: one that is held up can't tell a
-   * dispatcher that is slow from its own delay.
+   * How late this gateway itself was when it gave up waiting for an answer, in whole ms: a gateway that was delayed cannot
+   * distinguish a slow dispatcher from its own delay.
    */
   readonly ownDelayMs?: number;
-  /** Whose call got a place last before this one. */
+  /** The tenant whose call was granted a place last before this one. */
   readonly behind?: string;
-  /** From the question until the verdict, in whole ms. */
+  /** Time from the request for a place until the decision, in whole ms. */
   readonly waitedMs: number;
 }
--- a/src/gateway/telemetry/prometheus-metrics.ts
+++ b/src/gateway/telemetry/prometheus-metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and latency histograms as Prometheus text, at the metrics address of the settings. */
+/** Collects counters, gauges and latency histograms, and serves them as Prometheus text at the metrics address. */
 import { Counter, Gauge, Histogram } from "prom-client";
 import { ProcessMetrics } from "../../telemetry/metrics.ts";
 import { MetricsServer } from "../../telemetry/metrics-server.ts";
@@ -12,25 +12,29 @@
 const CALL_BUCKETS_S = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10];
 const STORE_BUCKETS_S = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1];
 
-/** See the module's comment. */
 export class PrometheusMetrics extends GatewayMetrics {
   readonly #address: string;
   readonly #calls = new Counter({
     name: "tulipwheel_gateway_calls_total",
-    help: "Calls that are over, by route, status and kind",
+    help: "Finished calls, by route, status and kind",
     labelNames: ["route", "status", "kind"],
     registers: [],
   });
   readonly #callTimes = histogram("call_seconds", "Time from a call's arrival to its end", CALL_BUCKETS_S);
   readonly #firstByteTimes = histogram(
     "first_byte_seconds",
-    "Time to the first byte handed on",
+    "Time to the first byte forwarded to the caller",
     CALL_BUCKETS_S,
   );
-  readonly #attemptTimes = histogram("try_seconds", "Time of a try at a runner", CALL_BUCKETS_S, "outcome");
+  readonly #attemptTimes = histogram(
+    "try_seconds",
+    "Duration of an attempt at a runner",
+    CALL_BUCKETS_S,
+    "outcome",
+  );
   readonly #expectedAttemptTimes = histogram(
     "try_expected_seconds",
-    "Time in which a try at a runner was expected to be over",
+    "Expected duration of an attempt at a runner",
     CALL_BUCKETS_S,
   );
   readonly #namedGateways = new Counter({
@@ -41,32 +45,36 @@
   });
   readonly #admissionTimes = histogram(
     "admission_seconds",
-    "Time until the owner's answer",
+    "Time until the partition owner's answer",
     CALL_BUCKETS_S,
     "answer",
   );
   readonly #rateDecisions = new Counter({
     name: "tulipwheel_gateway_tenant_requests_total",
-    help: "Requests with a known key, by tenant and what was decided of them: granted, limited or unavailable",
+    help: "Requests with a known key, by tenant and decision: granted, limited or unavailable",
     labelNames: ["tenant", "verdict"],
     registers: [],
   });
-  readonly #rateTimes = histogram("rate_seconds", "Time until the owner of a limit answered", CALL_BUCKETS_S);
+  readonly #rateTimes = histogram(
+    "rate_seconds",
+    "Time until the owner of a rate limit answered",
+    CALL_BUCKETS_S,
+  );
   readonly #retentionTimes = histogram(
     "retention_seconds",
-    "Time for which the end of an answer waited until its turn was kept",
+    "Time for which the end of an answer waited until its turn was retained",
     CALL_BUCKETS_S,
     "held_by",
   );
   readonly #storeWriteTimes = histogram(
     "store_write_seconds",
-    "Time of a write of a partition",
+    "Duration of a partition's write to the store",
     STORE_BUCKETS_S,
     "outcome",
   );
   readonly #unreadableRows = new Counter({
     name: "tulipwheel_gateway_unreadable_rows_total",
-    help: "Times that a row of the store could not be read, by table",
+    help: "Rows of the store that could not be decoded when read, by table",
     labelNames: ["table"],
     registers: [],
   });
@@ -84,19 +92,19 @@
   );
   readonly #placeForecastErrors = histogram(
     "place_forecast_error_seconds",
-    "How far the wait for a place was from what was forecast, by direction: longer or shorter",
+    "Difference between the wait for a place and its forecast, by direction: longer or shorter",
     CALL_BUCKETS_S,
     "direction",
   );
   readonly #dispatchedPlaces = new Gauge({
     name: "tulipwheel_gateway_dispatched_places",
-    help: "Of the places that this gateway hands out: all, those leased, and calls that wait, by pool and group",
+    help: "Places that this gateway dispatches: all, leased ones, and calls that wait, by pool and group",
     labelNames: ["pool", "group", "state"],
     registers: [],
   });
   readonly #readerDisconnects = new Counter({
     name: "tulipwheel_gateway_reader_cuts_total",
-    help: "Callers that took nothing and were cut, by what was short: memory, or the place of a runner that waits",
+    help: "Callers disconnected because they read nothing, by what they held up: memory or a waiting runner",
     labelNames: ["reason"],
     registers: [],
   });
@@ -179,18 +187,26 @@
     const metrics = new ProcessMetrics([
       gauge("members", "Other gateways that are alive", gauges.members),
       gauge("partitions", "Partitions owned here", gauges.partitions),
-      gauge("requests_in_progress", "Callers' requests without a whole answer", gauges.requestsInProgress),
+      gauge("requests_in_progress", "Callers' requests without a complete answer", gauges.requestsInProgress),
       gauge("runner_connections", "Connections to runners, idle ones included", gauges.runnerConnections),
-      gauge("headroom", "Part of the usual callers that it can take, 4 for all", gauges.headroom),
+      gauge(
+        "headroom",
+        "Share of the usual callers that it can serve, in quarters: 4 is all",
+        gauges.headroom,
+      ),
       gauge("held_answers_bytes", "Answers that wait for callers", () => gauges.heldBytes("answers")),
-      gauge("held_collected_bytes", "Plain answers that are not whole", () => gauges.heldBytes("collected")),
-      gauge("held_bodies_bytes", "Bodies of requests and their histories", () => gauges.heldBytes("bodies")),
-      gauge("held_outputs_bytes", "Output of turns that are to be kept", () => gauges.heldBytes("outputs")),
-      gauge("lines_left_out", "Lines of calls that were not written", gauges.omittedLogLines),
-      gauge("configuration_version", "Version in force", gauges.configurationVersion),
+      gauge("held_collected_bytes", "Plain answers that are not complete", () =>
+        gauges.heldBytes("collected"),
+      ),
+      gauge("held_bodies_bytes", "Request bodies and their histories", () => gauges.heldBytes("bodies")),
+      gauge("held_outputs_bytes", "Output of turns that are to be retained", () =>
+        gauges.heldBytes("outputs"),
+      ),
+      gauge("lines_left_out", "Log lines of calls that were omitted", gauges.omittedLogLines),
+      gauge("configuration_version", "Version of the configuration in force", gauges.configurationVersion),
       gauge(
         "configuration_behind_seconds",
-        "Time for which nothing newer than the version in force can have been known",
+        "Maximum time for which the configuration in force may have been outdated",
         () => gauges.configurationBehindMs() / MS_PER_S,
       ),
       gauge("store_reachable", "1 while the store answers", () => (gauges.storeReachable() ? 1 : 0)),
--- a/src/gateway/telemetry/rate-record.ts
+++ b/src/gateway/telemetry/rate-record.ts
@@ -1,10 +1,10 @@
-/** What the owner of the tenant's limit said, or why it could not be asked. */
+/** Answer of the owner of a tenant's rate limit, or why the owner could not be asked. */
 export interface RateRecord {
   readonly partition: number;
   readonly owner: string | undefined;
   readonly verdict: string;
-  /** Since the call arrived until it was asked, in whole ms. */
+  /** Time from the arrival of the call until the owner was asked, in whole ms. */
   readonly atMs: number;
-  /** How long the answer took, in whole ms. */
+  /** Time until the answer, in whole ms. */
   readonly elapsedMs: number;
 }
--- a/src/gateway/telemetry/retention-record.ts
+++ b/src/gateway/telemetry/retention-record.ts
@@ -1,9 +1,9 @@
-/** How a turn was kept before its answer ended. */
+/** How a turn was retained before its answer ended. */
 export interface RetentionRecord {
-  /** Who holds the turn: the store, or nobody, where the store did not take it in time. */
+  /** Where the turn is held: `nobody` means that the store did not confirm the write in time. */
   readonly heldBy: "store" | "nobody";
-  /** Since the call arrived until the end of its answer waited for it, in ms. */
+  /** Time from the arrival of the call until the end of its answer began to wait for the write, in ms. */
   readonly atMs: number;
-  /** How long the end waited, in ms; undefined when the call was over before. */
+  /** How long the end of the answer waited, in ms; undefined if the call ended first. */
   readonly elapsedMs?: number;
 }
--- a/src/gateway/telemetry/rounded-share.ts
+++ b/src/gateway/telemetry/rounded-share.ts
@@ -1,6 +1,6 @@
 const PERCENT = 100;
 
-/** A share as it is logged: in whole hundredths. */
+/** Rounds a share to hundredths for logging. */
 export function roundedShare(share: number): number {
   return Math.round(PERCENT * share) / PERCENT;
 }
--- a/src/gateway/telemetry/timed-place-record.ts
+++ b/src/gateway/telemetry/timed-place-record.ts
@@ -1,7 +1,7 @@
 import type { PlaceRecord } from "./place-record.ts";
 
-/** What came of a question for a place, within its call. */
+/** Result of a request for a place, with its time within the call. */
 export interface TimedPlaceRecord extends PlaceRecord {
-  /** Since the call arrived until it asked, in whole ms. */
+  /** Time from the arrival of the call until it asked for the place, in whole ms. */
   readonly atMs: number;
 }
--- a/test/contract/call-log.test.ts
+++ b/test/contract/call-log.test.ts
@@ -29,8 +29,8 @@
     log.logCall(new CallRecord(`request-${index}`, "program", "route", 7), callEnd, 12);
 }
 
-describe("log of calls", () => {
-  it("tells of a call its identifiers, the grounds of its decisions, and its end", () => {
+describe("call log", () => {
+  it("logs a call's identifiers, the reasons for its decisions, and its end", () => {
     const { log, lines } = start();
     const record = new CallRecord("request", "program", "route", 7);
     record.admission = { partition: 3, owner: "gateway#1", answer: "granted", elapsedMs: 2 };
@@ -51,7 +51,7 @@
     });
   });
 
-  it("keeps to a bound, failures before answers, and says what it left out", async () => {
+  it("limits the lines per second, prefers failures, and reports how many lines it omitted", async () => {
     const { time, log, lines } = start();
     logCalls(log, 1_000, ANSWERED);
     logCalls(log, 1_000, REFUSED);
