--- a/test/contract/platform-names.test.ts
+++ b/test/contract/platform-names.test.ts
@@ -5,7 +5,7 @@
 import { expect } from "earl";
 
 const FOLDERS = ["src", "bench", "examples"];
-const NAMES =
+const PLATFORM_NAMES =
   /rows-(tx|get|feed|parts)|blob-(put|get|drop|list)|tls-key|expected-rev|x-(response-signature|not-executed|expect-instance|deadline-ms|token-(budget|usage)|previous-turn|program-(id|deadline-ms)|session-id|prompt-prefix|affinity-key|request-urgency|tenant|kv-backup|pin-ms)|kv-from|api-keys|rate-per-s|path-prefix|traffic-split|retains-context|TULIPWHEEL_NODE_FILE/i;
 
 function filesOf(folder: string): string[] {
@@ -16,12 +16,12 @@
 
 describe("names of the platform", () => {
   it("stand nowhere outside the adapter and the stand-in", () => {
-    const found = FOLDERS.flatMap(filesOf).filter((file) => NAMES.test(readFileSync(file, "utf8")));
+    const found = FOLDERS.flatMap(filesOf).filter((file) => PLATFORM_NAMES.test(readFileSync(file, "utf8")));
     expect(found).toEqual([]);
   });
 
   it("are found by the check where they stand", () => {
-    const found = filesOf("platform").filter((file) => NAMES.test(readFileSync(file, "utf8")));
+    const found = filesOf("platform").filter((file) => PLATFORM_NAMES.test(readFileSync(file, "utf8")));
     expect(found.length).toBeGreaterThan(2);
   });
 });
--- a/test/contract/row-store-client.test.ts
+++ b/test/contract/row-store-client.test.ts
@@ -70,8 +70,8 @@
     });
   }
 
-  const SPOILT = ["", "{", "null", "[]", '{"ver":"1"}'];
-  for (const body of SPOILT) {
+  const MALFORMED_ANSWERS = ["", "{", "null", "[]", '{"ver":"1"}'];
+  for (const body of MALFORMED_ANSWERS) {
     it(`takes ${JSON.stringify(body)} for no answer`, async () => {
       const server = createServer((_request, response) => response.end(body));
       await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
--- a/test/contract/runner-row.test.ts
+++ b/test/contract/runner-row.test.ts
@@ -2,10 +2,10 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
-import { platformRecords } from "../../platform/rows.ts";
+import { platformRecords } from "../../platform/platform-records.ts";
 
 const NAME = "i-7f3a91c2";
-const WHOLE = {
+const VALID_ROW = {
   service: "pool",
   address: "10.128.0.9:8080",
   zone: "zone-a",
@@ -24,25 +24,25 @@
     const expected = {
       id: "i-7f3a91c2#1760000000123" as never,
       name: NAME as never,
-      bornMs: WHOLE.born,
+      bornMs: VALID_ROW.born,
       pool: "pool",
       address: "10.128.0.9:8080",
       zone: "zone-a",
       slots: 6,
       state: "ready",
     } as const;
-    expect(parse(WHOLE)).toEqual(expected);
-    expect(parse({ ...WHOLE, born: undefined })).toEqual({
+    expect(parse(VALID_ROW)).toEqual(expected);
+    expect(parse({ ...VALID_ROW, born: undefined })).toEqual({
       ...expected,
       id: NAME as never,
       bornMs: undefined,
     });
-    expect(parse({ ...WHOLE, added: { later: [] } })).toEqual(expected);
+    expect(parse({ ...VALID_ROW, added: { later: [] } })).toEqual(expected);
   });
 
-  const fieldName = fc.constantFrom(...(Object.keys(WHOLE) as (keyof typeof WHOLE)[]));
+  const fieldName = fc.constantFrom(...(Object.keys(VALID_ROW) as (keyof typeof VALID_ROW)[]));
   /** Of another type than any field of an entry, or out of the range of all. */
-  const wrong = fc.oneof(
+  const invalidValue = fc.oneof(
     fc.constantFrom(null, true, "", -1, {}, []),
     fc.array(fc.jsonValue()),
     fc.dictionary(fc.string(), fc.jsonValue()),
@@ -50,27 +50,31 @@
 
   it("takes no row with a field missing or of another type for an entry", () => {
     fc.assert(
-      fc.property(fieldName, wrong, (field, value) => {
-        expect(parse({ ...WHOLE, [field]: value })).toEqual(undefined);
-        if (field !== "born") expect(parse({ ...WHOLE, [field]: undefined })).toEqual(undefined);
+      fc.property(fieldName, invalidValue, (field, value) => {
+        expect(parse({ ...VALID_ROW, [field]: value })).toEqual(undefined);
+        if (field !== "born") expect(parse({ ...VALID_ROW, [field]: undefined })).toEqual(undefined);
       }),
     );
   });
 
   it("takes no bytes for an entry that are none, and never throws", () => {
-    const whole = Buffer.from(JSON.stringify(WHOLE));
+    const validBytes = Buffer.from(JSON.stringify(VALID_ROW));
     fc.assert(
-      fc.property(fc.uint8Array(), fc.nat(whole.length - 1), (bytes, length) => {
+      fc.property(fc.uint8Array(), fc.nat(validBytes.length - 1), (bytes, length) => {
         expect(platformRecords.parseRunner(NAME, Buffer.from(bytes))).toEqual(undefined);
-        expect(platformRecords.parseRunner(NAME, whole.subarray(0, length))).toEqual(undefined);
-        const spoilt = Buffer.concat([whole.subarray(0, 13), Buffer.from([0xff]), whole.subarray(13)]);
-        expect(platformRecords.parseRunner(NAME, spoilt)).toEqual(undefined);
+        expect(platformRecords.parseRunner(NAME, validBytes.subarray(0, length))).toEqual(undefined);
+        const invalidUtf8 = Buffer.concat([
+          validBytes.subarray(0, 13),
+          Buffer.from([0xff]),
+          validBytes.subarray(13),
+        ]);
+        expect(platformRecords.parseRunner(NAME, invalidUtf8)).toEqual(undefined);
       }),
     );
     fc.assert(fc.property(fc.jsonValue(), (value) => parse(value) === undefined));
   });
 
-  const UNUSABLE: Record<string, unknown>[] = [
+  const INVALID_CHANGES: Record<string, unknown>[] = [
     { address: "10.128.0.9" },
     { address: "10.128.0.9:0" },
     { address: "10.128.0.9:65536" },
@@ -84,12 +88,12 @@
     { born: 1.5 },
     { born: "1760000000123" },
   ];
-  for (const change of UNUSABLE) {
+  for (const change of INVALID_CHANGES) {
     it(`takes no row with ${JSON.stringify(change)} for an entry`, () =>
-      expect(parse({ ...WHOLE, ...change })).toEqual(undefined));
+      expect(parse({ ...VALID_ROW, ...change })).toEqual(undefined));
   }
 
   it("takes no row under a name that fits into no header", () => {
-    for (const name of ["", "a b", "a\nb", "ä"]) expect(parse(WHOLE, name)).toEqual(undefined);
+    for (const name of ["", "a b", "a\nb", "ä"]) expect(parse(VALID_ROW, name)).toEqual(undefined);
   });
 });
--- a/test/contract/support/gateway-parts.ts
+++ b/test/contract/support/gateway-parts.ts
@@ -3,7 +3,7 @@
 import { callProtocol } from "../../../platform/call-headers.ts";
 import { entryProtocol } from "../../../platform/entry-protocol.ts";
 import { HttpRowStore } from "../../../platform/http-row-store.ts";
-import { platformRecords } from "../../../platform/rows.ts";
+import { platformRecords } from "../../../platform/platform-records.ts";
 import type { GatewayContext } from "../../../src/gateway/gateway-context.ts";
 import { gatewaySettingsSchema } from "../../../src/gateway/gateway-settings.ts";
 import { NoMetrics } from "../../../src/gateway/telemetry/no-metrics.ts";
