--- a/test/contract/platform-names.test.ts
+++ b/test/contract/platform-names.test.ts
@@ -1,4 +1,4 @@
-/** Only the adapter, the platform's stand-in and its tests know the platform's names. */
+/** Checks that only the adapter, the platform's stand-in and their tests contain the platform's names. */
 import { readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { describe, it } from "node:test";
@@ -15,12 +15,12 @@
 }
 
 describe("names of the platform", () => {
-  it("stand nowhere outside the adapter and the stand-in", () => {
+  it("do not occur outside the adapter and the stand-in", () => {
     const found = FOLDERS.flatMap(filesOf).filter((file) => PLATFORM_NAMES.test(readFileSync(file, "utf8")));
     expect(found).toEqual([]);
   });
 
-  it("are found by the check where they stand", () => {
+  it("are found in the adapter by the same check", () => {
     const found = filesOf("platform").filter((file) => PLATFORM_NAMES.test(readFileSync(file, "utf8")));
     expect(found.length).toBeGreaterThan(2);
   });
--- a/test/contract/row-store-client.test.ts
+++ b/test/contract/row-store-client.test.ts
@@ -1,4 +1,4 @@
-/** The adapter's client of the platform's store, against the stand-in with each of its faults. */
+/** Tests the adapter's client of the platform's store against the stand-in with each of its faults. */
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 import { afterEach, beforeEach, describe, it } from "node:test";
@@ -31,13 +31,13 @@
     expect(read.type === "rows" && read.rows).toEqual([{ ...ROW, value: VALUE, version: 1 }]);
   });
 
-  it("gives the rows of a condition that does not hold", async () => {
+  it("returns the rows of a failed condition", async () => {
     await put(0);
     const outcome = await put(0);
     expect(outcome.type === "conflict" && outcome.rows).toEqual([{ ...ROW, value: VALUE, version: 1 }]);
   });
 
-  it("gives changes as soon as there are some, and rows that went", async () => {
+  it("reports changes as soon as there are some, including removed rows", async () => {
     const watch = store.watch("t", 0, 5_000);
     await put(0);
     const first = await watch;
@@ -47,7 +47,7 @@
     expect(second.type === "changes" && second.changes.map((change) => change.value)).toEqual([undefined]);
   });
 
-  it("says that the history is gone", async () => {
+  it("reports that the history is gone", async () => {
     await put(0);
     standin.model.compact();
     expect((await store.watch("t", 0, 50)).type).toEqual("historyGone");
@@ -62,7 +62,7 @@
     ["lateWrite", "unknown", false],
   ];
   for (const [fault, type, done] of FAULTS) {
-    it(`takes ${fault} for ${type}`, async () => {
+    it(`reports a write as ${type} if the store's fault is ${fault}`, async () => {
       standin.fault = fault;
       standin.lateWriteMs = 300;
       expect((await put(0)).type).toEqual(type);
@@ -72,7 +72,7 @@
 
   const MALFORMED_ANSWERS = ["", "{", "null", "[]", '{"ver":"1"}'];
   for (const body of MALFORMED_ANSWERS) {
-    it(`takes ${JSON.stringify(body)} for no answer`, async () => {
+    it(`reports the outcome as unknown if the answer is ${JSON.stringify(body)}`, async () => {
       const server = createServer((_request, response) => response.end(body));
       await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
       store = storeClient(`127.0.0.1:${(server.address() as AddressInfo).port}`);
@@ -84,7 +84,7 @@
     });
   }
 
-  it("gives a row whose value is no text as one without bytes", async () => {
+  it("returns a row without bytes if its value is not a string", async () => {
     const answer = { ver: 1, rows: [{ table: "t", part: "p", "tls-key": "k", value: 5, ver: 1 }] };
     const server = createServer((_request, response) => response.end(JSON.stringify(answer)));
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -95,7 +95,7 @@
     server.closeAllConnections();
   });
 
-  it("takes a store that is not there for one that did nothing", async () => {
+  it("reports calls as refused if the store does not listen", async () => {
     standin.close();
     expect((await put(0)).type).toEqual("refused");
     expect((await store.read({ table: "t", part: "p" })).type).toEqual("refused");
--- a/test/contract/runner-row.test.ts
+++ b/test/contract/runner-row.test.ts
@@ -1,4 +1,4 @@
-/** Which rows of the platform's list are entries of runners. */
+/** Tests which rows of the platform's runner table are accepted as entries of runners. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -20,7 +20,7 @@
   platformRecords.parseRunner(name, Buffer.from(JSON.stringify(row)));
 
 describe("rows of runners", () => {
-  it("names a start by the runner's name and when it was", () => {
+  it("identifies a start of a runner by its name and its start time", () => {
     const expected = {
       id: "i-7f3a91c2#1760000000123" as never,
       name: NAME as never,
@@ -41,14 +41,14 @@
   });
 
   const fieldName = fc.constantFrom(...(Object.keys(VALID_ROW) as (keyof typeof VALID_ROW)[]));
-  /** Of another type than any field of an entry, or out of the range of all. */
+  /** A value of a type that no field of an entry has, or outside the range of every field. */
   const invalidValue = fc.oneof(
     fc.constantFrom(null, true, "", -1, {}, []),
     fc.array(fc.jsonValue()),
     fc.dictionary(fc.string(), fc.jsonValue()),
   );
 
-  it("takes no row with a field missing or of another type for an entry", () => {
+  it("rejects a row with a field that is missing or of another type", () => {
     fc.assert(
       fc.property(fieldName, invalidValue, (field, value) => {
         expect(parse({ ...VALID_ROW, [field]: value })).toEqual(undefined);
@@ -57,7 +57,7 @@
     );
   });
 
-  it("takes no bytes for an entry that are none, and never throws", () => {
+  it("rejects bytes that are not an entry, and never throws", () => {
     const validBytes = Buffer.from(JSON.stringify(VALID_ROW));
     fc.assert(
       fc.property(fc.uint8Array(), fc.nat(validBytes.length - 1), (bytes, length) => {
@@ -89,11 +89,11 @@
     { born: "1760000000123" },
   ];
   for (const change of INVALID_CHANGES) {
-    it(`takes no row with ${JSON.stringify(change)} for an entry`, () =>
+    it(`rejects a row with ${JSON.stringify(change)}`, () =>
       expect(parse({ ...VALID_ROW, ...change })).toEqual(undefined));
   }
 
-  it("takes no row under a name that fits into no header", () => {
+  it("rejects a row whose name is not allowed in a header", () => {
     for (const name of ["", "a b", "a\nb", "ä"]) expect(parse(VALID_ROW, name)).toEqual(undefined);
   });
 });
