--- a/src/gateway/calls/runner-attempt.ts
+++ b/src/gateway/calls/runner-attempt.ts
@@ -199,7 +199,7 @@
     this.#isOver = true;
     const nowMs = this.#nowMs;
     this.#parts.board.recordEnd(this.#pending, outcome, nowMs);
-    this.#parts.context.metrics.tryEnded(outcome, nowMs - this.#pending.startedAtMs);
+    this.#parts.context.metrics.recordAttempt(outcome, nowMs - this.#pending.startedAtMs);
   }
 
   /** Records how long the runner took. Events of a stream arrive as they are made; any other answer counts as one step. */
--- a/src/gateway/calls/streamed-call.ts
+++ b/src/gateway/calls/streamed-call.ts
@@ -159,13 +159,13 @@
     const previousTurn = this.call.program?.previousTurn;
     const previous = previousTurn === undefined ? {} : { previousTurn };
     this.record.admission = { partition, owner, answer: answer.type, ...previous, ...spent, elapsedMs };
-    this.parts.context.metrics.admitted(answer.type, elapsedMs);
+    this.parts.context.metrics.recordAdmission(answer.type, elapsedMs);
   }
 
   #recordRetention(heldBy: RetentionRecord["heldBy"], atMs: number): void {
     const elapsedMs = this.elapsedMs - atMs;
     this.record.retention = { heldBy, atMs, elapsedMs };
-    this.parts.context.metrics.retained(heldBy, elapsedMs);
+    this.parts.context.metrics.recordRetention(heldBy, elapsedMs);
   }
 
   #onAdmission(answer: AdmitTurnResponse): void {
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -1,4 +1,6 @@
-/** One gateway: takes callers' requests, owns partitions of programs, and answers who should be called. */
+/**
+ * One gateway process: accepts callers' requests, owns partitions of programs, and tells callers which gateways to use.
+ */
 import { delay } from "../runtime/clock.ts";
 import { RpcEndpoint } from "../runtime/rpc.ts";
 import type { TcpTransport } from "../runtime/tcp-transport.ts";
@@ -35,11 +37,10 @@
 import { StoreHealth } from "./store-health.ts";
 import { CallLog } from "./telemetry/call-log.ts";
 
-const STOP_POLL_MS = 50;
-/** Longest time that a stop waits for the log to be written, in ms. */
-const LOG_FLUSH_MS = 500;
+const STOP_POLL_INTERVAL_MS = 50;
+/** Maximum time that a stop waits for the log to be flushed, in ms. */
+const LOG_FLUSH_TIMEOUT_MS = 500;
 
-/** See the module's comment. */
 export class GatewayDaemon {
   readonly #context: GatewayContext;
   readonly #transport: TcpTransport<GatewayMessage>;
@@ -47,35 +48,35 @@
   readonly #members: MemberDirectory;
   readonly #registry: MemberRegistry;
   readonly #partitions: PartitionHost;
-  readonly #rates: RateHost;
+  readonly #rateHost: RateHost;
   readonly #placeHost: PlaceHost;
-  readonly #places: PlaceClient;
+  readonly #placeClient: PlaceClient;
   readonly #routing: RoutingWatch;
   readonly #runners: RunnerWatch;
   readonly #board: RunnerBalancer;
   readonly #connections: RunnerConnections;
   readonly #buffers: BufferLimiter;
   readonly #ingress: IngressServer;
-  /** Undefined where callers are told of all gateways alike. */
+  /** Undefined if the directory lists all gateways equally, without regard to their headroom. */
   readonly #headroom: HeadroomMonitor | undefined;
   readonly #entry: DirectoryServer;
   readonly #callLog: CallLog;
   readonly #health: StoreHealth;
   readonly #store: RelayedRowStore;
-  /** Types of messages that could not be taken in. */
-  readonly #passedOver = new Set<string>();
-  #announcedReady = false;
-  /** Whether a planned stop has let go of the partitions, or waits for it no longer. */
-  #hasLetGo = false;
+  /** Types of messages that could not be handled and were ignored. */
+  readonly #ignoredTypes = new Set<string>();
+  #hasAnnouncedReady = false;
+  /** Set once a planned stop has released the partitions, or no longer waits for their release. */
+  #hasReleasedPartitions = false;
   #stopping: Promise<void> | undefined;
 
-  /** @param given the context, with the store over this gateway's own connections */
-  constructor(given: GatewayContext, transport: TcpTransport<GatewayMessage>) {
+  /** @param baseContext the context, whose store uses this gateway's own connections only */
+  constructor(baseContext: GatewayContext, transport: TcpTransport<GatewayMessage>) {
     this.#transport = transport;
-    this.#rpc = new RpcEndpoint<GatewayRpcSchema>(transport, given.clock, given.random);
-    const { clock, random, log, platform } = given;
+    this.#rpc = new RpcEndpoint<GatewayRpcSchema>(transport, baseContext.clock, baseContext.random);
+    const { clock, random, log, platform } = baseContext;
     this.#store = new RelayedRowStore({ direct: platform.store, clock, random, rpc: this.#rpc, log });
-    const context = { ...given, platform: { ...given.platform, store: this.#store } };
+    const context = { ...baseContext, platform: { ...baseContext.platform, store: this.#store } };
     this.#context = context;
     const health = new StoreHealth(context);
     const { byExpectedTime } = context.settings.balance;
@@ -83,14 +84,14 @@
     this.#members = new MemberDirectory(context, transport, health);
     this.#registry = new MemberRegistry(context, this.#members, transport.self.address);
     this.#partitions = new PartitionHost(context, this.#members, health, this.#rpc);
-    this.#rates = new RateHost(context, this.#members, this.#partitions, this.#rpc);
+    this.#rateHost = new RateHost(context, this.#members, this.#partitions, this.#rpc);
     this.#routing = new RoutingWatch(context, health);
     this.#runners = new RunnerWatch(context, health, this.#board);
-    const liveGateways = () => this.#members.aliveCount + 1;
+    const countLiveGateways = () => this.#members.aliveCount + 1;
     this.#connections = new RunnerConnections({
       clock,
       board: this.#board,
-      gateways: liveGateways,
+      gateways: countLiveGateways,
       maxConnections: (pool) => this.#routing.routes?.pool(pool)?.maxConnections,
     });
     this.#buffers = new BufferLimiter(context);
@@ -98,30 +99,36 @@
     const { byHeadroom } = context.settings.balance;
     if (byHeadroom) this.#headroom = new HeadroomMonitor(context, () => this.#ingress.active);
     this.#entry = new DirectoryServer(context, this.#members, () => this.state === "ready");
-    const client = new PartitionClient(context, this.#members, this.#partitions, this.#rpc, health);
+    const partitionClient = new PartitionClient(context, this.#members, this.#partitions, this.#rpc, health);
     this.#callLog = new CallLog(context.log, context.clock);
     this.#health = health;
     const groups = new RunnerGroups(context, this.#board);
     const dispatchers = new DispatcherDirectory(context, this.#members);
-    const places = { context, board: this.#board, groups, dispatchers, rpc: this.#rpc, transport };
+    const placeDependencies = { context, board: this.#board, groups, dispatchers, rpc: this.#rpc, transport };
     this.#placeHost = new PlaceHost({
-      ...places,
+      ...placeDependencies,
       weights: new TenantWeights(() => this.#routing.routes),
       memoryTokens: (pool) => this.#routing.routes?.pool(pool)?.engine?.cacheTokens,
     });
-    const scarcity = new PoolScarcity(context, this.#board, groups, liveGateways);
-    this.#places = new PlaceClient({ ...places, scarcity });
-    const parts = {
+    const scarcity = new PoolScarcity(context, this.#board, groups, countLiveGateways);
+    this.#placeClient = new PlaceClient({ ...placeDependencies, scarcity });
+    const callDependencies = {
       context,
       board: this.#board,
       connections: this.#connections,
       callLog: this.#callLog,
-      places: this.#places,
+      places: this.#placeClient,
       buffers: this.#buffers,
     };
-    const rates = new RateClient(context, this.#members, this.#partitions, this.#rpc);
+    const rateClient = new RateClient(context, this.#members, this.#partitions, this.#rpc);
     const routes = () => (this.#canServe ? this.#routing.routes : undefined);
-    const calls = new CallService(parts, client, rates, routes, () => this.#routing.canTrustKeys);
+    const calls = new CallService(
+      callDependencies,
+      partitionClient,
+      rateClient,
+      routes,
+      () => this.#routing.canTrustKeys,
+    );
     this.#ingress.onHead = (head) => calls.decide(head);
     this.#routing.onChanged = (routes) => {
       this.#ingress.setLimits(routes.configuration.limits);
@@ -133,20 +140,20 @@
     this.#members.selfReport = () => ({
       state: this.state,
       storeDirect: this.#store.isDirect,
-      owned: this.#hasLetGo ? [] : this.#partitions.owned,
+      owned: this.#hasReleasedPartitions ? [] : this.#partitions.owned,
       runners: this.#board.ownReport(context.clock.monotonicMs()),
       headroom: this.#headroom?.headroom,
     });
-    this.#wireMembers();
+    this.#registerCallbacks();
   }
 
-  /** Where this gateway is in its life. */
+  /** Lifecycle state of this gateway. */
   get state(): GatewayState {
     if (this.#stopping) return "stopping";
     return this.#canServe ? "ready" : "starting";
   }
 
-  /** Starts all parts. */
+  /** Starts all components. */
   async start(): Promise<void> {
     const { listen } = this.#context.settings;
     this.#routing.start();
@@ -155,7 +162,7 @@
     this.#members.start();
     this.#registry.start();
     this.#partitions.start();
-    this.#rates.start();
+    this.#rateHost.start();
     this.#placeHost.start();
     this.#headroom?.start();
     await this.#entry.listen([listen.readiness, listen.directory]);
@@ -163,28 +170,31 @@
     await this.#serveMetrics();
   }
 
-  /** A planned stop: leaves the directory, lets requests in flight end, and hands its partitions over. */
+  /** Stops as planned: leaves the directory, lets requests in flight finish, and hands its partitions over. */
   stop(): Promise<void> {
     this.#stopping ??= this.#stop();
     return this.#stopping;
   }
 
-  /** Takes what may change while the process runs: the seeds. */
+  /** Applies the settings that may change while the process runs: the seeds. */
   reload(settings: GatewaySettings): void {
     this.#members.addKnownAddresses(settings.seeds);
     this.#context.log.info({ seeds: settings.seeds }, "settings read again");
   }
 
-  /** Notes an error that no part has handled; what it touched has failed, the rest goes on. */
-  noteUnexpected(reason: unknown): void {
+  /** Logs an error that no component has handled. The operation that it hit has failed; the process continues. */
+  logUnexpectedError(reason: unknown): void {
     const stack = reason instanceof Error ? reason.stack : String(reason);
     this.#context.log.error({ stack }, "unexpected error");
   }
 
-  /** Tells the others at once when this gateway begins to serve: they wait for it with the partitions they take over. */
+  /**
+   * Sends heartbeats at once when this gateway becomes ready: the others wait for starting gateways before they claim
+   * partitions.
+   */
   #announceReady(): void {
-    if (this.#announcedReady || this.state !== "ready") return;
-    this.#announcedReady = true;
+    if (this.#hasAnnouncedReady || this.state !== "ready") return;
+    this.#hasAnnouncedReady = true;
     this.#members.tick();
   }
 
@@ -200,7 +210,7 @@
       runnerConnections: () => this.#connections.count,
       headroom: () => this.#headroom?.headroom ?? FULL_HEADROOM,
       heldBytes: (reason: BufferReason) => this.#buffers.heldFor(reason),
-      linesLeftOut: () => this.#callLog.leftOutTotal,
+      omittedLogLines: () => this.#callLog.omittedTotal,
       configurationVersion: () => this.#routing.routes?.configuration.version ?? 0,
       configurationBehindMs: () => this.#routing.behindMs,
       storeReachable: () => this.#health.reachable,
@@ -208,7 +218,7 @@
     return this.#context.metrics.serve(gauges, () => this.state === "ready");
   }
 
-  #wireMembers(): void {
+  #registerCallbacks(): void {
     this.#store.relays = () => this.#members.storeRelays();
     this.#store.answerTimeoutMs = () => this.#health.writeTimeout.currentMs;
     this.#members.onHeard = (member) => {
@@ -222,7 +232,7 @@
       this.#partitions.forget(member);
       this.#board.dropReport(member.instance);
       this.#placeHost.onGatewayLost(member.instance);
-      this.#places.onGatewayLost(member.instance);
+      this.#placeClient.onGatewayLost(member.instance);
       this.#store.removeRelay(member.instance);
       this.#rpc.failPending(member.address);
     };
@@ -233,12 +243,12 @@
     this.#transport.onMessage((message, from) => this.#onMessage(message, from));
   }
 
-  /** Other builds run beside this one: what they say and this one can't take in is passed over. */
+  /** Ignores messages that can't be handled: peers may run other builds. */
   #onMessage(message: GatewayMessage, from: Sender): void {
     try {
       this.#dispatch(message, from);
     } catch (error) {
-      this.#notePassedOver(message.type, from, (error as Error).message);
+      this.#logIgnoredMessage(message.type, from, (error as Error).message);
     }
   }
 
@@ -249,7 +259,7 @@
       case "memberDigest":
         return this.#members.onDigest(message, from);
       case "placeSettled":
-        return this.#places.onSettled(message, from);
+        return this.#placeClient.onSettled(message, from);
       case "returnPlaces":
         return this.#placeHost.onReturned(message);
       case "rpcRequest":
@@ -257,14 +267,14 @@
       case "rpcResponse":
         return this.#rpc.onResponse(message);
       default:
-        return this.#notePassedOver((message as GatewayMessage).type, from, "unknown type");
+        return this.#logIgnoredMessage((message as GatewayMessage).type, from, "unknown type");
     }
   }
 
-  /** A line for the first message of a type. */
-  #notePassedOver(type: string, { instance }: Sender, reason: string): void {
-    if (this.#passedOver.has(type)) return;
-    this.#passedOver.add(type);
+  /** Logs only the first ignored message of each type. */
+  #logIgnoredMessage(type: string, { instance }: Sender, reason: string): void {
+    if (this.#ignoredTypes.has(type)) return;
+    this.#ignoredTypes.add(type);
     this.#context.log.warn({ type, from: instance, reason }, "message passed over");
   }
 
@@ -276,17 +286,18 @@
     this.#members.tick();
     this.#ingress.beginStop();
     await Promise.race([this.#partitions.release(), delay(clock, settings.timing.lingerMs)]);
-    this.#hasLetGo = true;
+    this.#hasReleasedPartitions = true;
     this.#members.tick();
     await delay(clock, Math.max(0, startedMs + settings.timing.lingerMs - clock.monotonicMs()));
     this.#ingress.stopListening();
     const deadlineMs = startedMs + settings.timing.stopMs;
-    while (this.#ingress.active > 0 && clock.monotonicMs() < deadlineMs) await delay(clock, STOP_POLL_MS);
+    while (this.#ingress.active > 0 && clock.monotonicMs() < deadlineMs)
+      await delay(clock, STOP_POLL_INTERVAL_MS);
     log.info({ active: this.#ingress.active, connections: this.#ingress.connections }, "stopped");
     this.#context.metrics.close();
     await this.#transport.close();
-    // Lines are written in batches; a reader of standard output that stalls must not hold up the stop.
-    const written = new Promise<void>((resolve) => log.flush(() => resolve()));
-    await Promise.race([written, delay(clock, LOG_FLUSH_MS)]);
+    // Lines are written in batches. A stalled reader of standard output must not delay the stop.
+    const flushed = new Promise<void>((resolve) => log.flush(() => resolve()));
+    await Promise.race([flushed, delay(clock, LOG_FLUSH_TIMEOUT_MS)]);
   }
 }
--- a/src/gateway/members/caller-directory.ts
+++ b/src/gateway/members/caller-directory.ts
@@ -43,7 +43,7 @@
     const named = this.#shuffle(selectGateways(candidates, zone)).slice(0, MAX_ADDRESSES);
     // A caller can send any zone name. Only zones that have gateways are counted and stored, so the set stays small.
     const knownZone = gateways.some((gateway) => gateway.zone === zone) ? zone : undefined;
-    for (const gateway of named) this.#context.metrics.named(gateway.zone, knownZone);
+    for (const gateway of named) this.#context.metrics.recordNamedGateway(gateway.zone, knownZone);
     if (knownZone !== undefined) this.#logOverflow(knownZone, named);
     return named.map(({ address }) => address);
   }
--- a/src/gateway/members/headroom-monitor.ts
+++ b/src/gateway/members/headroom-monitor.ts
@@ -4,7 +4,7 @@
 import type { Headroom } from "../../scheduling/caller-spread/headroom.ts";
 import { HeadroomController } from "../../scheduling/caller-spread/headroom-controller.ts";
 import type { GatewayContext } from "../gateway-context.ts";
-import { Standstill } from "../standstill.ts";
+import { PauseDetector } from "../pause-detector.ts";
 import { roundedShare } from "../telemetry/rounded-share.ts";
 import { ProcessPressure } from "./process-pressure.ts";
 
@@ -18,7 +18,7 @@
   readonly #callsInProgress: () => number;
   readonly #pressure = new ProcessPressure();
   readonly #control = new HeadroomController();
-  readonly #pauseDetector = new Standstill(MAX_SAMPLE_GAP_MS);
+  readonly #pauseDetector = new PauseDetector(MAX_SAMPLE_GAP_MS);
   #stop: () => void = () => undefined;
 
   constructor(context: GatewayContext, callsInProgress: () => number) {
@@ -41,7 +41,7 @@
 
   #sample(): void {
     const nowMs = this.#context.clock.monotonicMs();
-    const stoodStill = this.#pauseDetector.look(nowMs);
+    const stoodStill = this.#pauseDetector.detectPause(nowMs);
     const pressure = { ...this.#pressure.sample(this.#callsInProgress()), stoodStill };
     const before = this.headroom;
     this.#control.update(pressure, nowMs);
--- a/src/gateway/members/member-view.ts
+++ b/src/gateway/members/member-view.ts
@@ -5,7 +5,7 @@
 import { PeerLiveness } from "../../coordination/liveness/index.ts";
 import type { GatewayContext } from "../gateway-context.ts";
 import type { MemberDigest, MemberStatus } from "../gateway-messages.ts";
-import { Standstill } from "../standstill.ts";
+import { PauseDetector } from "../pause-detector.ts";
 import { isSameStatus } from "./is-same-status.ts";
 import type { Member } from "./member.ts";
 import { type RelayEvidence, RelayedLiveness } from "./relayed-liveness.ts";
@@ -36,7 +36,7 @@
   readonly #members = new Map<string, Member>();
   /** Incarnations that are no longer alive, and since when (monotonic clock, ms). */
   readonly #lostAtMs = new Map<string, number>();
-  readonly #pauseDetector: Standstill;
+  readonly #pauseDetector: PauseDetector;
   /** The live gateways. Cleared when evidence is added or withdrawn, and recomputed when a piece of evidence expires. */
   #aliveCache: AliveMembers | undefined;
 
@@ -44,7 +44,7 @@
     const { suspectMs } = context.settings.timing;
     this.#context = context;
     this.#listener = listener;
-    this.#pauseDetector = new Standstill(suspectMs);
+    this.#pauseDetector = new PauseDetector(suspectMs);
     this.#liveness = new PeerLiveness(suspectMs);
     this.#relayedLiveness = new RelayedLiveness(suspectMs);
   }
@@ -227,7 +227,7 @@
   /** Extends all deadlines if this process was paused, because messages that arrived meanwhile have not been read yet. */
   #handleOwnPause(): void {
     const nowMs = this.#nowMs;
-    if (!this.#pauseDetector.look(nowMs)) return;
+    if (!this.#pauseDetector.detectPause(nowMs)) return;
     this.#aliveCache = undefined;
     this.#liveness.recordOwnPause(nowMs);
     this.#relayedLiveness.recordOwnPause(nowMs);
--- a/src/gateway/run-gateway.ts
+++ b/src/gateway/run-gateway.ts
@@ -1,4 +1,4 @@
-/** The life of a gateway's process: settings, start, signals, end. */
+/** Runs a gateway process: reads its settings, starts it and handles its signals. */
 import { TulipwheelError } from "../errors/tulipwheel-error.ts";
 import type { JsonSchema } from "../settings/read-by-schema.ts";
 import type { GatewayPlatform } from "./gateway-context.ts";
@@ -7,47 +7,48 @@
 import { loadGatewaySettings } from "./load-gateway-settings.ts";
 import { startGateway } from "./start-gateway.ts";
 
-const INVALID_SETTINGS = 2;
-/** Put here by the build; not defined where nothing is built. */
+const INVALID_SETTINGS_EXIT_CODE = 2;
+/** Inserted by the build; not defined when running from source. */
 declare const SETTINGS_SCHEMA: JsonSchema | undefined;
 const builtSchema = typeof SETTINGS_SCHEMA === "undefined" ? undefined : SETTINGS_SCHEMA;
 
 /**
- * Runs a gateway until it is told to stop. SIGTERM is a planned stop; SIGHUP reads the settings again and takes the
- * seeds from them. Settings that are not valid end the process with code 2 and a message that names line and remedy.
+ * Runs a gateway until it is told to stop. SIGTERM starts a planned stop; SIGHUP reads the settings again and applies
+ * their seeds. If the settings are invalid, the process exits with code 2 and a message that names the line and the
+ * remedy.
  *
- * @param platformOf how the platform around the gateway speaks
+ * @param createPlatform creates the adapters to the platform that the gateway runs on
  */
 export async function runGateway(
   settingsFile: string | undefined,
-  platformOf: (settings: GatewaySettings) => GatewayPlatform,
+  createPlatform: (settings: GatewaySettings) => GatewayPlatform,
 ): Promise<void> {
   try {
-    const settings = await settingsOf(settingsFile);
-    const gateway = await startGateway(settings, platformOf(settings));
+    const settings = await readSettings(settingsFile);
+    const gateway = await startGateway(settings, createPlatform(settings));
     process.on("SIGTERM", () => void gateway.stop().then(() => process.exit(0)));
     process.on("SIGHUP", () => void reload(gateway, settingsFile));
-    process.on("unhandledRejection", (reason) => gateway.noteUnexpected(reason));
+    process.on("unhandledRejection", (reason) => gateway.logUnexpectedError(reason));
   } catch (error) {
     if (!(error instanceof TulipwheelError)) throw error;
     process.stderr.write(`${(error as Error).message}\n`);
-    process.exit(INVALID_SETTINGS);
+    process.exit(INVALID_SETTINGS_EXIT_CODE);
   }
 }
 
 async function reload(gateway: GatewayDaemon, settingsFile: string | undefined): Promise<void> {
   try {
-    gateway.reload(await settingsOf(settingsFile));
+    gateway.reload(await readSettings(settingsFile));
   } catch (error) {
-    gateway.noteUnexpected(error);
+    gateway.logUnexpectedError(error);
   }
 }
 
-/** A file that was laid out for a newer build may have keys that this one does not know: it goes on without them. */
-function settingsOf(settingsFile: string | undefined): Promise<GatewaySettings> {
+/** Reads the settings file. Keys of a newer build that this one does not know are ignored with a message. */
+function readSettings(settingsFile: string | undefined): Promise<GatewaySettings> {
   return loadGatewaySettings(settingsFile, builtSchema, (keys) => {
     process.stderr.write(
-      `${settingsFile}: keys that this build does not know are passed over: ${keys.join(", ")}\n`,
+      `${settingsFile}: keys that this build does not know are ignored: ${keys.join(", ")}\n`,
     );
   });
 }
--- a/src/gateway/start-gateway.ts
+++ b/src/gateway/start-gateway.ts
@@ -12,22 +12,22 @@
 import { NoMetrics } from "./telemetry/no-metrics.ts";
 
 const INSTANCE_TOKEN_LENGTH = 8;
-const STANDARD_OUTPUT = 1;
+const STDOUT_DESCRIPTOR = 1;
 
-/** Starts a gateway in this process, on the real clock and network. */
+/** Starts a gateway in this process with the real clock and network. */
 export async function startGateway(
   settings: GatewaySettings,
   platform: GatewayPlatform,
 ): Promise<GatewayDaemon> {
   const random = systemRandom();
   const instance = `${settings.name}#${random.token(INSTANCE_TOKEN_LENGTH)}`;
-  const sink = new LogSink(STANDARD_OUTPUT);
+  const sink = new LogSink(STDOUT_DESCRIPTOR);
   const log = pino({ level: settings.logging.level, base: { node: settings.name } }, sink);
   const address = settings.listen.peers;
   const transport = await TcpTransport.listen<GatewayMessage>({ instance, address });
   const hash = await loadTextHash();
   const clock = new SystemClock();
-  const metrics = await metricsFor(settings);
+  const metrics = await createMetrics(settings);
   const context = { settings, instance, clock, random, hash, log, metrics, platform };
   const daemon = new GatewayDaemon(context, transport);
   await daemon.start();
@@ -35,8 +35,8 @@
   return daemon;
 }
 
-/** The library is loaded only where metrics are served: it costs a starting process a tenth of its time. */
-async function metricsFor({ listen }: GatewaySettings): Promise<GatewayMetrics> {
+/** Imports the metrics library only if metrics are served: loading it takes a tenth of the start-up time. */
+async function createMetrics({ listen }: GatewaySettings): Promise<GatewayMetrics> {
   if (listen.metrics === undefined) return new NoMetrics();
   const { PrometheusMetrics } = await import("./telemetry/prometheus-metrics.ts");
   return new PrometheusMetrics(listen.metrics);
--- /dev/null
+++ b/src/gateway/telemetry/attempt-record.ts
@@ -0,0 +1,16 @@
+/** One attempt to run a call at a runner. */
+export interface AttemptRecord {
+  readonly runner: string;
+  /** Known requests in flight at the runner when it was chosen. */
+  readonly load: number;
+  /** Fraction of the runner's requests in the last seconds that failed, 0 to 1. */
+  readonly failureRate: number;
+  /** Expected duration in ms; undefined if runners are chosen by load. */
+  readonly expectedMs?: number;
+  /** Time from the arrival of the call until the attempt started, in ms. */
+  readonly atMs: number;
+  /** Duration of the attempt in ms; undefined while it is in progress. */
+  elapsedMs?: number;
+  /** Why the attempt gave no answer. */
+  failure?: string;
+}
--- a/src/gateway/telemetry/log-sink.ts
+++ b/src/gateway/telemetry/log-sink.ts
@@ -1,19 +1,18 @@
 /**
- * Where the lines of the log go: a descriptor, written to in batches. Nothing waits for its reader; what a reader that
- * stalls leaves unread is kept up to a bound, and dropped beyond.
+ * Writes log lines to a file descriptor in batches. Writing never blocks on the reader: if the reader stalls, lines are
+ * buffered up to a limit and dropped beyond it.
  */
 import { pino } from "pino";
 
-/** Lines are written together once they are so many bytes, or after so long. */
+/** Lines are written once this many bytes are buffered, or after the flush delay. */
 const BATCH_BYTES = 4_096;
-const FLUSH_AFTER_MS = 250;
-/** Bytes that wait for a reader at most. */
-const MAX_WAITING_BYTES = 4 * 1024 * 1024;
+const FLUSH_DELAY_MS = 250;
+/** Maximum number of bytes buffered while the reader stalls. */
+const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-/** See the module's comment. */
 export class LogSink {
   readonly #destination: ReturnType<typeof pino.destination>;
-  #flushing = false;
+  #isFlushScheduled = false;
 
   /** @param descriptor an open file descriptor */
   constructor(descriptor: number) {
@@ -21,22 +20,22 @@
       fd: descriptor,
       sync: false,
       minLength: BATCH_BYTES,
-      maxLength: MAX_WAITING_BYTES,
+      maxLength: MAX_BUFFERED_BYTES,
     });
   }
 
-  /** Takes a line. */
+  /** Buffers a line and schedules a flush. */
   write(line: string): void {
     this.#destination.write(line);
-    if (this.#flushing) return;
-    this.#flushing = true;
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     setTimeout(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       this.#destination.flush();
-    }, FLUSH_AFTER_MS).unref();
+    }, FLUSH_DELAY_MS).unref();
   }
 
-  /** Calls back once everything was written. */
+  /** Calls `done` once all buffered lines are written. */
   flush(done: () => void): void {
     this.#destination.flush(done);
   }
