--- a/src/node/calls/slot-broker.ts
+++ b/src/node/calls/slot-broker.ts
@@ -55,7 +55,7 @@
 
   /** A home granted a slot. One that nobody waits for any more goes back at once. */
   onGranted(message: SlotGranted, from: string): void {
-    this.#directory.learn(from, message.load);
+    this.#directory.recordLoads(from, message.load);
     const { runner, call, attempt, fencingToken, waitedMs } = message;
     const key = slotKey(call, attempt);
     if (this.#pending.get(key)?.runner === runner) {
@@ -74,7 +74,7 @@
 
   /** A home refused a request. */
   onRefused(message: SlotRefused, from: string): void {
-    this.#directory.learn(from, message.load);
+    this.#directory.recordLoads(from, message.load);
     if (message.reason === "not-home") this.#directory.forgetHome(message.runner, from);
     const key = slotKey(message.call, message.attempt);
     if (this.#pending.get(key)?.runner !== message.runner) return;
--- a/src/node/node-daemon.ts
+++ b/src/node/node-daemon.ts
@@ -128,7 +128,7 @@
       context.log.level = level;
       return {};
     });
-    machines.onRead = () => homes.sync();
+    machines.onRefreshed = () => homes.sync();
     configuration.nodeCount = () => machines.nodes().length;
     configuration.onAdvanced = (version) => this.#spreadNews(version);
     transport.onMessage((message, from, version) => this.#onMessage(message, from, version));
@@ -214,7 +214,7 @@
 
   /** Tells a few others of a new configuration; they tell others, so all know within a few hops. */
   #spreadNews(version: number): void {
-    for (const address of this.#machines.randomOthers(NEWS_FANOUT)) {
+    for (const address of this.#machines.randomPeers(NEWS_FANOUT)) {
       this.context.transport.send(address, { type: "configurationNews", version });
     }
   }
@@ -256,9 +256,9 @@
       case "slotRefused":
         return this.#broker.onRefused(message, from.address);
       case "machineListNews":
-        return this.#machines.onNews(message.news, from.address);
+        return this.#machines.onAnnouncement(message.news, from.address);
       case "announceRunners":
-        return this.#directory.learn(from.address, message.load);
+        return this.#directory.recordLoads(from.address, message.load);
       case "rpcRequest":
         return void this.#rpc.onRequest(message, from);
       case "rpcResponse":
--- a/src/node/runners/hold-sweeper.ts
+++ b/src/node/runners/hold-sweeper.ts
@@ -64,13 +64,13 @@
         const shard = this.#shards.shardOfProgram(program);
         byShard.set(shard, [...(byShard.get(shard) ?? []), program]);
       }
-      for (const [shard, programs] of byShard) await this.#releaseGone(home, shard, programs);
+      for (const [shard, programs] of byShard) await this.#releaseEndedPrograms(home, shard, programs);
     } catch {
       // The engine or a shard's leader does not answer: the next sweep tries again.
     }
   }
 
-  async #releaseGone(home: RunnerHome, shard: number, programs: readonly string[]): Promise<void> {
+  async #releaseEndedPrograms(home: RunnerHome, shard: number, programs: readonly string[]): Promise<void> {
     const { gone } = await this.#router.ask(shard, "findGone", { programs }, FIND_TIMEOUT_MS);
     for (const program of gone) {
       await this.#homes.releaseHold(home, program);
--- a/src/node/runners/machine-directory.ts
+++ b/src/node/runners/machine-directory.ts
@@ -10,19 +10,19 @@
 import { repeat } from "../../runtime/clock.ts";
 import type { RpcEndpoint } from "../../runtime/rpc.ts";
 import type { NodeContext } from "../node-context.ts";
-import { MachineContent } from "./machine-content.ts";
+import { MachineListSnapshot } from "./machine-list-snapshot.ts";
 
 /** Nodes that read the platform's list. */
-const READERS = 3;
+const READER_COUNT = 3;
 /** Nodes that each node tells of a fresher reading. */
-const NEWS_FANOUT = 3;
+const ANNOUNCE_FANOUT = 3;
 /** Earlier contents that are kept, to answer with differences. */
-const KEPT_CONTENTS = 8;
+const MAX_KEPT_SNAPSHOTS = 8;
 const FETCH_TIMEOUT_MS = 1_000;
 /** Most addresses that a caller is given. */
-const MAX_ADDRESSES = 64;
+const MAX_CALLER_ADDRESSES = 64;
 /** Mean time between two reports of nodes to the platform, by whichever node, in ms. */
-const REPORT_MS = 10;
+const MEAN_REPORT_INTERVAL_MS = 10;
 
 /** See the module's comment. */
 export class MachineDirectory {
@@ -30,7 +30,7 @@
   readonly #list: MachineList;
   readonly #rpc: RpcEndpoint;
   readonly #relay: SnapshotRelay;
-  readonly #contents = new Map<string, MachineContent>();
+  readonly #snapshots = new Map<string, MachineListSnapshot>();
   #machines: readonly Machine[] = [];
   #nodes: readonly Machine[] = [];
   #nodesVersion = 0;
@@ -41,7 +41,7 @@
   callersAddress = "";
   #stop: () => void = () => undefined;
   /** Called after each fresher reading. */
-  onRead: () => void = () => undefined;
+  onRefreshed: () => void = () => undefined;
 
   constructor(context: NodeContext, list: MachineList, rpc: RpcEndpoint) {
     this.#context = context;
@@ -53,11 +53,11 @@
 
   /** Starts to follow the list. */
   start(): void {
-    void this.#step();
+    void this.#refresh();
     this.#stop = repeat(
       this.#context.clock,
       this.#context.settings.timing.machineListMs,
-      () => void this.#step(),
+      () => void this.#refresh(),
     );
   }
 
@@ -70,7 +70,7 @@
   async announceLeaving(): Promise<void> {
     this.#leaving = true;
     this.#nextReportMs = 0;
-    await this.#step();
+    await this.#refresh();
   }
 
   /** Time since somebody read the list for what is known here, in ms. */
@@ -100,18 +100,18 @@
     const open = this.#nodes.filter((node) => node.state === "live" && node.callers);
     const near = open.filter((node) => node.zone === zone);
     const far = open.filter((node) => node.zone !== zone);
-    return [...near, ...far].slice(0, MAX_ADDRESSES).map((node) => node.callers ?? "");
+    return [...near, ...far].slice(0, MAX_CALLER_ADDRESSES).map((node) => node.callers ?? "");
   }
 
   /** Addresses of up to `count` other nodes, drawn at random. */
-  randomOthers(count: number): string[] {
+  randomPeers(count: number): string[] {
     const { random, self } = this.#context;
     const others = this.#nodes.map((node) => node.address).filter((address) => address !== self.address);
-    const drawn: string[] = [];
-    while (drawn.length < count && others.length > 0) {
-      drawn.push(...others.splice(random.below(others.length), 1));
+    const chosen: string[] = [];
+    while (chosen.length < count && others.length > 0) {
+      chosen.push(...others.splice(random.below(others.length), 1));
     }
-    return drawn;
+    return chosen;
   }
 
   /** Changes whenever {@link nodes} does, so that what is worked out from them need not be worked out again. */
@@ -120,11 +120,11 @@
   }
 
   /** Another node told of a reading. */
-  onNews(news: SnapshotAnnouncement, from: string): void {
+  onAnnouncement(news: SnapshotAnnouncement, from: string): void {
     if (this.#relay.shouldRequest(news, this.#nowMs())) void this.#fetch(from);
   }
 
-  async #step(): Promise<void> {
+  async #refresh(): Promise<void> {
     await this.#reportIfDue();
     if (this.#isReader() || this.ageMs() > this.#context.settings.timing.machineListMs * 2)
       await this.#read();
@@ -135,7 +135,7 @@
     const { self, hash } = this.#context;
     const own = hash.hash32(`reader|${self.instance}`);
     const before = this.#nodes.filter((node) => hash.hash32(`reader|${node.incarnation}`) < own);
-    return before.length < READERS;
+    return before.length < READER_COUNT;
   }
 
   /** The more nodes there are, the more rarely each reports itself. */
@@ -143,7 +143,7 @@
     const { self, settings, random } = this.#context;
     const nowMs = this.#nowMs();
     if (nowMs < this.#nextReportMs) return;
-    this.#nextReportMs = nowMs + this.#nodes.length * REPORT_MS * (0.5 + random.unit());
+    this.#nextReportMs = nowMs + this.#nodes.length * MEAN_REPORT_INTERVAL_MS * (0.5 + random.unit());
     await this.#list
       .report({
         name: settings.name,
@@ -169,10 +169,10 @@
       const machines = await this.#list.read();
       if (!this.#relay.isNewer(startMs)) return;
       const whole = { whole: true, put: machines, removed: [] };
-      const content = MachineContent.EMPTY.after(whole, this.#context.hash);
-      this.#take(content);
-      this.#tellOthers(this.#relay.recordRead(content.digest, startMs, this.#nowMs()));
-      this.onRead();
+      const snapshot = MachineListSnapshot.EMPTY.withChanges(whole, this.#context.hash);
+      this.#adopt(snapshot);
+      this.#announce(this.#relay.recordRead(snapshot.digest, startMs, this.#nowMs()));
+      this.onRefreshed();
     } catch {
       // The platform does not answer: what is known stands, and its age is watched by those who depend on it.
     }
@@ -188,55 +188,55 @@
       if (reply.type !== "done") return;
       const { changes, ageMs } = reply.body;
       if (!this.#relay.isNewer(askedAtMs - ageMs)) return;
-      if (reply.body.digest === held) return this.#confirm(held, ageMs, askedAtMs);
-      const before = this.#contents.get(held) ?? MachineContent.EMPTY;
-      const content = before.after(changes, this.#context.hash);
-      const { digest } = content;
+      if (reply.body.digest === held) return this.#confirmUnchanged(held, ageMs, askedAtMs);
+      const before = this.#snapshots.get(held) ?? MachineListSnapshot.EMPTY;
+      const snapshot = before.withChanges(changes, this.#context.hash);
+      const { digest } = snapshot;
       if (digest !== reply.body.digest) return;
-      this.#take(content);
-      this.#tellOthers(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
-      this.onRead();
+      this.#adopt(snapshot);
+      this.#announce(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
+      this.onRefreshed();
     } finally {
       this.#fetching = false;
     }
   }
 
   /** The content is what is held already, and read later than was known. */
-  #confirm(digest: string, ageMs: number, askedAtMs: number): void {
+  #confirmUnchanged(digest: string, ageMs: number, askedAtMs: number): void {
     if (digest !== this.#relay.digest) return;
-    this.#tellOthers(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
-    this.onRead();
+    this.#announce(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
+    this.onRefreshed();
   }
 
   #answerFetch(digest: string): FetchMachinesResponse {
-    const current = this.#current();
-    const known = this.#contents.get(digest);
+    const current = this.#currentSnapshot();
+    const known = this.#snapshots.get(digest);
     const changes = known
       ? current.changesFrom(known)
       : { whole: true, put: [...current.machines.values()], removed: [] };
     return { digest: this.#relay.digest, ageMs: this.ageMs(), changes };
   }
 
-  #current(): MachineContent {
-    return this.#contents.get(this.#relay.digest) ?? MachineContent.EMPTY;
+  #currentSnapshot(): MachineListSnapshot {
+    return this.#snapshots.get(this.#relay.digest) ?? MachineListSnapshot.EMPTY;
   }
 
-  #take(content: MachineContent): void {
-    const { digest } = content;
-    this.#contents.delete(digest);
-    this.#contents.set(digest, content);
-    const [oldest] = this.#contents.keys();
-    if (this.#contents.size > KEPT_CONTENTS) this.#contents.delete(oldest);
+  #adopt(snapshot: MachineListSnapshot): void {
+    const { digest } = snapshot;
+    this.#snapshots.delete(digest);
+    this.#snapshots.set(digest, snapshot);
+    const [oldest] = this.#snapshots.keys();
+    if (this.#snapshots.size > MAX_KEPT_SNAPSHOTS) this.#snapshots.delete(oldest);
     if (digest === this.#relay.digest) return;
-    this.#machines = [...content.machines.values()];
+    this.#machines = [...snapshot.machines.values()];
     const nodes = this.#machines.filter((machine) => machine.kind === "node");
     if (signatureOf(nodes) === signatureOf(this.#nodes)) return;
     this.#nodes = nodes;
     this.#nodesVersion += 1;
   }
 
-  #tellOthers(news: SnapshotAnnouncement): void {
-    for (const address of this.randomOthers(NEWS_FANOUT)) {
+  #announce(news: SnapshotAnnouncement): void {
+    for (const address of this.randomPeers(ANNOUNCE_FANOUT)) {
       this.#context.transport.send(address, { type: "machineListNews", news });
     }
   }
--- a/src/node/runners/machine-content.ts
+++ b/src/node/runners/machine-list-snapshot.ts
@@ -4,39 +4,39 @@
 
 const HEXADECIMAL = 16;
 /** Salts of the two halves of a digest. */
-const HALVES = ["first|", "second|"] as const;
+const HASH_SALTS = ["first|", "second|"] as const;
 
 /**
  * One content of the list of machines with its digest. The digest is the exclusive or of the machines' own hashes, so
  * that a change of one machine costs one hash, not one per machine of the list.
  */
-export class MachineContent {
+export class MachineListSnapshot {
   readonly machines: ReadonlyMap<string, Machine>;
-  readonly #halves: readonly [number, number];
+  readonly #hashes: readonly [number, number];
 
-  private constructor(machines: ReadonlyMap<string, Machine>, halves: readonly [number, number]) {
+  private constructor(machines: ReadonlyMap<string, Machine>, hashes: readonly [number, number]) {
     this.machines = machines;
-    this.#halves = halves;
+    this.#hashes = hashes;
   }
 
   /** The empty list. */
-  static readonly EMPTY = new MachineContent(new Map(), [0, 0]);
+  static readonly EMPTY = new MachineListSnapshot(new Map(), [0, 0]);
 
   /** Tells this content from every other one. */
   get digest(): string {
-    const halves = this.#halves.map((half) => (half >>> 0).toString(HEXADECIMAL));
+    const halves = this.#hashes.map((half) => (half >>> 0).toString(HEXADECIMAL));
     return `${halves.join("-")}-${this.machines.size}`;
   }
 
   /** The content after some changes. */
-  after({ whole, put, removed }: MachineChanges, hash: TextHash): MachineContent {
-    const before = whole ? MachineContent.EMPTY : this;
+  withChanges({ whole, put, removed }: MachineChanges, hash: TextHash): MachineListSnapshot {
+    const before = whole ? MachineListSnapshot.EMPTY : this;
     const machines = new Map(before.machines);
-    let [first, second] = before.#halves;
+    let [first, second] = before.#hashes;
     const toggle = (machine: Machine) => {
       const text = JSON.stringify(machine);
-      first ^= hash.hash32(HALVES[0] + text);
-      second ^= hash.hash32(HALVES[1] + text);
+      first ^= hash.hash32(HASH_SALTS[0] + text);
+      second ^= hash.hash32(HASH_SALTS[1] + text);
     };
     const remove = (name: string) => {
       const known = machines.get(name);
@@ -49,11 +49,11 @@
       toggle(machine);
       machines.set(machine.name, machine);
     }
-    return new MachineContent(machines, [first, second]);
+    return new MachineListSnapshot(machines, [first, second]);
   }
 
   /** What turns another content into this one. */
-  changesFrom(before: MachineContent): MachineChanges {
+  changesFrom(before: MachineListSnapshot): MachineChanges {
     const put = [...this.machines.values()].filter((machine) => {
       const known = before.machines.get(machine.name);
       return known !== machine && JSON.stringify(known) !== JSON.stringify(machine);
--- a/src/node/runners/runner-directory.ts
+++ b/src/node/runners/runner-directory.ts
@@ -4,7 +4,7 @@
 import type { MachineDirectory } from "./machine-directory.ts";
 
 /** What a node knows of a runner's home and load. */
-interface KnownLoad {
+interface ReportedLoad {
   readonly home: string;
   readonly load: RunnerLoad;
 }
@@ -12,7 +12,7 @@
 /** The runners and services that the platform lists, and what homes say of their runners. */
 export class RunnerDirectory {
   readonly #machines: MachineDirectory;
-  readonly #loads = new Map<string, KnownLoad>();
+  readonly #loads = new Map<string, ReportedLoad>();
 
   constructor(machines: MachineDirectory) {
     this.#machines = machines;
@@ -33,7 +33,7 @@
   }
 
   /** Takes in what a home says; news of an older home than the known one is passed over. */
-  learn(home: string, loads: readonly RunnerLoad[]): void {
+  recordLoads(home: string, loads: readonly RunnerLoad[]): void {
     for (const load of loads) {
       const known = this.#loads.get(load.runner);
       if (known && known.load.fencingToken > load.fencingToken) continue;
--- a/src/node/runners/runner-home.ts
+++ b/src/node/runners/runner-home.ts
@@ -9,12 +9,12 @@
 const WAIT_BUCKETS_MS = [0, 50, 200, 500, 1_000, 2_000, 5_000, 10_000];
 
 /** Reports that an engine may fail to give before it gets no more work; the platform may list it long after it died. */
-const SILENT_AFTER_REPORTS = 2;
+const MAX_FAILED_REPORTS = 2;
 
 /** What a home needs from its node. */
 export interface RunnerHomePort {
   /** Whether the platform's list is fresh enough to trust. */
-  listIsFresh(): boolean;
+  isListFresh(): boolean;
   /** The load of this node's runners, to travel with an answer. */
   currentLoad(): readonly RunnerLoad[];
   /** Whether the configuration says that the runner takes no more work. */
@@ -40,7 +40,7 @@
   /** Reports in a row that the engine did not give. */
   #failedReports = 0;
   #announcedBucket = -1;
-  #reading = false;
+  #reconciling = false;
 
   constructor(
     context: NodeContext,
@@ -91,7 +91,7 @@
     this.#requesters.set(slotKey(request.call, request.attempt), from);
     this.#grantNext();
     if (!this.#queue.slotOf(request.call, request.attempt)) this.#sendQueued(request, from);
-    this.#announceIfMoved();
+    this.#announceIfChanged();
   }
 
   /** A leader is done with a slot, or no longer wants one. */
@@ -99,7 +99,7 @@
     this.#queue.release(call, attempt, this.#context.clock.monotonicMs());
     this.#requesters.delete(slotKey(call, attempt));
     this.#grantNext();
-    this.#announceIfMoved();
+    this.#announceIfChanged();
   }
 
   /** Lets time pass: refuses what has waited too long and grants what is free. */
@@ -112,20 +112,20 @@
       if (requester) this.#refuse(request, requester, this.#queue.draining ? "leaving" : "expired");
     }
     this.#grantNext();
-    this.#announceIfMoved();
+    this.#announceIfChanged();
   }
 
   /** Reads the engine's own report, which corrects what the home believes. */
   async reconcile(): Promise<void> {
-    if (this.#reading) return;
-    this.#reading = true;
+    if (this.#reconciling) return;
+    this.#reconciling = true;
     try {
       this.#applyReport(await this.#engine.load(this.#machine.address));
       this.#failedReports = 0;
     } catch {
       this.#failedReports += 1;
     } finally {
-      this.#reading = false;
+      this.#reconciling = false;
     }
   }
 
@@ -141,16 +141,16 @@
     this.#engineLeaving = report.leaving;
     this.#refreshDraining();
     this.#grantNext();
-    this.#announceIfMoved();
+    this.#announceIfChanged();
   }
 
   /** A home that cannot see the platform's list must not give out work: the runner may be leaving unseen. */
   #refreshDraining(): void {
-    const blind = !this.#port.listIsFresh();
+    const listIsStale = !this.#port.isListFresh();
     const leaving = this.#machine.state === "leaving" || this.#engineLeaving;
-    const silent = this.#failedReports >= SILENT_AFTER_REPORTS;
+    const unresponsive = this.#failedReports >= MAX_FAILED_REPORTS;
     const drained = this.#port.isDrainedByOperator(this.#machine.name);
-    this.#queue.setDraining(leaving || drained || blind || silent);
+    this.#queue.setDraining(leaving || drained || listIsStale || unresponsive);
   }
 
   #grantNext(): void {
@@ -194,7 +194,7 @@
     });
   }
 
-  #announceIfMoved(): void {
+  #announceIfChanged(): void {
     const waitMs = this.#queue.expectedWaitMs();
     const waitBucket = WAIT_BUCKETS_MS.findLastIndex((limitMs) => waitMs >= limitMs);
     const bucket = this.#queue.draining ? WAIT_BUCKETS_MS.length : waitBucket;
--- a/src/node/runners/runner-homes.ts
+++ b/src/node/runners/runner-homes.ts
@@ -22,7 +22,7 @@
   readonly #configuration: ConfigurationService;
   readonly #homes = new Map<string, RunnerHome>();
   readonly #stops: (() => void)[] = [];
-  #announceWanted = false;
+  #announcePending = false;
 
   constructor(
     context: NodeContext,
@@ -47,7 +47,7 @@
     const { tickMs, loadReportMs, announceMs, machineListMs } = settings.timing;
     this.#stops.push(repeat(clock, tickMs, () => this.#tick()));
     this.#stops.push(repeat(clock, loadReportMs, () => this.#reconcile()));
-    this.#stops.push(repeat(clock, announceMs, () => this.#announceIfWanted()));
+    this.#stops.push(repeat(clock, announceMs, () => this.#announceIfPending()));
     this.#stops.push(repeat(clock, machineListMs * 2, () => this.onLoadChanged()));
   }
 
@@ -111,7 +111,7 @@
     }
   }
 
-  listIsFresh(): boolean {
+  isListFresh(): boolean {
     return this.#machines.ageMs() <= this.#context.settings.timing.machineListStaleMs;
   }
 
@@ -124,7 +124,7 @@
   }
 
   onLoadChanged(): void {
-    this.#announceWanted = true;
+    this.#announcePending = true;
   }
 
   #shardOf(runner: string): number {
@@ -139,7 +139,7 @@
     }
     this.sync();
     this.onLoadChanged();
-    this.#announceIfWanted();
+    this.#announceIfPending();
   }
 
   #createHome(machine: RunnerHome["machine"], replica: ShardReplica): RunnerHome {
@@ -156,12 +156,12 @@
     for (const home of this.#homes.values()) void home.reconcile();
   }
 
-  #announceIfWanted(): void {
-    if (!this.#announceWanted || this.#homes.size === 0) return;
-    this.#announceWanted = false;
+  #announceIfPending(): void {
+    if (!this.#announcePending || this.#homes.size === 0) return;
+    this.#announcePending = false;
     const load = this.currentLoad();
-    this.#directory.learn(this.#context.self.address, load);
-    for (const address of this.#machines.randomOthers(ANNOUNCE_FANOUT)) {
+    this.#directory.recordLoads(this.#context.self.address, load);
+    for (const address of this.#machines.randomPeers(ANNOUNCE_FANOUT)) {
       this.#context.transport.send(address, { type: "announceRunners", load });
     }
   }
--- a/test/contract/machine-content.test.ts
+++ b/test/contract/machine-list-snapshot.test.ts
@@ -1,7 +1,7 @@
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
-import { MachineContent } from "../../src/node/runners/machine-content.ts";
+import { MachineListSnapshot } from "../../src/node/runners/machine-list-snapshot.ts";
 import type { Machine } from "../../src/ports/machine-list/machine-list.ts";
 import { loadTextHash, type TextHash } from "../../src/runtime/text-hash.ts";
 
@@ -32,14 +32,14 @@
       fc.property(list, list, list, (start, target, leaving) => {
         const whole = (indexes: readonly number[]) => {
           const put = indexes.map((index) => machine(index, leaving.includes(index) ? "leaving" : "live"));
-          return MachineContent.EMPTY.after({ whole: true, put, removed: [] }, hash);
+          return MachineListSnapshot.EMPTY.withChanges({ whole: true, put, removed: [] }, hash);
         };
-        const from = MachineContent.EMPTY.after(
+        const from = MachineListSnapshot.EMPTY.withChanges(
           { whole: true, put: start.map((index) => machine(index, "live")), removed: [] },
           hash,
         );
         const to = whole(target);
-        const reached = from.after(to.changesFrom(from), hash);
+        const reached = from.withChanges(to.changesFrom(from), hash);
         expect(reached.digest).toEqual(to.digest);
         expect(new Set(reached.machines.keys())).toEqual(new Set(to.machines.keys()));
         const same = reached.digest === from.digest;
