--- a/src/node/runners/hold-sweeper.ts
+++ b/src/node/runners/hold-sweeper.ts
@@ -9,9 +9,9 @@
 const FIND_TIMEOUT_MS = 3_000;
 
 /**
- * Finds engine memory that is held for programs that are gone, by asking the engines what they hold and the
- * programs' shards whether they live. It needs no event to arrive, so it also finds what lost events,
- * dead homes and dead leaders left behind.
+ * Periodically releases engine memory that is held for programs that no longer exist. It reads the list of holds from
+ * each engine and asks the shards which of these programs are gone. It depends on no event, so it also finds the holds
+ * that remain after lost events and after crashes of home nodes and shard leaders.
  */
 export class HoldSweeper {
   readonly #context: NodeContext;
@@ -36,12 +36,12 @@
     this.#engine = engine;
   }
 
-  /** Starts sweeping. */
+  /** Starts the periodic sweeps. */
   start(): void {
     this.#stop = repeat(this.#context.clock, this.#context.settings.timing.sweepMs, () => void this.#sweep());
   }
 
-  /** Stops sweeping. */
+  /** Stops the periodic sweeps. */
   stop(): void {
     this.#stop();
   }
@@ -66,7 +66,7 @@
       }
       for (const [shard, programs] of byShard) await this.#releaseEndedPrograms(home, shard, programs);
     } catch {
-      // The engine or a shard's leader does not answer: the next sweep tries again.
+      // The engine or a shard leader did not respond. The next sweep retries.
     }
   }
 
--- a/src/node/runners/machine-directory.ts
+++ b/src/node/runners/machine-directory.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's list of machines as this node knows it. A few nodes read it; the others are told by them, so that
- * what the platform has to answer does not grow with the number of nodes. A node that has not been told for a while
- * reads for itself.
+ * This node's copy of the platform's machine list. Only a few nodes read the list from the platform. The other nodes
+ * receive it from their peers, so the load on the platform does not grow with the number of nodes. A node that has
+ * received no update for a while reads the list itself.
  */
 import type { Member } from "../../coordination/shard-group/index.ts";
 import { type SnapshotAnnouncement, SnapshotRelay } from "../../coordination/snapshot-relay/index.ts";
@@ -12,19 +12,19 @@
 import type { NodeContext } from "../node-context.ts";
 import { MachineListSnapshot } from "./machine-list-snapshot.ts";
 
-/** Nodes that read the platform's list. */
+/** Number of nodes that read the list from the platform. */
 const READER_COUNT = 3;
-/** Nodes that each node tells of a fresher reading. */
+/** Number of peers to which a node announces a newer read. */
 const ANNOUNCE_FANOUT = 3;
-/** Earlier contents that are kept, to answer with differences. */
+/** Number of snapshots that are kept, so that requests of peers can be answered with changes only. */
 const MAX_KEPT_SNAPSHOTS = 8;
 const FETCH_TIMEOUT_MS = 1_000;
-/** Most addresses that a caller is given. */
+/** Maximum number of node addresses that are returned to a caller. */
 const MAX_CALLER_ADDRESSES = 64;
-/** Mean time between two reports of nodes to the platform, by whichever node, in ms. */
+/** Mean time between two reports to the platform, counted over all nodes, in ms. */
 const MEAN_REPORT_INTERVAL_MS = 10;
 
-/** See the module's comment. */
+/** Keeps a copy of the machine list up to date, reports this node to the platform and answers peers. */
 export class MachineDirectory {
   readonly #context: NodeContext;
   readonly #list: MachineList;
@@ -37,10 +37,10 @@
   #leaving = false;
   #fetching = false;
   #nextReportMs = 0;
-  /** Where callers reach this node; empty while they cannot. */
+  /** The address at which callers reach this node. Empty while callers can't reach it. */
   callersAddress = "";
   #stop: () => void = () => undefined;
-  /** Called after each fresher reading. */
+  /** Called when a newer read of the list was obtained, also if the list is unchanged. */
   onRefreshed: () => void = () => undefined;
 
   constructor(context: NodeContext, list: MachineList, rpc: RpcEndpoint) {
@@ -51,7 +51,7 @@
     rpc.handle("fetchMachines", async ({ digest }) => this.#answerFetch(digest));
   }
 
-  /** Starts to follow the list. */
+  /** Starts following the list. */
   start(): void {
     void this.#refresh();
     this.#stop = repeat(
@@ -66,36 +66,36 @@
     this.#stop();
   }
 
-  /** Tells the platform that this node is leaving. */
+  /** Reports to the platform that this node is leaving. */
   async announceLeaving(): Promise<void> {
     this.#leaving = true;
     this.#nextReportMs = 0;
     await this.#refresh();
   }
 
-  /** Time since somebody read the list for what is known here, in ms. */
+  /** Returns the time since the list held here was read from the platform by any node, in ms. */
   ageMs(): number {
     return this.#relay.ageMs(this.#nowMs());
   }
 
-  /** Every machine on the list. */
+  /** Returns all machines on the list. */
   machines(): readonly Machine[] {
     return this.#machines;
   }
 
-  /** Nodes on the list. */
+  /** Returns the nodes on the list. */
   nodes(): readonly Machine[] {
     return this.#nodes;
   }
 
-  /** Listed nodes that are not leaving, as replicas of shards would be. */
+  /** Returns the listed nodes that are not leaving, in the form used for shard membership. */
   liveMembers(): Member[] {
     return this.#nodes
       .filter((machine) => machine.state === "live")
       .map(({ incarnation, address, zone }) => ({ instance: incarnation, address, zone }));
   }
 
-  /** Where callers of a zone may go: nodes that stay, those of the zone first. */
+  /** Returns addresses for callers of a zone: nodes that are not leaving, those of the same zone first. */
   callerAddresses(zone: string | undefined): string[] {
     const open = this.#nodes.filter((node) => node.state === "live" && node.callers);
     const near = open.filter((node) => node.zone === zone);
@@ -103,7 +103,7 @@
     return [...near, ...far].slice(0, MAX_CALLER_ADDRESSES).map((node) => node.callers ?? "");
   }
 
-  /** Addresses of up to `count` other nodes, drawn at random. */
+  /** Returns the addresses of up to `count` other nodes, chosen at random. */
   randomPeers(count: number): string[] {
     const { random, self } = this.#context;
     const others = this.#nodes.map((node) => node.address).filter((address) => address !== self.address);
@@ -114,12 +114,12 @@
     return chosen;
   }
 
-  /** Changes whenever {@link nodes} does, so that what is worked out from them need not be worked out again. */
+  /** Changes whenever {@link nodes} changes. Results that are derived from the nodes can be cached by this version. */
   get nodesVersion(): number {
     return this.#nodesVersion;
   }
 
-  /** Another node told of a reading. */
+  /** Handles a peer's announcement of a newer read. */
   onAnnouncement(news: SnapshotAnnouncement, from: string): void {
     if (this.#relay.shouldRequest(news, this.#nowMs())) void this.#fetch(from);
   }
@@ -130,7 +130,7 @@
       await this.#read();
   }
 
-  /** The readers are the nodes that come first by hash; whoever knows too few nodes reads as well. */
+  /** The nodes with the lowest hashes are the readers. A node that knows of too few other nodes also reads. */
   #isReader(): boolean {
     const { self, hash } = this.#context;
     const own = hash.hash32(`reader|${self.instance}`);
@@ -138,7 +138,7 @@
     return before.length < READER_COUNT;
   }
 
-  /** The more nodes there are, the more rarely each reports itself. */
+  /** The report interval of each node grows with the number of nodes, which keeps the platform's load constant. */
   async #reportIfDue(): Promise<void> {
     const { self, settings, random } = this.#context;
     const nowMs = this.#nowMs();
@@ -174,7 +174,7 @@
       this.#announce(this.#relay.recordRead(snapshot.digest, startMs, this.#nowMs()));
       this.onRefreshed();
     } catch {
-      // The platform does not answer: what is known stands, and its age is watched by those who depend on it.
+      // The platform did not respond. The current list is kept; code that needs a fresh list checks ageMs().
     }
   }
 
@@ -201,7 +201,7 @@
     }
   }
 
-  /** The content is what is held already, and read later than was known. */
+  /** Handles the response that the list held here is unchanged and was read more recently than known so far. */
   #confirmUnchanged(digest: string, ageMs: number, askedAtMs: number): void {
     if (digest !== this.#relay.digest) return;
     this.#announce(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
--- a/src/node/runners/machine-list-snapshot.ts
+++ b/src/node/runners/machine-list-snapshot.ts
@@ -3,12 +3,12 @@
 import type { TextHash } from "../../runtime/text-hash.ts";
 
 const HEXADECIMAL = 16;
-/** Salts of the two halves of a digest. */
+/** A digest contains two 32-bit hashes of the same text, each with its own salt. */
 const HASH_SALTS = ["first|", "second|"] as const;
 
 /**
- * One content of the list of machines with its digest. The digest is the exclusive or of the machines' own hashes, so
- * that a change of one machine costs one hash, not one per machine of the list.
+ * An immutable snapshot of the machine list with its digest. The digest is the XOR of the hashes of all machines, so a
+ * change of one machine requires hashing that machine only, not the whole list.
  */
 export class MachineListSnapshot {
   readonly machines: ReadonlyMap<string, Machine>;
@@ -19,16 +19,16 @@
     this.#hashes = hashes;
   }
 
-  /** The empty list. */
+  /** The snapshot of an empty list. */
   static readonly EMPTY = new MachineListSnapshot(new Map(), [0, 0]);
 
-  /** Tells this content from every other one. */
+  /** Identifies the content: snapshots with equal machines have equal digests. */
   get digest(): string {
     const halves = this.#hashes.map((half) => (half >>> 0).toString(HEXADECIMAL));
     return `${halves.join("-")}-${this.machines.size}`;
   }
 
-  /** The content after some changes. */
+  /** Returns the snapshot that results from applying changes to this one. */
   withChanges({ whole, put, removed }: MachineChanges, hash: TextHash): MachineListSnapshot {
     const before = whole ? MachineListSnapshot.EMPTY : this;
     const machines = new Map(before.machines);
@@ -52,7 +52,7 @@
     return new MachineListSnapshot(machines, [first, second]);
   }
 
-  /** What turns another content into this one. */
+  /** Returns the changes that turn the snapshot `before` into this one. */
   changesFrom(before: MachineListSnapshot): MachineChanges {
     const put = [...this.machines.values()].filter((machine) => {
       const known = before.machines.get(machine.name);
--- a/src/node/runners/runner-directory.ts
+++ b/src/node/runners/runner-directory.ts
@@ -3,13 +3,16 @@
 import type { RunnerView } from "../../scheduling/runner-selection/runner-view.ts";
 import type { MachineDirectory } from "./machine-directory.ts";
 
-/** What a node knows of a runner's home and load. */
+/** The load that a runner's home node reported last, with the address of that node. */
 interface ReportedLoad {
   readonly home: string;
   readonly load: RunnerLoad;
 }
 
-/** The runners and services that the platform lists, and what homes say of their runners. */
+/**
+ * The runners and services on the platform's machine list, and the load of runners as their home nodes report it. The
+ * home of a runner is the node that grants its slots.
+ */
 export class RunnerDirectory {
   readonly #machines: MachineDirectory;
   readonly #loads = new Map<string, ReportedLoad>();
@@ -18,12 +21,12 @@
     this.#machines = machines;
   }
 
-  /** Runners on the list. */
+  /** Returns the runners on the list. */
   runners(): readonly Machine[] {
     return this.#machines.machines().filter((machine) => machine.kind === "runner");
   }
 
-  /** Machines of a service that take work. */
+  /** Returns the machines of a service that accept work. */
   serviceMachines(service: string): readonly Machine[] {
     return this.#machines
       .machines()
@@ -32,7 +35,7 @@
       );
   }
 
-  /** Takes in what a home says; news of an older home than the known one is passed over. */
+  /** Records the loads that a home node reported. Ignores loads with a lower fencing token than the known one. */
   recordLoads(home: string, loads: readonly RunnerLoad[]): void {
     for (const load of loads) {
       const known = this.#loads.get(load.runner);
@@ -41,12 +44,12 @@
     }
   }
 
-  /** A home answered that it is none any more, or did not answer. */
+  /** Removes a home that did not respond or responded that it is no longer the runner's home. */
   forgetHome(runner: string, home: string): void {
     if (this.#loads.get(runner)?.home === home) this.#loads.delete(runner);
   }
 
-  /** Every runner as the scheduling sees it. */
+  /** Returns all runners in the form that the scheduler uses. */
   views(): readonly RunnerView[] {
     return this.runners().map((machine) => this.#viewOf(machine));
   }
--- a/src/node/runners/runner-home.ts
+++ b/src/node/runners/runner-home.ts
@@ -5,28 +5,31 @@
 import { type SlotRequest, slotKey } from "../../scheduling/queue/slot-request.ts";
 import type { NodeContext } from "../node-context.ts";
 
-/** Load is announced anew when the expected wait has moved to another of these steps, in ms. */
+/** Lower bounds of the buckets of the expected wait, in ms. Load is announced when the bucket changes. */
 const WAIT_BUCKETS_MS = [0, 50, 200, 500, 1_000, 2_000, 5_000, 10_000];
 
-/** Reports that an engine may fail to give before it gets no more work; the platform may list it long after it died. */
+/**
+ * After this many consecutive load reports have failed, the engine gets no more work. The platform may still list an
+ * engine long after it has crashed.
+ */
 const MAX_FAILED_REPORTS = 2;
 
-/** What a home needs from its node. */
+/** The functions of the node that a runner's home uses. */
 export interface RunnerHomePort {
-  /** Whether the platform's list is fresh enough to trust. */
+  /** Whether this node's copy of the machine list is recent enough to rely on. */
   isListFresh(): boolean;
-  /** The load of this node's runners, to travel with an answer. */
+  /** Returns the load of all runners whose home is this node. It is attached to responses. */
   currentLoad(): readonly RunnerLoad[];
-  /** Whether the configuration says that the runner takes no more work. */
+  /** Whether the configuration marks the runner as draining, so that it gets no more work. */
   isDrainedByOperator(runner: string): boolean;
-  /** The runner's load has changed noticeably. */
+  /** Called when the runner's load has changed enough to be announced. */
   onLoadChanged(): void;
 }
 
 /**
- * The home of one runner: the only giver of its slots. It exists while this node leads the shard that the runner's
- * name falls on, and that shard's term is the fencing token: a home that was overtaken unawares gives grants that
- * the engine refuses.
+ * The home of one runner: the only place that grants the runner's slots. It exists while this node leads the shard to
+ * which the runner's name is hashed. The shard's term is the fencing token, so the engine rejects the grants of a stale
+ * home that doesn't know yet that it was replaced.
  */
 export class RunnerHome {
   readonly fencingToken: number;
@@ -37,7 +40,7 @@
   readonly #requesters = new Map<string, string>();
   #machine: Machine;
   #engineLeaving = false;
-  /** Reports in a row that the engine did not give. */
+  /** Number of consecutive load reports that failed. */
   #failedReports = 0;
   #announcedBucket = -1;
   #reconciling = false;
@@ -57,12 +60,12 @@
     this.#queue = new RunnerQueue({ slots: machine.slots, kvTokens: machine.kvTokens });
   }
 
-  /** The runner, as the platform lists it. */
+  /** The runner's entry in the machine list. */
   get machine(): Machine {
     return this.#machine;
   }
 
-  /** The load as others should know it. */
+  /** The load that is announced to other nodes. */
   get load(): RunnerLoad {
     return {
       runner: this.#machine.name,
@@ -73,13 +76,13 @@
     };
   }
 
-  /** The platform lists the runner anew. */
+  /** Replaces the runner's entry in the machine list. */
   updateMachine(machine: Machine): void {
     this.#machine = machine;
     this.#refreshDraining();
   }
 
-  /** A leader asks for a slot. */
+  /** Handles a shard leader's request for a slot. */
   onRequest({ request }: RequestSlot, from: string): void {
     const nowMs = this.#context.clock.monotonicMs();
     const granted = this.#queue.slotOf(request.call, request.attempt);
@@ -94,7 +97,7 @@
     this.#announceIfChanged();
   }
 
-  /** A leader is done with a slot, or no longer wants one. */
+  /** Handles the release of a slot, or the cancellation of a request for one. */
   onRelease(call: string, attempt: number): void {
     this.#queue.release(call, attempt, this.#context.clock.monotonicMs());
     this.#requesters.delete(slotKey(call, attempt));
@@ -102,7 +105,7 @@
     this.#announceIfChanged();
   }
 
-  /** Lets time pass: refuses what has waited too long and grants what is free. */
+  /** Periodic work: refuses requests that have waited too long and grants free slots. */
   tick(): void {
     this.#refreshDraining();
     for (const request of this.#queue.takeExpired(this.#context.clock.monotonicMs())) {
@@ -115,7 +118,7 @@
     this.#announceIfChanged();
   }
 
-  /** Reads the engine's own report, which corrects what the home believes. */
+  /** Reads the engine's load report and corrects the home's record of the granted slots. */
   async reconcile(): Promise<void> {
     if (this.#reconciling) return;
     this.#reconciling = true;
@@ -144,7 +147,7 @@
     this.#announceIfChanged();
   }
 
-  /** A home that cannot see the platform's list must not give out work: the runner may be leaving unseen. */
+  /** A home whose machine list is stale must not grant slots, because the runner may be leaving without its knowledge. */
   #refreshDraining(): void {
     const listIsStale = !this.#port.isListFresh();
     const leaving = this.#machine.state === "leaving" || this.#engineLeaving;
--- a/src/node/runners/runner-homes.ts
+++ b/src/node/runners/runner-homes.ts
@@ -9,10 +9,10 @@
 import type { RunnerDirectory } from "./runner-directory.ts";
 import { RunnerHome, type RunnerHomePort } from "./runner-home.ts";
 
-/** Nodes that are told of a change of load. In a small cluster that is all of them. */
+/** Number of nodes to which a change of load is announced. In a small cluster these are all nodes. */
 const ANNOUNCE_FANOUT = 8;
 
-/** The homes of all runners that fall to this node. */
+/** The homes of all runners whose shard this node leads. */
 export class RunnerHomes implements RunnerHomePort {
   readonly #context: NodeContext;
   readonly #shards: ShardHost;
@@ -56,12 +56,12 @@
     for (const stop of this.#stops) stop();
   }
 
-  /** Every home on this node. */
+  /** Returns all homes on this node. */
   all(): IterableIterator<RunnerHome> {
     return this.#homes.values();
   }
 
-  /** Brings the homes in line with the platform's list and the shards that this node leads. */
+  /** Creates and removes homes to match the machine list and the shards that this node leads. */
   sync(): void {
     const listed = this.#directory.runners();
     for (const machine of listed) {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** A leader asks for a slot. */
+  /** Handles a shard leader's request for a slot. */
   onRequestSlot(message: RequestSlot, from: string): void {
     const home = this.#homes.get(message.runner);
     if (home) return home.onRequest(message, from);
@@ -91,18 +91,18 @@
     });
   }
 
-  /** A leader is done with a slot. */
+  /** Handles the release of a slot. */
   onReleaseSlot({ runner, call, attempt }: ReleaseSlot): void {
     this.#homes.get(runner)?.onRelease(call, attempt);
   }
 
-  /** A program has ended: the engine is told to free what it holds for it. */
+  /** Handles the end of a program: orders the engine to free the memory that it holds for the program. */
   onReleaseProgram({ runner, program }: ReleaseProgram): void {
     const home = this.#homes.get(runner);
     if (home) void this.releaseHold(home, program);
   }
 
-  /** Orders an engine to free what it holds for a program; the sweep finds what fails here. */
+  /** Orders an engine to free the memory that it holds for a program. If this fails, the sweep retries it. */
   async releaseHold(home: RunnerHome, program: string): Promise<boolean> {
     try {
       return await this.#engine.order(home.machine.address, { type: "release", program }, home.fencingToken);
--- a/test/contract/machine-list-snapshot.test.ts
+++ b/test/contract/machine-list-snapshot.test.ts
@@ -20,13 +20,13 @@
   };
 }
 
-describe("content of the machine list", () => {
+describe("machine list snapshot", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
   });
 
-  it("has the digest of its machines, whatever changes led to it", () => {
+  it("has a digest that depends only on its machines, not on the changes that produced it", () => {
     const list = fc.uniqueArray(fc.nat(9), { maxLength: 10 });
     fc.assert(
       fc.property(list, list, list, (start, target, leaving) => {
