--- a/src/node/budgets/budget-service.ts
+++ b/src/node/budgets/budget-service.ts
@@ -15,12 +15,12 @@
 import type { ShardCommitter } from "../shard-committer.ts";
 import type { ShardHost } from "../shard-host.ts";
 import type { ShardReplica } from "../shard-replica.ts";
-import { isLongPast } from "./is-long-past.ts";
+import { canForgetBudget } from "./can-forget-budget.ts";
 
 /** A loan is this many times what the call at hand needs, so that not every call asks the ledger. */
 const LOAN_FACTOR = 8;
 /** A single shard may hold at most this part of a budget beyond what the call at hand needs. */
-const MAX_SHARE = 1 / 16;
+const MAX_EXTRA_SHARE = 1 / 16;
 const BORROW_TIMEOUT_MS = 3_000;
 const SETTLE_INTERVAL_MS = 2_000;
 /** Time without use after which an allotment goes back, in ms. */
@@ -33,10 +33,10 @@
   readonly #configuration: ConfigurationService;
   readonly #router: ShardRouter;
   readonly #committer: ShardCommitter;
-  readonly #uses = new Map<string, { readonly use: number; readonly sinceMs: number }>();
-  readonly #reported = new Map<string, string>();
+  readonly #lastUses = new Map<string, { readonly use: number; readonly sinceMs: number }>();
+  readonly #reportedSignatures = new Map<string, string>();
   /** Tokens that calls are borrowing for at present, by shard and budget. */
-  readonly #wanted = new Map<string, number>();
+  readonly #wantedTokens = new Map<string, number>();
   #stop: () => void = () => undefined;
 
   constructor(
@@ -82,21 +82,27 @@
   }
 
   /** Makes sure that a shard may reserve `tokens`. Returns what is available, which may be less. */
-  async ensure(replica: ShardReplica, policy: EffectivePolicy, tokens: number): Promise<number> {
+  async ensureAvailable(replica: ShardReplica, policy: EffectivePolicy, tokens: number): Promise<number> {
     const budget = this.budgetOf(policy);
     const available = availableTokens(replica.state.allotments.get(budget));
     if (available >= tokens) return available;
     const key = `${replica.shard} ${budget}`;
-    this.#wanted.set(key, (this.#wanted.get(key) ?? 0) + tokens);
+    this.#wantedTokens.set(key, (this.#wantedTokens.get(key) ?? 0) + tokens);
     try {
-      return await this.#raise(replica, policy, budget, tokens, this.#wanted.get(key) ?? tokens);
+      return await this.#raiseAllotment(
+        replica,
+        policy,
+        budget,
+        tokens,
+        this.#wantedTokens.get(key) ?? tokens,
+      );
     } finally {
-      this.#wanted.set(key, (this.#wanted.get(key) ?? 0) - tokens);
+      this.#wantedTokens.set(key, (this.#wantedTokens.get(key) ?? 0) - tokens);
     }
   }
 
   /** @param wanted what this call and all that ask at the same time need together */
-  async #raise(
+  async #raiseAllotment(
     replica: ShardReplica,
     policy: EffectivePolicy,
     budget: string,
@@ -105,7 +111,7 @@
   ): Promise<number> {
     const held = replica.state.allotments.get(budget);
     const available = availableTokens(held);
-    const extra = Math.min(tokens * LOAN_FACTOR, Math.floor(policy.budget.tokens * MAX_SHARE));
+    const extra = Math.min(tokens * LOAN_FACTOR, Math.floor(policy.budget.tokens * MAX_EXTRA_SHARE));
     const wantedTotal = held.grantedTotal + Math.max(0, wanted - available) + extra;
     const grantedTotal = await this.#borrow(replica, policy, budget, wantedTotal);
     if (grantedTotal > held.grantedTotal) {
@@ -119,7 +125,7 @@
       if (!replica.leads) continue;
       for (const [budget, held] of [...replica.state.allotments.entries()])
         await this.#settle(replica, budget, held);
-      await this.#forgetPast(replica);
+      await this.#forgetPastBudgets(replica);
     }
   }
 
@@ -128,32 +134,32 @@
     const nowMs = this.#context.clock.monotonicMs();
     const key = `${replica.shard} ${budget}`;
     const use = held.spentTotal + held.reserved;
-    const known = this.#uses.get(key);
-    if (known?.use !== use) this.#uses.set(key, { use, sinceMs: nowMs });
+    const known = this.#lastUses.get(key);
+    if (known?.use !== use) this.#lastUses.set(key, { use, sinceMs: nowMs });
     const idle = known?.use === use && nowMs - known.sinceMs > IDLE_RETURN_MS;
     const unused = availableTokens(held);
     if (idle && unused > 0) {
       await this.#shards.propose(replica, { type: "returnAllotment", budget, tokens: unused });
     }
-    await this.#report(replica, budget, key);
+    await this.#reportLoan(replica, budget, key);
   }
 
-  async #report(replica: ShardReplica, budget: string, key: string): Promise<void> {
+  async #reportLoan(replica: ShardReplica, budget: string, key: string): Promise<void> {
     const { returnedTotal, spentTotal } = replica.state.allotments.get(budget);
     const signature = `${returnedTotal} ${spentTotal}`;
-    if (this.#reported.get(key) === signature) return;
+    if (this.#reportedSignatures.get(key) === signature) return;
     const report = { budget, borrower: borrowerName(replica.shard), returnedTotal, spentTotal };
     await this.#router.ask(this.#ledgerShard(budget), "reportLoan", report, BORROW_TIMEOUT_MS);
-    this.#reported.set(key, signature);
+    this.#reportedSignatures.set(key, signature);
   }
 
-  async #forgetPast(replica: ShardReplica): Promise<void> {
+  async #forgetPastBudgets(replica: ShardReplica): Promise<void> {
     const nowMs = this.#context.clock.wallMs();
     const known = new Set([
       ...replica.state.allotments.toSnapshot().map(([budget]) => budget),
       ...replica.state.ledger.budgets(),
     ]);
-    const past = [...known].filter((budget) => isLongPast(budget, nowMs));
+    const past = [...known].filter((budget) => canForgetBudget(budget, nowMs));
     if (past.length > 0) await this.#shards.propose(replica, { type: "forgetBudgets", budgets: past });
   }
 
--- a/src/node/budgets/is-long-past.ts
+++ b/src/node/budgets/can-forget-budget.ts
@@ -4,7 +4,7 @@
 const FORGET_AFTER_MS = 2 * 86_400_000;
 
 /** Whether a budget's window has been over for so long that no call can belong to it any more. */
-export function isLongPast(key: string, nowMs: number): boolean {
+export function canForgetBudget(key: string, nowMs: number): boolean {
   const label = key.slice(key.lastIndexOf("@") + 1);
   if (label === "total") return false;
   const startIso = label.length === DAY_LABEL_LENGTH ? `${label}T00:00:00Z` : `${label}:00:00Z`;
--- a/src/node/calls/call-admission.ts
+++ b/src/node/calls/call-admission.ts
@@ -57,7 +57,7 @@
       const result = await this.#parts.shards.propose(replica, command);
       if (result.accepted) return;
       if (result.reason !== "budget-short") break;
-      await this.#parts.budgets.ensure(replica, policy, command.reservation.tokens);
+      await this.#parts.budgets.ensureAvailable(replica, policy, command.reservation.tokens);
     }
     throw new RedirectSignal(replica.leader?.address);
   }
@@ -103,7 +103,7 @@
     if (refusal) return { refusal };
     if (request.type !== "completion") return { policy, tokens: 0 };
     const tokens = worstCaseTokens(program.historyTokens, request);
-    const available = await budgets.ensure(replica, policy, tokens);
+    const available = await budgets.ensureAvailable(replica, policy, tokens);
     return available < tokens ? { refusal: budgetRefusal(policy, tokens, available) } : { policy, tokens };
   }
 
--- a/src/node/calls/call-execution.ts
+++ b/src/node/calls/call-execution.ts
@@ -129,7 +129,7 @@
     const { context, budgets, shards } = this.#parts;
     const { reservation, id: call } = job.record;
     const attempt = job.record.attempt + 1;
-    if (reservation.tokens > 0) await budgets.ensure(job.replica, job.policy, reservation.tokens);
+    if (reservation.tokens > 0) await budgets.ensureAvailable(job.replica, job.policy, reservation.tokens);
     const executor = context.self.address;
     const atMs = context.clock.wallMs();
     const result = await shards.propose(job.replica, { type: "retryCall", call, attempt, executor, atMs });
--- a/src/node/calls/completion-runner.ts
+++ b/src/node/calls/completion-runner.ts
@@ -150,7 +150,7 @@
   ): Promise<CallConclusion | undefined> {
     if (progress.attempt >= MAX_ATTEMPTS) return this.#conclusions.broken(job, progress, detail);
     const attempt = progress.attempt + 1;
-    await this.#budgets.ensure(job.replica, job.policy, job.record.reservation.tokens);
+    await this.#budgets.ensureAvailable(job.replica, job.policy, job.record.reservation.tokens);
     const result = await this.#committer.commit(job.replica.shard, {
       type: "retryCall",
       call: job.record.id,
