--- a/src/node/budgets/budget-service.ts
+++ b/src/node/budgets/budget-service.ts
@@ -17,16 +17,19 @@
 import type { ShardReplica } from "../shard-replica.ts";
 import { canForgetBudget } from "./can-forget-budget.ts";
 
-/** A loan is this many times what the call at hand needs, so that not every call asks the ledger. */
+/** Multiple of a call's tokens that is borrowed in addition, so that not every call has to borrow from the ledger. */
 const LOAN_FACTOR = 8;
-/** A single shard may hold at most this part of a budget beyond what the call at hand needs. */
+/** Maximum fraction of a budget that a shard borrows beyond what its current calls need. */
 const MAX_EXTRA_SHARE = 1 / 16;
 const BORROW_TIMEOUT_MS = 3_000;
 const SETTLE_INTERVAL_MS = 2_000;
-/** Time without use after which an allotment goes back, in ms. */
+/** An allotment that was not used for this long is returned to the ledger, in ms. */
 const IDLE_RETURN_MS = 8_000;
 
-/** Both sides of budgets on one node: borrowing for the shards it leads, and the ledgers of the shards it leads. */
+/**
+ * Both sides of token budgets, for the shards that this node leads. As borrower, it obtains tokens from the ledgers of
+ * budgets. As lender, it keeps the ledgers that are stored on these shards.
+ */
 export class BudgetService {
   readonly #context: NodeContext;
   readonly #shards: ShardHost;
@@ -35,7 +38,7 @@
   readonly #committer: ShardCommitter;
   readonly #lastUses = new Map<string, { readonly use: number; readonly sinceMs: number }>();
   readonly #reportedSignatures = new Map<string, string>();
-  /** Tokens that calls are borrowing for at present, by shard and budget. */
+  /** Number of tokens that calls are currently waiting to borrow, by shard and budget. */
   readonly #wantedTokens = new Map<string, number>();
   #stop: () => void = () => undefined;
 
@@ -64,24 +67,24 @@
     });
   }
 
-  /** Starts returning what lies idle, and reporting what was spent. */
+  /** Starts returning unused allotments and reporting spent tokens, at a fixed interval. */
   start(): void {
     const { clock } = this.#context;
     this.#stop = repeat(clock, SETTLE_INTERVAL_MS, () => void this.#settleAll().catch(() => undefined));
   }
 
-  /** Stops returning and reporting. */
+  /** Stops returning allotments and reporting spent tokens. */
   stop(): void {
     this.#stop();
   }
 
-  /** The budget that a call under this policy is charged to now. */
+  /** Returns the key of the budget to which a call with this policy is charged now. */
   budgetOf(policy: EffectivePolicy): string {
     const isoTime = new Date(this.#context.clock.wallMs()).toISOString();
     return budgetKey(policy.tenant, policy.template, policy.budget.window, isoTime);
   }
 
-  /** Makes sure that a shard may reserve `tokens`. Returns what is available, which may be less. */
+  /** Borrows if a shard can't reserve `tokens`. Returns the number of available tokens, which may be lower. */
   async ensureAvailable(replica: ShardReplica, policy: EffectivePolicy, tokens: number): Promise<number> {
     const budget = this.budgetOf(policy);
     const available = availableTokens(replica.state.allotments.get(budget));
@@ -101,7 +104,7 @@
     }
   }
 
-  /** @param wanted what this call and all that ask at the same time need together */
+  /** @param wanted the tokens that this call and all concurrent calls need together */
   async #raiseAllotment(
     replica: ShardReplica,
     policy: EffectivePolicy,
@@ -129,7 +132,7 @@
     }
   }
 
-  /** What a shard has not touched for a while goes back, so that others can use it; the ledger learns what was spent. */
+  /** Returns an allotment that was idle for a while, so that other shards can use it, and reports the spent tokens. */
   async #settle(replica: ShardReplica, budget: string, held: Allotment): Promise<void> {
     const nowMs = this.#context.clock.monotonicMs();
     const key = `${replica.shard} ${budget}`;
@@ -212,7 +215,7 @@
   }
 }
 
-/** The name under which a shard borrows. */
+/** Returns the name that identifies a shard as a borrower in a ledger. */
 export function borrowerName(shard: number): string {
   return `shard-${shard}`;
 }
