--- a/src/node/configuration/configuration-service.ts
+++ b/src/node/configuration/configuration-service.ts
@@ -29,9 +29,9 @@
 import type { NodeContext } from "../node-context.ts";
 import type { ConfigurationTable } from "./configuration-table.ts";
 
-const FETCH_LIMIT = 200;
+const MAX_FETCHED_ENTRIES = 200;
 /** Mean time between two looks at the table, by whichever node, in ms. */
-const TABLE_LOOK_MS = 50;
+const TABLE_POLL_INTERVAL_MS = 50;
 const FETCH_TIMEOUT_MS = 1_000;
 
 /** See the module's comment. */
@@ -44,7 +44,7 @@
   readonly #documents = new Map<string, ConfigurationDocument>();
   readonly #policies = new Map<string, EffectivePolicy>();
   #fetching = false;
-  #knowsNewest = false;
+  #hasCaughtUp = false;
   #stopped = false;
   /** Called with a new version, to spread the news. */
   onAdvanced: (version: number) => void = () => undefined;
@@ -67,12 +67,12 @@
 
   /** Whether the newest version was known at least once; before that a node must serve nothing. */
   get ready(): boolean {
-    return this.#knowsNewest;
+    return this.#hasCaughtUp;
   }
 
   /** Starts to follow the chain. */
   start(): void {
-    void this.#poll().finally(() => this.#pollLater());
+    void this.#poll().finally(() => this.#schedulePoll());
   }
 
   /** Stops following the chain. */
@@ -81,7 +81,7 @@
   }
 
   /** A message said that its sender has this version. */
-  noticeVersion(version: number, address: string): void {
+  onPeerVersion(version: number, address: string): void {
     if (version > this.#chain.version) void this.#fetchFromPeer(address);
   }
 
@@ -115,13 +115,13 @@
    * The more nodes there are, the more rarely each looks at the table, so that the table sees about as many looks
    * however large the system is: whoever sees a change first spreads the news.
    */
-  #pollLater(): void {
+  #schedulePoll(): void {
     const { clock, random, settings } = this.#context;
     const { configurationMs } = settings.timing;
-    const meanMs = Math.max(configurationMs, this.nodeCount() * TABLE_LOOK_MS);
-    const delayMs = this.#knowsNewest ? meanMs * (0.5 + random.unit()) : configurationMs;
+    const meanMs = Math.max(configurationMs, this.nodeCount() * TABLE_POLL_INTERVAL_MS);
+    const delayMs = this.#hasCaughtUp ? meanMs * (0.5 + random.unit()) : configurationMs;
     clock.schedule(delayMs, () => {
-      if (!this.#stopped) void this.#poll().finally(() => this.#pollLater());
+      if (!this.#stopped) void this.#poll().finally(() => this.#schedulePoll());
     });
   }
 
@@ -134,7 +134,7 @@
         const added = this.#extend(await this.#table.entriesAfter(this.#chain.version));
         if (added === 0) break;
       }
-      this.#knowsNewest ||= this.#chain.version >= newest;
+      this.#hasCaughtUp ||= this.#chain.version >= newest;
     } catch {
       // The table does not answer: peers still bring news.
     } finally {
@@ -172,7 +172,10 @@
   }
 
   #entriesAfter(version: number): FetchConfigurationResponse {
-    return { entries: this.#chain.entriesAfter(version, FETCH_LIMIT), newestVersion: this.#chain.version };
+    return {
+      entries: this.#chain.entriesAfter(version, MAX_FETCHED_ENTRIES),
+      newestVersion: this.#chain.version,
+    };
   }
 
   #read(prefix: string): ReadConfigurationResponse {
--- a/src/node/configuration/configuration-table.ts
+++ b/src/node/configuration/configuration-table.ts
@@ -12,7 +12,7 @@
 const ENTRY_PREFIX = "configuration/entry/";
 const VERSION_DIGITS = 10;
 const PAGE_SIZE = 200;
-const MAX_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 const RETRY_DELAY_MS = 50;
 
 /** What the table keeps of one key: the version of its newest entry. */
@@ -56,9 +56,9 @@
         const applied = await this.#tryApply(request);
         if (applied) return applied;
       } catch (error) {
-        if (attempt >= MAX_TRIES || isConflict(error)) throw error;
+        if (attempt >= MAX_ATTEMPTS || isConflict(error)) throw error;
       }
-      if (attempt >= MAX_TRIES)
+      if (attempt >= MAX_ATTEMPTS)
         throw requestError("unavailable", "Too many changes are being applied at once.");
       await delay(this.#clock, RETRY_DELAY_MS * attempt);
     }
@@ -70,7 +70,7 @@
     if (changeRow.version > 0) return { version: versionIn(changeRow), alreadyApplied: true };
     const head = await this.#table.get(HEAD_KEY);
     const keyRow = await this.#table.get(rowKey(request.key));
-    checkBase(request, versionIn(keyRow));
+    checkBaseVersion(request, versionIn(keyRow));
     const version = versionIn(head) + 1;
     const result = await this.#write(request, version, head, keyRow);
     return result.type === "committed" ? { version, alreadyApplied: false } : undefined;
@@ -106,7 +106,7 @@
   }
 }
 
-function checkBase(request: ApplyConfigurationRequest, current: number): void {
+function checkBaseVersion(request: ApplyConfigurationRequest, current: number): void {
   if (current === request.baseVersion) return;
   throw requestError(
     "configuration-conflict",
--- a/src/node/node-daemon.ts
+++ b/src/node/node-daemon.ts
@@ -225,7 +225,7 @@
   }
 
   #onMessage(message: Message, from: Sender, configurationVersion: number): void {
-    this.configuration.noticeVersion(configurationVersion, from.address);
+    this.configuration.onPeerVersion(configurationVersion, from.address);
     switch (message.type) {
       case "shard":
         return this.shards.onMessage(message);
