--- a/src/node/configuration/configuration-service.ts
+++ b/src/node/configuration/configuration-service.ts
@@ -1,6 +1,7 @@
 /**
- * The node's copy of the configuration. News of a version arrives with any message of any process; the entries
- * are then fetched from that process, so the platform's table is read by few.
+ * This node's copy of the configuration. Every message between processes contains the sender's configuration version.
+ * If that version is newer, the node fetches the entries from the sender, so only a few nodes read the platform's
+ * table.
  */
 import { ConfigurationChain } from "../../coordination/configuration-chain/index.ts";
 import { requestError } from "../../errors/tulipwheel-error.ts";
@@ -30,25 +31,25 @@
 import type { ConfigurationTable } from "./configuration-table.ts";
 
 const MAX_FETCHED_ENTRIES = 200;
-/** Mean time between two looks at the table, by whichever node, in ms. */
+/** Mean time between two polls of the table, counted over all nodes, in ms. */
 const TABLE_POLL_INTERVAL_MS = 50;
 const FETCH_TIMEOUT_MS = 1_000;
 
-/** See the module's comment. */
+/** Follows the chain of configuration entries, resolves policies from it and applies changes to it. */
 export class ConfigurationService {
   readonly #context: NodeContext;
   readonly #rpc: RpcEndpoint;
   readonly #table: ConfigurationTable;
   readonly #chain = new ConfigurationChain<ConfigurationEntry>();
-  /** The newest content of each key, parsed once. */
+  /** The parsed newest content of each key. */
   readonly #documents = new Map<string, ConfigurationDocument>();
   readonly #policies = new Map<string, EffectivePolicy>();
   #fetching = false;
   #hasCaughtUp = false;
   #stopped = false;
-  /** Called with a new version, to spread the news. */
+  /** Called with each new version, so that it can be announced to other nodes. */
   onAdvanced: (version: number) => void = () => undefined;
-  /** How many nodes share the looks at the table. */
+  /** Returns the number of nodes that share the polling of the table. */
   nodeCount: () => number = () => 1;
 
   constructor(context: NodeContext, rpc: RpcEndpoint, table: ConfigurationTable) {
@@ -60,17 +61,17 @@
     rpc.handle("readConfiguration", async ({ prefix }) => this.#read(prefix));
   }
 
-  /** The newest version in force here. */
+  /** The version of the configuration that this node uses. */
   get version(): number {
     return this.#chain.version;
   }
 
-  /** Whether the newest version was known at least once; before that a node must serve nothing. */
+  /** Whether this node had the newest version at least once. Until then, it must not serve any requests. */
   get ready(): boolean {
     return this.#hasCaughtUp;
   }
 
-  /** Starts to follow the chain. */
+  /** Starts following the chain. */
   start(): void {
     void this.#poll().finally(() => this.#schedulePoll());
   }
@@ -80,19 +81,19 @@
     this.#stopped = true;
   }
 
-  /** A message said that its sender has this version. */
+  /** Handles the configuration version that the sender of a message has. */
   onPeerVersion(version: number, address: string): void {
     if (version > this.#chain.version) void this.#fetchFromPeer(address);
   }
 
-  /** What a tenant's template allows; throws `unknown-template` when there is none. */
+  /** Returns the policy of a tenant's template. Throws `unknown-template` if there is none. */
   policyOf(tenant: string, template: string): EffectivePolicy {
     const policy = this.findPolicy({ tenant, template });
     if (!policy) throw requestError("unknown-template", `Tenant ${tenant} has no template ${template}.`);
     return policy;
   }
 
-  /** What a tenant's template allows, if there is one. */
+  /** Returns the policy of a tenant's template, if there is one. */
   findPolicy({ tenant, template }: { tenant: string; template: string }): EffectivePolicy | undefined {
     const cacheKey = `${tenant}/${template}`;
     const cached = this.#policies.get(cacheKey);
@@ -105,15 +106,15 @@
     return policy;
   }
 
-  /** Whether an operator wants a runner to take no more work. */
+  /** Returns whether an operator has set a runner to draining, so that it gets no more work. */
   isRunnerDrained(runner: string): boolean {
     const document = this.#documents.get(runnerKey(runner)) as RunnerDocument | undefined;
     return document?.draining ?? false;
   }
 
   /**
-   * The more nodes there are, the more rarely each looks at the table, so that the table sees about as many looks
-   * however large the system is: whoever sees a change first spreads the news.
+   * Schedules the next poll of the table. The interval of each node grows with the number of nodes, so that the load on
+   * the table stays about constant. The first node that reads a change announces it to the others.
    */
   #schedulePoll(): void {
     const { clock, random, settings } = this.#context;
@@ -136,7 +137,7 @@
       }
       this.#hasCaughtUp ||= this.#chain.version >= newest;
     } catch {
-      // The table does not answer: peers still bring news.
+      // The table did not respond. New versions still arrive from peers.
     } finally {
       this.#fetching = false;
     }
@@ -194,7 +195,7 @@
   return parseYaml(content, "document", configurationDocumentSchema, "invalid-template")[0].value;
 }
 
-/** The node checks again what the command line checked, since anyone may send. */
+/** Repeats the check of the command line, because requests may also come from other clients. */
 function checkContent(key: string, content: string): void {
   const document = parseDocument(content);
   if (keyOfDocument(document) === key) return;
--- a/src/node/configuration/configuration-table.ts
+++ b/src/node/configuration/configuration-table.ts
@@ -15,19 +15,19 @@
 const MAX_ATTEMPTS = 8;
 const RETRY_DELAY_MS = 50;
 
-/** What the table keeps of one key: the version of its newest entry. */
+/** The table row of a configuration key: the version of its newest entry. */
 interface KeyRow {
   readonly version: number;
 }
 
-/** What the table keeps of one change: the version it got. */
+/** The table row of a change: the version that the change was assigned. */
 interface ChangeRow {
   readonly version: number;
 }
 
 /**
- * The chain of accepted changes in the platform's table. One transaction writes the entry, moves the head, and
- * marks the change's identifier, so a change whose answer was lost can be asked for again and is never applied twice.
+ * The chain of accepted changes in the platform's table. One transaction writes the entry, advances the head and stores
+ * the identifier of the change. A change whose response was lost can therefore be retried and is never applied twice.
  */
 export class ConfigurationTable {
   readonly #table: TableStore;
@@ -38,18 +38,18 @@
     this.#clock = clock;
   }
 
-  /** The newest accepted version. */
+  /** Returns the newest accepted version. */
   async newestVersion(): Promise<number> {
     return versionIn(await this.#table.get(HEAD_KEY));
   }
 
-  /** The entries after a version, in order. */
+  /** Returns the entries after a version, in order. */
   async entriesAfter(version: number): Promise<readonly ConfigurationEntry[]> {
     const rows = await this.#table.list(ENTRY_PREFIX, entryKey(version), PAGE_SIZE);
     return rows.map((row) => JSON.parse(row.value) as ConfigurationEntry);
   }
 
-  /** Accepts a change, or throws `configuration-conflict` when the key has moved on since `baseVersion`. */
+  /** Applies a change. Throws `configuration-conflict` if the key was changed after `baseVersion`. */
   async apply(request: ApplyConfigurationRequest): Promise<ApplyConfigurationResponse> {
     for (let attempt = 1; ; attempt++) {
       try {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** One try; undefined when another change got in between that does not concern this key. */
+  /** Makes one attempt. Returns undefined if a concurrent change made the transaction conflict. */
   async #tryApply(request: ApplyConfigurationRequest): Promise<ApplyConfigurationResponse | undefined> {
     const changeRow = await this.#table.get(changeKey(request.change));
     if (changeRow.version > 0) return { version: versionIn(changeRow), alreadyApplied: true };
