--- a/src/node/archive/archive-keys.ts
+++ b/src/node/archive/archive-keys.ts
@@ -11,7 +11,7 @@
 const SHARD_DIGITS = 5;
 const GENERATION_DIGITS = 4;
 const INDEX_DIGITS = 12;
-const BASE = "base";
+const BASE_SUFFIX = "base";
 
 /** The prefix of all objects of a shard's generation. */
 export function archivePrefix(shard: number, generation: number): string {
@@ -20,7 +20,7 @@
 
 /** The name of a whole state. */
 export function baseKey(shard: number, generation: number, lastIndex: number): string {
-  return `${archivePrefix(shard, generation)}${pad(lastIndex, INDEX_DIGITS)}-${BASE}`;
+  return `${archivePrefix(shard, generation)}${pad(lastIndex, INDEX_DIGITS)}-${BASE_SUFFIX}`;
 }
 
 /** The name of the commands after one index, up to another. */
@@ -31,14 +31,14 @@
 /** Reads a name. */
 export function parseArchiveKey(key: string): ArchiveObject {
   const [last, after] = key.slice(key.lastIndexOf("/") + 1).split("-");
-  return { key, lastIndex: Number(last), afterIndex: after === BASE ? undefined : Number(after) };
+  return { key, lastIndex: Number(last), afterIndex: after === BASE_SUFFIX ? undefined : Number(after) };
 }
 
 /**
  * The objects that lead from the newest base to the newest state without a gap, in order.
  * Only committed commands are archived, so objects of different writers that overlap agree.
  */
-export function chainOf(objects: readonly ArchiveObject[]): readonly ArchiveObject[] {
+export function findRecoveryChain(objects: readonly ArchiveObject[]): readonly ArchiveObject[] {
   const base = objects.filter((object) => object.afterIndex === undefined).at(-1);
   if (!base) return [];
   const chain = [base];
--- a/src/node/archive/shard-archive.ts
+++ b/src/node/archive/shard-archive.ts
@@ -1,7 +1,7 @@
 import { Encoder } from "cbor-x";
 import type { ObjectStore } from "../../ports/objects/object-store.ts";
 import { type ShardCommand, type ShardSnapshot, ShardState } from "../../scheduling/shard-state.ts";
-import { archivePrefix, baseKey, chainOf, parseArchiveKey, segmentKey } from "./archive-keys.ts";
+import { archivePrefix, baseKey, findRecoveryChain, parseArchiveKey, segmentKey } from "./archive-keys.ts";
 
 /** A shard's state as of an index of its journal. */
 export interface ArchivedState {
@@ -9,7 +9,7 @@
   readonly state: ShardSnapshot;
 }
 
-const CODER = new Encoder({ useRecords: false });
+const CODEC = new Encoder({ useRecords: false });
 
 /** Reads and writes the archives of shards in the object store. */
 export class ShardArchive {
@@ -23,7 +23,7 @@
 
   /** Writes a whole state, and then removes what it makes superfluous. */
   async writeBase(shard: number, generation: number, archived: ArchivedState): Promise<void> {
-    await this.#objects.put(baseKey(shard, generation, archived.lastIndex), CODER.encode(archived.state));
+    await this.#objects.put(baseKey(shard, generation, archived.lastIndex), CODEC.encode(archived.state));
     const keys = await this.#objects.list(archivePrefix(shard, generation));
     for (const key of keys) {
       if (parseArchiveKey(key).lastIndex < archived.lastIndex) await this.#objects.remove(key);
@@ -38,20 +38,20 @@
     lastIndex: number,
     commands: readonly ShardCommand[],
   ): Promise<void> {
-    await this.#objects.put(segmentKey(shard, generation, afterIndex, lastIndex), CODER.encode(commands));
+    await this.#objects.put(segmentKey(shard, generation, afterIndex, lastIndex), CODEC.encode(commands));
   }
 
   /** The newest state that can be put together; undefined when nothing was archived. */
   async read(shard: number, generation: number): Promise<ArchivedState | undefined> {
     const keys = await this.#objects.list(archivePrefix(shard, generation));
-    const chain = chainOf(keys.map(parseArchiveKey));
+    const chain = findRecoveryChain(keys.map(parseArchiveKey));
     if (chain.length === 0) return undefined;
     const state = new ShardState(this.#hash);
     for (const { key, afterIndex } of chain) {
       const bytes = await this.#objects.get(key);
       if (!bytes) return undefined;
-      if (afterIndex === undefined) state.restore(CODER.decode(bytes) as ShardSnapshot);
-      else for (const command of CODER.decode(bytes) as ShardCommand[]) state.apply(command);
+      if (afterIndex === undefined) state.restore(CODEC.decode(bytes) as ShardSnapshot);
+      else for (const command of CODEC.decode(bytes) as ShardCommand[]) state.apply(command);
     }
     return { lastIndex: chain[chain.length - 1].lastIndex, state: state.toSnapshot() };
   }
--- a/src/node/archive/shard-recovery.ts
+++ b/src/node/archive/shard-recovery.ts
@@ -48,9 +48,9 @@
     const row = parseShardRow(await table.get(shardRowKey(shard)));
     if (!row) return;
     const { voters, generation, lastIndex } = row;
-    const mine = voters.some((voter) => voter.instance === context.self.instance);
+    const isVoter = voters.some((voter) => voter.instance === context.self.instance);
     const held = shards.get(shard);
-    if (!mine || (held && held.generation >= generation)) return;
+    if (!isVoter || (held && held.generation >= generation)) return;
     const archived = await archive.read(shard, generation);
     // Only the state with which the generation began is the same for all of its first replicas.
     if (archived?.lastIndex === lastIndex) shards.bootstrapFrom(shard, voters, generation, archived);
@@ -69,10 +69,10 @@
     const current = await table.get(shardRowKey(shard));
     const row = parseShardRow(current);
     if (!row) throw requestError("not-found", `The table knows no shard ${shard}.`);
-    await this.#refuseIfAlive(row);
+    await this.#checkNoReplicaAlive(row);
     const archived = await archive.read(shard, row.generation);
     if (!archived) throw requestError("not-found", `Nothing of shard ${shard} is in the object store.`);
-    const voters = chooseReplicas(shard, freshNodes(machines, row), placement);
+    const voters = chooseReplicas(shard, listNodesOtherThanVoters(machines, row), placement);
     if (voters.length === 0)
       throw requestError("unavailable", "No node is listed that could hold the shard.");
     const generation = row.generation + 1;
@@ -89,11 +89,11 @@
       { shard, generation, lastIndex: archived.lastIndex },
       "recovers shard from the object store",
     );
-    await this.#haveAdopted(shard, voters);
+    await this.#requestAdoption(shard, voters);
     return { generation, programs: archived.state.programs.programs.length, lastIndex: archived.lastIndex };
   }
 
-  async #refuseIfAlive({ shard, voters }: ShardRow): Promise<void> {
+  async #checkNoReplicaAlive({ shard, voters }: ShardRow): Promise<void> {
     const { rpc } = this.#parts;
     const answers = await Promise.all(
       voters.map(async ({ address, instance }) => {
@@ -106,7 +106,7 @@
     throw requestError("shard-alive", `${alive} of ${voters.length} replicas of shard ${shard} answer.`);
   }
 
-  async #haveAdopted(shard: number, voters: readonly Member[]): Promise<void> {
+  async #requestAdoption(shard: number, voters: readonly Member[]): Promise<void> {
     const { rpc } = this.#parts;
     await Promise.all(
       voters.map(({ address }) =>
@@ -117,7 +117,7 @@
 }
 
 /** Listed nodes that never held the shard: one that did may wake up with a journal of its own. */
-function freshNodes(machines: MachineDirectory, { voters }: ShardRow): Member[] {
+function listNodesOtherThanVoters(machines: MachineDirectory, { voters }: ShardRow): Member[] {
   return machines
     .liveMembers()
     .filter((member) => !voters.some((voter) => voter.instance === member.instance));
