--- a/src/node/archive/archive-keys.ts
+++ b/src/node/archive/archive-keys.ts
@@ -1,10 +1,10 @@
-/** Names of a shard's objects in the object store. They sort by the last index that they hold. */
+/** Keys of a shard's objects in the object store. They sort by the last index that the object contains. */
 
-/** One object of an archive. */
+/** An object of an archive, as described by its key. */
 export interface ArchiveObject {
   readonly key: string;
   readonly lastIndex: number;
-  /** The index after which a segment's commands begin; undefined for a base, which needs nothing before it. */
+  /** The index after which a segment's commands start. Undefined for a base, which contains the complete state. */
   readonly afterIndex: number | undefined;
 }
 
@@ -13,30 +13,30 @@
 const INDEX_DIGITS = 12;
 const BASE_SUFFIX = "base";
 
-/** The prefix of all objects of a shard's generation. */
+/** Returns the key prefix of all objects of a shard's generation. */
 export function archivePrefix(shard: number, generation: number): string {
   return `archive/${pad(shard, SHARD_DIGITS)}/${pad(generation, GENERATION_DIGITS)}/`;
 }
 
-/** The name of a whole state. */
+/** Returns the key of a base: the complete state as of an index. */
 export function baseKey(shard: number, generation: number, lastIndex: number): string {
   return `${archivePrefix(shard, generation)}${pad(lastIndex, INDEX_DIGITS)}-${BASE_SUFFIX}`;
 }
 
-/** The name of the commands after one index, up to another. */
+/** Returns the key of a segment: the commands after one index, up to and including another. */
 export function segmentKey(shard: number, generation: number, afterIndex: number, lastIndex: number): string {
   return `${archivePrefix(shard, generation)}${pad(lastIndex, INDEX_DIGITS)}-${pad(afterIndex, INDEX_DIGITS)}`;
 }
 
-/** Reads a name. */
+/** Parses the key of a base or a segment. */
 export function parseArchiveKey(key: string): ArchiveObject {
   const [last, after] = key.slice(key.lastIndexOf("/") + 1).split("-");
   return { key, lastIndex: Number(last), afterIndex: after === BASE_SUFFIX ? undefined : Number(after) };
 }
 
 /**
- * The objects that lead from the newest base to the newest state without a gap, in order.
- * Only committed commands are archived, so objects of different writers that overlap agree.
+ * Returns the newest base and the segments that follow it without a gap, in order.
+ * Only committed commands are archived, so overlapping objects of different writers agree.
  */
 export function findRecoveryChain(objects: readonly ArchiveObject[]): readonly ArchiveObject[] {
   const base = objects.filter((object) => object.afterIndex === undefined).at(-1);
--- a/src/node/archive/shard-archive.ts
+++ b/src/node/archive/shard-archive.ts
@@ -3,7 +3,7 @@
 import { type ShardCommand, type ShardSnapshot, ShardState } from "../../scheduling/shard-state.ts";
 import { archivePrefix, baseKey, findRecoveryChain, parseArchiveKey, segmentKey } from "./archive-keys.ts";
 
-/** A shard's state as of an index of its journal. */
+/** A shard's complete state as of an index of its journal. */
 export interface ArchivedState {
   readonly lastIndex: number;
   readonly state: ShardSnapshot;
@@ -21,7 +21,7 @@
     this.#hash = hash;
   }
 
-  /** Writes a whole state, and then removes what it makes superfluous. */
+  /** Writes a complete state, and then removes the older objects, which it replaces. */
   async writeBase(shard: number, generation: number, archived: ArchivedState): Promise<void> {
     await this.#objects.put(baseKey(shard, generation, archived.lastIndex), CODEC.encode(archived.state));
     const keys = await this.#objects.list(archivePrefix(shard, generation));
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Writes the commands after one index, up to another. */
+  /** Writes the commands after one index, up to and including another. */
   async writeSegment(
     shard: number,
     generation: number,
@@ -41,7 +41,7 @@
     await this.#objects.put(segmentKey(shard, generation, afterIndex, lastIndex), CODEC.encode(commands));
   }
 
-  /** The newest state that can be put together; undefined when nothing was archived. */
+  /** Rebuilds the newest archived state. Returns undefined if nothing was archived or an object is missing. */
   async read(shard: number, generation: number): Promise<ArchivedState | undefined> {
     const keys = await this.#objects.list(archivePrefix(shard, generation));
     const chain = findRecoveryChain(keys.map(parseArchiveKey));
--- a/src/node/archive/shard-archiver.ts
+++ b/src/node/archive/shard-archiver.ts
@@ -1,7 +1,8 @@
 /**
- * Writes what shards commit into the object store, in groups, so that a shard that loses all its replicas can be
- * recovered up to the last group. Only leaders write; a new leader begins with a whole state. While the store is out,
- * commands gather up to a bound and are then dropped for a whole state later: the state is in memory in any case.
+ * Writes the committed commands of shards to the object store in batches. A shard that loses all its replicas can be
+ * recovered up to the last batch. Only leaders write, and a new leader starts with a base, which is the complete state.
+ * While the store is unavailable, commands are buffered up to a limit. Beyond it they are dropped and a base is written
+ * later instead, since the state is in memory anyway.
  */
 import { repeat } from "../../runtime/clock.ts";
 import type { ShardCommand } from "../../scheduling/shard-state.ts";
@@ -10,22 +11,22 @@
 import type { ShardReplica } from "../shard-replica.ts";
 import type { ShardArchive } from "./shard-archive.ts";
 
-/** What has been committed and not yet archived. */
+/** The commands of a shard that are committed but not archived yet, and the progress of archiving. */
 interface Pending {
   readonly term: number;
-  /** Last index that is archived; undefined when a whole state is due. */
+  /** The last archived index. Undefined if a base must be written next. */
   archivedIndex: number | undefined;
   commands: ShardCommand[];
   sinceBase: number;
   writing: boolean;
 }
 
-/** Commands after which a whole state is written in place of one more segment. */
+/** When more commands than this were archived since the last base, a new base is written instead of a segment. */
 const COMMANDS_PER_BASE = 2_000;
-/** Commands that may gather while the store is out. */
+/** Maximum number of commands that are buffered while the store is unavailable. */
 const MAX_PENDING_COMMANDS = 5_000;
 
-/** See the module's comment. */
+/** Archives the shards that this node leads at a fixed interval. */
 export class ShardArchiver {
   readonly #context: NodeContext;
   readonly #shards: ShardHost;
@@ -43,18 +44,18 @@
     });
   }
 
-  /** Starts writing. */
+  /** Starts the periodic writes. */
   start(): void {
     const { clock, settings } = this.#context;
     this.#stop = repeat(clock, settings.timing.archiveMs, () => void this.flush());
   }
 
-  /** Stops writing. */
+  /** Stops the periodic writes. */
   stop(): void {
     this.#stop();
   }
 
-  /** Writes what every led shard has committed. */
+  /** Writes the pending commands of every shard that this node leads. */
   async flush(): Promise<void> {
     await Promise.all([...this.#pending.keys()].map((shard) => this.#flushShard(shard)));
   }
@@ -86,7 +87,7 @@
         await this.#writeSegment(replica, pending, pending.archivedIndex);
       }
     } catch {
-      // The store does not answer: the next flush tries again.
+      // The store did not respond. The next flush retries.
     } finally {
       pending.writing = false;
     }
@@ -115,7 +116,7 @@
       await this.#archive.writeSegment(replica.shard, replica.generation, afterIndex, lastIndex, commands);
       pending.sinceBase += commands.length;
     } catch (error) {
-      // The write may have taken effect or not; a whole state is right in either case.
+      // It is unknown whether the write took effect. Writing a base next is correct in both cases.
       pending.commands = [];
       pending.archivedIndex = undefined;
       throw error;
--- a/src/node/archive/shard-recovery.ts
+++ b/src/node/archive/shard-recovery.ts
@@ -1,7 +1,7 @@
 /**
- * Recovers shards that lost all their replicas from the object store. An operator starts it: whether replicas are lost
- * or only out of reach cannot be known from here, and starting a shard that lives elsewhere would split its programs'
- * histories.
+ * Recovers shards that lost all their replicas from the object store. Only an operator can start a recovery: a node
+ * can't tell whether replicas are lost or only unreachable, and starting a second copy of a running shard would make
+ * the histories of its programs diverge (split brain).
  */
 import { chooseReplicas, type PlacementOptions } from "../../coordination/placement/index.ts";
 import type { Member } from "../../coordination/shard-group/index.ts";
@@ -18,7 +18,7 @@
 const PRESENCE_TIMEOUT_MS = 1_000;
 const ADOPT_TIMEOUT_MS = 5_000;
 
-/** What a recovery is made of. */
+/** The components that shard recovery uses. */
 export interface ShardRecoveryParts {
   readonly context: NodeContext;
   readonly shards: ShardHost;
@@ -29,7 +29,7 @@
   readonly rpc: RpcEndpoint;
 }
 
-/** See the module's comment. */
+/** Handles the requests to recover a shard and to start a replica of a recovered shard. */
 export class ShardRecovery {
   readonly #parts: ShardRecoveryParts;
 
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Starts a recovered shard here, if the table says that this instance is among its first replicas. */
+  /** Starts a replica of a recovered shard on this node if the shard's table row lists this instance as a voter. */
   async #adoptFromTable(shard: number): Promise<void> {
     const { context, shards, archive, table } = this.#parts;
     const row = parseShardRow(await table.get(shardRowKey(shard)));
@@ -52,7 +52,7 @@
     const held = shards.get(shard);
     if (!isVoter || (held && held.generation >= generation)) return;
     const archived = await archive.read(shard, generation);
-    // Only the state with which the generation began is the same for all of its first replicas.
+    // All initial replicas of a generation must start from the same state: the one with which the generation began.
     if (archived?.lastIndex === lastIndex) shards.bootstrapFrom(shard, voters, generation, archived);
   }
 
@@ -87,7 +87,7 @@
     }
     context.log.warn(
       { shard, generation, lastIndex: archived.lastIndex },
-      "recovers shard from the object store",
+      "recovering shard from the object store",
     );
     await this.#requestAdoption(shard, voters);
     return { generation, programs: archived.state.programs.programs.length, lastIndex: archived.lastIndex };
@@ -116,7 +116,7 @@
   }
 }
 
-/** Listed nodes that never held the shard: one that did may wake up with a journal of its own. */
+/** Returns the listed nodes that were not voters of the shard. A former voter may come back with its own old journal. */
 function listNodesOtherThanVoters(machines: MachineDirectory, { voters }: ShardRow): Member[] {
   return machines
     .liveMembers()
