--- a/src/node/budgets/budget-service.ts
+++ b/src/node/budgets/budget-service.ts
@@ -61,7 +61,7 @@
     }));
     rpc.handle("readBudget", (request) => this.#read(request));
     rpc.handle("reportLoan", async (request) => {
-      const replica = this.#shards.led(this.#ledgerShard(request.budget));
+      const replica = this.#shards.ledReplica(this.#ledgerShard(request.budget));
       await this.#shards.propose(replica, { type: "reportLoan", ...request });
       return {};
     });
@@ -185,7 +185,7 @@
 
   async #lend(request: BorrowRequest): Promise<BorrowResponse> {
     const { budget, borrower, wantedTotal } = request;
-    const replica = this.#shards.led(this.#ledgerShard(budget));
+    const replica = this.#shards.ledReplica(this.#ledgerShard(budget));
     const limit = this.#configuration.policyOf(request.tenant, request.template).budget.tokens;
     await this.#shards.propose(replica, { type: "lendAllotment", budget, limit, borrower, wantedTotal });
     const loan = replica.state.ledger.account(budget)?.loans.get(borrower);
@@ -195,7 +195,7 @@
   async #read({ tenant, template }: ReadBudgetRequest): Promise<BudgetView> {
     const policy = this.#configuration.policyOf(tenant, template);
     const budget = this.budgetOf(policy);
-    const replica = this.#shards.led(this.#ledgerShard(budget));
+    const replica = this.#shards.ledReplica(this.#ledgerShard(budget));
     const loans = [...(replica.state.ledger.account(budget)?.loans ?? [])];
     return {
       budget,
--- a/src/node/node-daemon.ts
+++ b/src/node/node-daemon.ts
@@ -30,11 +30,11 @@
 import { RunnerHomes } from "./runners/runner-homes.ts";
 import { ShardCommitter } from "./shard-committer.ts";
 import { ShardHost } from "./shard-host.ts";
-import { ShardSteward } from "./shard-steward.ts";
+import { ShardPlacementManager } from "./shard-placement-manager.ts";
 
 const DRAIN_POLL_MS = 50;
 /** Nodes that are told of a new configuration at once. */
-const NEWS_FANOUT = 4;
+const CONFIGURATION_FANOUT = 4;
 
 /** See the module's comment. */
 export class NodeDaemon {
@@ -48,13 +48,13 @@
   readonly #machines: MachineDirectory;
   readonly #budgets: BudgetService;
   readonly #directory: RunnerDirectory;
-  readonly #steward: ShardSteward;
+  readonly #placementManager: ShardPlacementManager;
   readonly #programs: ProgramService;
   readonly #broker: SlotBroker;
   readonly #sweeper: HoldSweeper;
   readonly #archiver: ShardArchiver;
   #stopTicking: () => void = () => undefined;
-  #drained: Promise<void> | undefined;
+  #drainPromise: Promise<void> | undefined;
   /** Called when an operator asks the node to leave. */
   onDrainRequested: () => void = () => undefined;
 
@@ -116,9 +116,9 @@
       shardCount: context.settings.cluster.shards,
     });
     this.#programs = new ProgramService(context, shards, configuration, decisions, directory, rpc);
-    this.#steward = new ShardSteward(context, shards, machines, platform.table);
+    this.#placementManager = new ShardPlacementManager(context, shards, machines, platform.table);
     const archive = new ShardArchive(platform.objects, context.hash.hash64);
-    const { placement } = this.#steward;
+    const { placement } = this.#placementManager;
     this.#archiver = new ShardArchiver(context, shards, archive);
     new ShardRecovery({ context, shards, machines, table: platform.table, archive, placement, rpc });
     this.#sweeper = new HoldSweeper(context, homes, shards, router, platform.engine);
@@ -130,13 +130,13 @@
     });
     machines.onRefreshed = () => homes.sync();
     configuration.nodeCount = () => machines.nodes().length;
-    configuration.onAdvanced = (version) => this.#spreadNews(version);
+    configuration.onAdvanced = (version) => this.#announceConfiguration(version);
     transport.onMessage((message, from, version) => this.#onMessage(message, from, version));
   }
 
   /** Whether the node can serve: it knows the newest configuration, and the shards exist. */
   get ready(): boolean {
-    return this.configuration.ready && this.#steward.ready;
+    return this.configuration.ready && this.#placementManager.ready;
   }
 
   /** Where callers of a zone may go, nearest first. */
@@ -154,7 +154,7 @@
     this.#machines.callersAddress = callersAddress;
     this.#machines.start();
     this.configuration.start();
-    this.#steward.start();
+    this.#placementManager.start();
     this.#programs.start();
     this.#budgets.start();
     this.calls.start();
@@ -169,7 +169,7 @@
     this.#stopTicking();
     this.#machines.stop();
     this.configuration.stop();
-    this.#steward.stop();
+    this.#placementManager.stop();
     this.#programs.stop();
     this.#budgets.stop();
     this.calls.stop();
@@ -185,8 +185,8 @@
 
   /** A planned stop: hands its work over, lets calls in flight end, and leaves. */
   drain(): Promise<void> {
-    this.#drained ??= this.#drain();
-    return this.#drained;
+    this.#drainPromise ??= this.#drain();
+    return this.#drainPromise;
   }
 
   async #drain(): Promise<void> {
@@ -197,7 +197,7 @@
     this.calls.stopAdmitting();
     this.#programs.stopAdmitting();
     while (clock.monotonicMs() < deadlineMs && (this.#hasReplicas() || this.calls.activeCalls > 0)) {
-      this.#steward.handOverLeadership();
+      this.#placementManager.handOverLeadership();
       await delay(clock, DRAIN_POLL_MS);
     }
     log.info({ activeCalls: this.calls.activeCalls }, "drained");
@@ -213,8 +213,8 @@
   }
 
   /** Tells a few others of a new configuration; they tell others, so all know within a few hops. */
-  #spreadNews(version: number): void {
-    for (const address of this.#machines.randomPeers(NEWS_FANOUT)) {
+  #announceConfiguration(version: number): void {
+    for (const address of this.#machines.randomPeers(CONFIGURATION_FANOUT)) {
       this.context.transport.send(address, { type: "configurationNews", version });
     }
   }
--- a/src/node/programs/program-service.ts
+++ b/src/node/programs/program-service.ts
@@ -75,7 +75,7 @@
   }
 
   async #open(request: OpenProgramRequest): Promise<ProgramView> {
-    const replica = this.#shards.led(this.#shards.shardOfProgram(request.program));
+    const replica = this.#shards.ledReplica(this.#shards.shardOfProgram(request.program));
     if (!this.#configuration.ready || !this.#admitting) throw new RedirectSignal(undefined);
     const existing = replica.state.programs.get(request.program);
     if (existing) return { program: existing };
@@ -171,7 +171,7 @@
   }
 
   #owned(id: string, tenant: string | undefined): { replica: ShardReplica; program: ProgramRecord } {
-    const replica = this.#shards.led(this.#shards.shardOfProgram(id));
+    const replica = this.#shards.ledReplica(this.#shards.shardOfProgram(id));
     const program = replica.state.programs.get(id);
     if (!program) throw requestError("not-found", `There is no program ${id}.`);
     if (tenant !== undefined && program.tenant !== tenant) {
@@ -181,7 +181,7 @@
   }
 
   #readDecision({ subject, tenant }: ReadDecisionRequest): DecisionView {
-    const replica = this.#shards.led(this.#shards.shardOfProgram(programOfCall(subject)));
+    const replica = this.#shards.ledReplica(this.#shards.shardOfProgram(programOfCall(subject)));
     const refusedProgram = replica.state.programs.refused(subject);
     if (refusedProgram && (tenant === undefined || tenant === refusedProgram.tenant)) {
       return { decision: refusedProgram.decision, state: "refused", problem: refusedProgram.problem };
@@ -217,7 +217,7 @@
 
   #findGone({ programs }: FindGoneRequest): FindGoneResponse {
     const gone = programs.filter((id) => {
-      const replica = this.#shards.led(this.#shards.shardOfProgram(id));
+      const replica = this.#shards.ledReplica(this.#shards.shardOfProgram(id));
       const program = replica.state.programs.get(id);
       return !program || program.endedAtMs !== undefined || this.#pausesTooLong(program);
     });
--- a/src/node/shard-committer.ts
+++ b/src/node/shard-committer.ts
@@ -19,7 +19,7 @@
     this.#shards = shards;
     this.#router = router;
     rpc.handle("commit", async ({ shard, command }) => ({
-      result: await shards.propose(shards.led(shard), command),
+      result: await shards.propose(shards.ledReplica(shard), command),
     }));
   }
 
--- a/src/node/shard-host.ts
+++ b/src/node/shard-host.ts
@@ -58,7 +58,7 @@
   }
 
   /** The replica of a shard that this node leads; throws a redirect otherwise. */
-  led(shard: number): ShardReplica {
+  ledReplica(shard: number): ShardReplica {
     const replica = this.#replicas.get(shard);
     if (!replica?.leads) throw new RedirectSignal(replica?.leader?.address);
     return replica;
@@ -95,7 +95,7 @@
     const nowMs = this.#context.clock.monotonicMs();
     for (const replica of this.#replicas.values()) {
       replica.tick(nowMs);
-      this.#noticeLeadership(replica);
+      this.#detectLeadershipChange(replica);
     }
   }
 
@@ -120,9 +120,9 @@
   }
 
   #receive(shard: number, message: ShardGroupMessage<ShardCommand>): void {
-    const replica = this.#replicas.get(shard) ?? this.#createFor(shard, message);
+    const replica = this.#replicas.get(shard) ?? this.#createForLeaderMessage(shard, message);
     replica?.receive(message, this.#context.clock.monotonicMs());
-    if (replica) this.#noticeLeadership(replica);
+    if (replica) this.#detectLeadershipChange(replica);
   }
 
   sendToReplica(shard: number, to: Member, message: ShardGroupMessage<ShardCommand>): void {
@@ -130,7 +130,7 @@
   }
 
   onRoleChanged(replica: ShardReplica): void {
-    this.#noticeLeadership(replica);
+    this.#detectLeadershipChange(replica);
   }
 
   onApplied(replica: ShardReplica, command: ShardCommand, result: ApplyResult): void {
@@ -145,12 +145,12 @@
     return replica;
   }
 
-  #createFor(shard: number, message: ShardGroupMessage<ShardCommand>): ShardReplica | undefined {
+  #createForLeaderMessage(shard: number, message: ShardGroupMessage<ShardCommand>): ShardReplica | undefined {
     const fromLeader = message.type === "appendRequest" || message.type === "snapshotRequest";
     return fromLeader ? this.#create(shard) : undefined;
   }
 
-  #noticeLeadership(replica: ShardReplica): void {
+  #detectLeadershipChange(replica: ShardReplica): void {
     const leads = replica.leads;
     if (leads === this.#ledShards.has(replica.shard)) return;
     if (leads) this.#ledShards.add(replica.shard);
--- a/src/node/shard-outbox.ts
+++ b/src/node/shard-outbox.ts
@@ -4,7 +4,7 @@
 import type { ShardCommand } from "../scheduling/shard-state.ts";
 
 /** What one turn of the event loop has for one replica's node. */
-interface Pending {
+interface PendingItems {
   readonly to: Member;
   readonly heartbeats: HeartbeatItem[];
   readonly acknowledgements: AcknowledgementItem[];
@@ -17,7 +17,7 @@
 export class ShardOutbox {
   readonly #self: Member;
   readonly #send: (address: string, message: Message) => void;
-  readonly #pending = new Map<string, Pending>();
+  readonly #pending = new Map<string, PendingItems>();
   #scheduled = false;
 
   constructor(self: Member, send: (address: string, message: Message) => void) {
@@ -38,7 +38,7 @@
     }
   }
 
-  #pendingFor(to: Member): Pending {
+  #pendingFor(to: Member): PendingItems {
     const pending = this.#pending.get(to.instance) ?? { to, heartbeats: [], acknowledgements: [] };
     this.#pending.set(to.instance, pending);
     if (!this.#scheduled) {
--- a/src/node/shard-steward.ts
+++ b/src/node/shard-placement-manager.ts
@@ -19,21 +19,24 @@
 import { parseShardRow, SHARD_ROW_PREFIX, type ShardRow, shardRowKey } from "./shard-row.ts";
 
 const PAGE_SIZE = 1_000;
-const CREATE_BATCH = 64;
-const BOOTSTRAP_RETRY_MS = 200;
+const CREATE_BATCH_SIZE = 64;
+const BOOTSTRAP_RETRY_DELAY_MS = 200;
 /** A learner this close to the journal's end may vote, in entries. */
-const CAUGHT_UP_LAG = 64;
+const MAX_CAUGHT_UP_LAG = 64;
 
 /** See the module's comment. */
-export class ShardSteward {
+export class ShardPlacementManager {
   readonly #context: NodeContext;
   readonly #shards: ShardHost;
   readonly #machines: MachineDirectory;
   readonly #table: TableStore;
   readonly #placement: PlacementOptions;
-  readonly #published = new Map<number, string>();
-  readonly #wanted = new Map<number, { readonly basis: string; readonly members: readonly Member[] }>();
-  readonly #outsideSinceMs = new Map<number, number>();
+  readonly #publishedVoters = new Map<number, string>();
+  readonly #targetMembers = new Map<
+    number,
+    { readonly basis: string; readonly members: readonly Member[] }
+  >();
+  readonly #nonMemberSinceMs = new Map<number, number>();
   #stopRepair: () => void = () => undefined;
   #stopped = false;
   #ready = false;
@@ -86,7 +89,7 @@
     while (!this.#stopped) {
       try {
         const rows = await this.#readRows();
-        this.#hostOwn(rows);
+        this.#startOwnReplicas(rows);
         if (rows.length >= this.#context.settings.cluster.shards) {
           this.#ready = true;
           return;
@@ -95,7 +98,7 @@
       } catch {
         // The table does not answer: try again.
       }
-      await delay(this.#context.clock, BOOTSTRAP_RETRY_MS);
+      await delay(this.#context.clock, BOOTSTRAP_RETRY_DELAY_MS);
     }
   }
 
@@ -111,11 +114,11 @@
   }
 
   /** Only replicas named at a shard's creation start with a vote; all others are brought in by the leader. */
-  #hostOwn(rows: readonly ShardRow[]): void {
+  #startOwnReplicas(rows: readonly ShardRow[]): void {
     const { instance } = this.#context.self;
     for (const { shard, voters, generation } of rows) {
-      const mine = voters.some((voter) => voter.instance === instance);
-      if (mine && generation === 0 && !this.#shards.get(shard)) this.#shards.bootstrap(shard, voters);
+      const isVoter = voters.some((voter) => voter.instance === instance);
+      if (isVoter && generation === 0 && !this.#shards.get(shard)) this.#shards.bootstrap(shard, voters);
     }
   }
 
@@ -127,7 +130,7 @@
     const missing = Array.from({ length: shards }, (_, shard) => shard).filter(
       (shard) => !existing.has(shard),
     );
-    const batch = missing.slice(0, CREATE_BATCH);
+    const batch = missing.slice(0, CREATE_BATCH_SIZE);
     await this.#table.transact({
       conditions: batch.map((shard) => ({ key: shardRowKey(shard), version: 0 })),
       writes: batch.map((shard) => ({
@@ -147,38 +150,39 @@
   #repairAll(): void {
     for (const replica of [...this.#shards.all()]) {
       if (replica.leads) this.#repair(replica);
-      else this.#dropIfOutside(replica);
+      else this.#dropIfNotMember(replica);
     }
   }
 
   #repair(replica: ShardReplica): void {
     const { clock, self } = this.#context;
     const nowMs = clock.monotonicMs();
-    const wanted = this.#wantedFor(replica, nowMs);
+    const wanted = this.#targetMembersOf(replica, nowMs);
     if (wanted.length === 0) return;
     const step = nextMembershipStep({
       self: self.instance,
       membership: replica.membership,
       wanted,
-      isCaughtUp: (instance) => (replica.group.lagOf(instance) ?? Number.POSITIVE_INFINITY) <= CAUGHT_UP_LAG,
+      isCaughtUp: (instance) =>
+        (replica.group.lagOf(instance) ?? Number.POSITIVE_INFINITY) <= MAX_CAUGHT_UP_LAG,
     });
-    if (step.type === "change") this.#change(replica, step.membership, nowMs);
+    if (step.type === "change") this.#changeMembership(replica, step.membership, nowMs);
     if (step.type === "transfer") replica.group.transferLeadership(step.to);
     replica.runEffects();
-    if (step.type === "none") void this.#publish(replica);
+    if (step.type === "none") void this.#publishVoters(replica);
   }
 
   /** Ranking all nodes is work that grows with their number, so it is done only when something has changed. */
-  #wantedFor(replica: ShardReplica, nowMs: number): readonly Member[] {
+  #targetMembersOf(replica: ShardReplica, nowMs: number): readonly Member[] {
     const members = allMembers(replica.membership);
     const health = members
       .map((member) => `${member.instance}:${this.#isDead(replica, member, nowMs)}`)
       .join(" ");
     const basis = `${this.#machines.nodesVersion} ${health}`;
-    const known = this.#wanted.get(replica.shard);
+    const known = this.#targetMembers.get(replica.shard);
     if (known?.basis === basis) return known.members;
     const chosen = chooseReplicas(replica.shard, this.#usableNodes(replica, nowMs), this.#placement);
-    this.#wanted.set(replica.shard, { basis, members: chosen });
+    this.#targetMembers.set(replica.shard, { basis, members: chosen });
     return chosen;
   }
 
@@ -188,7 +192,7 @@
     return silenceMs > this.#context.settings.timing.deadAfterMs;
   }
 
-  #change(replica: ShardReplica, membership: Membership, nowMs: number): void {
+  #changeMembership(replica: ShardReplica, membership: Membership, nowMs: number): void {
     if (!replica.group.proposeMembership(membership, nowMs)) return;
     replica.group.flush(nowMs);
     this.#context.log.info(
@@ -214,26 +218,26 @@
   }
 
   /** A replica that its group has left behind is dropped after a while. */
-  #dropIfOutside(replica: ShardReplica): void {
-    const inside = allMembers(replica.membership).some(
+  #dropIfNotMember(replica: ShardReplica): void {
+    const isMember = allMembers(replica.membership).some(
       ({ instance }) => instance === this.#context.self.instance,
     );
     const nowMs = this.#context.clock.monotonicMs();
-    const sinceMs = this.#outsideSinceMs.get(replica.shard) ?? nowMs;
-    if (inside) this.#outsideSinceMs.delete(replica.shard);
-    else this.#outsideSinceMs.set(replica.shard, sinceMs);
-    if (inside || nowMs - sinceMs < this.#context.settings.timing.deadAfterMs) return;
-    this.#outsideSinceMs.delete(replica.shard);
+    const sinceMs = this.#nonMemberSinceMs.get(replica.shard) ?? nowMs;
+    if (isMember) this.#nonMemberSinceMs.delete(replica.shard);
+    else this.#nonMemberSinceMs.set(replica.shard, sinceMs);
+    if (isMember || nowMs - sinceMs < this.#context.settings.timing.deadAfterMs) return;
+    this.#nonMemberSinceMs.delete(replica.shard);
     this.#shards.drop(replica.shard);
   }
 
   /** Writes the settled replicas into the table, for those who look the shard up there. */
-  async #publish(replica: ShardReplica): Promise<void> {
+  async #publishVoters(replica: ShardReplica): Promise<void> {
     const { shard, generation } = replica;
     const { voters } = replica.membership;
     const signature = voters.map((voter) => voter.instance).join(" ");
-    if (this.#published.get(shard) === signature) return;
-    this.#published.set(shard, signature);
+    if (this.#publishedVoters.get(shard) === signature) return;
+    this.#publishedVoters.set(shard, signature);
     try {
       const current: Row = await this.#table.get(shardRowKey(shard));
       const before = parseShardRow(current);
@@ -248,7 +252,7 @@
       const conditions = [{ key: current.key, version: current.version }];
       await this.#table.transact({ conditions, writes: [{ key: current.key, value }] });
     } catch {
-      this.#published.delete(shard);
+      this.#publishedVoters.delete(shard);
     }
   }
 }
--- a/src/node/shard-replica.ts
+++ b/src/node/shard-replica.ts
@@ -38,9 +38,9 @@
 const TERMS_PER_GENERATION = 1_000_000;
 
 /** Applied entries that stay in memory for followers that are a little behind. */
-const ENTRIES_KEPT = 256;
+const RETAINED_ENTRIES = 256;
 /** Entries after which the journal is cut. */
-const TRUNCATE_AT = 1_024;
+const MAX_JOURNAL_ENTRIES = 1_024;
 
 /** One replica of one shard: the pure {@link ShardGroup}, the state it replicates, and proposals under way. */
 export class ShardReplica {
@@ -179,7 +179,8 @@
 
   #applyAll(entries: readonly LogEntry<ShardCommand>[]): void {
     for (const entry of entries) this.#apply(entry);
-    if (this.#group.heldEntries > TRUNCATE_AT) this.#group.truncate(this.#appliedIndex - ENTRIES_KEPT);
+    if (this.#group.heldEntries > MAX_JOURNAL_ENTRIES)
+      this.#group.truncate(this.#appliedIndex - RETAINED_ENTRIES);
   }
 
   #apply(entry: LogEntry<ShardCommand>): void {
