--- a/src/node/runners/machine-list-snapshot.ts
+++ b/src/node/runners/machine-list-snapshot.ts
@@ -24,8 +24,8 @@
 
   /** Identifies the content: snapshots with equal machines have equal digests. */
   get digest(): string {
-    const halves = this.#hashes.map((half) => (half >>> 0).toString(HEXADECIMAL));
-    return `${halves.join("-")}-${this.machines.size}`;
+    const hexHashes = this.#hashes.map((hash) => (hash >>> 0).toString(HEXADECIMAL));
+    return `${hexHashes.join("-")}-${this.machines.size}`;
   }
 
   /** Returns the snapshot that results from applying changes to this one. */
