--- a/src/node/archive/shard-recovery.ts
+++ b/src/node/archive/shard-recovery.ts
@@ -116,7 +116,7 @@
   }
 }
 
-/** Returns the listed nodes that were not voters of the shard. A former voter may come back with its own old journal. */
+/** Returns the listed nodes that were not voters of the shard. A former voter may come back with its old journal. */
 function listNodesOtherThanVoters(machines: MachineDirectory, { voters }: ShardRow): Member[] {
   return machines
     .liveMembers()
--- a/src/node/node-context.ts
+++ b/src/node/node-context.ts
@@ -6,7 +6,7 @@
 import type { Transport } from "../runtime/transport.ts";
 import type { NodeSettings } from "../settings/node-settings.ts";
 
-/** What every part of a node shares. */
+/** The identity, settings and services that all components of a node share. */
 export interface NodeContext {
   readonly self: Member;
   readonly settings: NodeSettings;
--- a/src/node/node-daemon.ts
+++ b/src/node/node-daemon.ts
@@ -1,6 +1,7 @@
 /**
- * One node: takes callers' requests, leads or follows shards, is home of runners, and answers operators. The daemon only puts
- * the parts together and hands each message to the part that it is for; the same code runs in the simulation.
+ * One node: accepts callers' requests, leads or follows shards, grants the slots of runners and handles operators'
+ * requests. The daemon only creates the components and dispatches each message to the component that handles it. The
+ * same code runs in the simulation.
  */
 
 import type { Message } from "../messages/message.ts";
@@ -33,10 +34,10 @@
 import { ShardPlacementManager } from "./shard-placement-manager.ts";
 
 const DRAIN_POLL_MS = 50;
-/** Nodes that are told of a new configuration at once. */
+/** Number of nodes to which a new configuration is announced directly. */
 const CONFIGURATION_FANOUT = 4;
 
-/** See the module's comment. */
+/** Creates, starts and stops the components of a node, and dispatches messages to them. */
 export class NodeDaemon {
   readonly context: NodeContext;
   readonly shards: ShardHost;
@@ -134,20 +135,20 @@
     transport.onMessage((message, from, version) => this.#onMessage(message, from, version));
   }
 
-  /** Whether the node can serve: it knows the newest configuration, and the shards exist. */
+  /** Whether the node can serve requests: it has had the newest configuration, and all shards exist. */
   get ready(): boolean {
     return this.configuration.ready && this.#placementManager.ready;
   }
 
-  /** Where callers of a zone may go, nearest first. */
+  /** Returns the addresses of nodes for callers of a zone, those of the same zone first. */
   callerAddresses(zone: string | undefined): string[] {
     return this.#machines.callerAddresses(zone);
   }
 
   /**
-   * Starts all parts.
+   * Starts all components.
    *
-   * @param callersAddress where callers reach the node; left out where they cannot
+   * @param callersAddress the address at which callers reach the node; omitted if they can't reach it
    */
   start(callersAddress = ""): void {
     const { clock, settings } = this.context;
@@ -178,12 +179,12 @@
     this.#archiver.stop();
   }
 
-  /** Says that the node is leaving, so that callers and other nodes look for others. */
+  /** Announces that the node is leaving, so that callers and other nodes switch to other nodes. */
   announceLeaving(): Promise<void> {
     return this.#machines.announceLeaving();
   }
 
-  /** A planned stop: hands its work over, lets calls in flight end, and leaves. */
+  /** Performs a planned stop: transfers its shards to other nodes, waits for calls in progress and leaves. */
   drain(): Promise<void> {
     this.#drainPromise ??= this.#drain();
     return this.#drainPromise;
@@ -191,7 +192,7 @@
 
   async #drain(): Promise<void> {
     const { clock, settings, log } = this.context;
-    log.info({ activeCalls: this.calls.activeCalls }, "drains");
+    log.info({ activeCalls: this.calls.activeCalls }, "draining");
     const deadlineMs = clock.monotonicMs() + settings.timing.drainMs;
     await this.#machines.announceLeaving();
     this.calls.stopAdmitting();
@@ -205,14 +206,14 @@
     await this.context.transport.close();
   }
 
-  /** Whether another node still counts on this one for a shard. */
+  /** Returns whether this node is still a voter of any shard. */
   #hasReplicas(): boolean {
     return [...this.shards.all()].some((replica) =>
       replica.membership.voters.some((voter) => voter.instance === this.context.self.instance),
     );
   }
 
-  /** Tells a few others of a new configuration; they tell others, so all know within a few hops. */
+  /** Announces a new configuration to a few nodes. These announce it in turn, so it reaches all nodes in a few hops. */
   #announceConfiguration(version: number): void {
     for (const address of this.#machines.randomPeers(CONFIGURATION_FANOUT)) {
       this.context.transport.send(address, { type: "configurationNews", version });
--- a/src/node/node-metrics.ts
+++ b/src/node/node-metrics.ts
@@ -3,7 +3,7 @@
 import type { IngressServer } from "./ingress/ingress-server.ts";
 import type { NodeDaemon } from "./node-daemon.ts";
 
-/** The metrics of a node. */
+/** Creates the metrics of a node. */
 export function nodeMetrics(
   daemon: NodeDaemon,
   ingress: IngressServer,
--- a/src/node/node-platform.ts
+++ b/src/node/node-platform.ts
@@ -4,7 +4,7 @@
 import type { ServiceClient } from "../ports/service/service-client.ts";
 import type { TableStore } from "../ports/table/table-store.ts";
 
-/** Everything outside that a node talks to. */
+/** The clients for all external systems that a node uses. */
 export interface NodePlatform {
   readonly table: TableStore;
   readonly objects: ObjectStore;
--- a/src/node/runners/runner-home.ts
+++ b/src/node/runners/runner-home.ts
@@ -147,7 +147,7 @@
     this.#announceIfChanged();
   }
 
-  /** A home whose machine list is stale must not grant slots, because the runner may be leaving without its knowledge. */
+  /** A home whose machine list is stale must not grant slots, because the runner may be leaving unnoticed. */
   #refreshDraining(): void {
     const listIsStale = !this.#port.isListFresh();
     const leaving = this.#machine.state === "leaving" || this.#engineLeaving;
--- a/src/node/shard-committer.ts
+++ b/src/node/shard-committer.ts
@@ -4,12 +4,12 @@
 import type { ShardCommand } from "../scheduling/shard-state.ts";
 import type { ShardHost } from "./shard-host.ts";
 
-/** How long a node that lost leadership tries to have the end of a call committed, in ms. */
+/** How long a node that lost leadership of a shard keeps trying to commit the end of a call, in ms. */
 const COMMIT_TIMEOUT_MS = 15_000;
 
 /**
- * Commits commands on a shard, whoever leads it. Only for commands that check for themselves whether they still
- * hold, since one whose answer is lost is sent again.
+ * Commits commands on a shard, on this node if it leads the shard or else through the leader. A command whose response
+ * is lost is sent again, so this may only be used for commands that check whether they still apply.
  */
 export class ShardCommitter {
   readonly #shards: ShardHost;
@@ -23,7 +23,7 @@
     }));
   }
 
-  /** Commits a command; throws when no leader can be reached for a long time. */
+  /** Commits a command. Throws if no leader can be reached within the timeout. */
   async commit(shard: number, command: ShardCommand): Promise<ApplyResult> {
     const replica = this.#shards.get(shard);
     if (replica?.leads) {
--- a/src/node/shard-host.ts
+++ b/src/node/shard-host.ts
@@ -9,11 +9,11 @@
 import { ShardOutbox } from "./shard-outbox.ts";
 import { ShardReplica, type ShardReplicaHost } from "./shard-replica.ts";
 
-/** Called when something about a shard changes that another part of the node acts on. */
+/** Callbacks for changes of a shard to which other components of the node react. */
 export interface ShardObserver {
-  /** This node starts or stops leading the shard, or learns of another leader. */
+  /** Called when this node becomes or stops being the leader of the shard. */
   onLeadershipChanged?(replica: ShardReplica): void;
-  /** A command was applied to the local replica. */
+  /** Called when a command was applied to the local replica. */
   onApplied?(replica: ShardReplica, command: ShardCommand, result: ApplyResult): void;
 }
 
@@ -37,40 +37,40 @@
     this.#observers.push(observer);
   }
 
-  /** Every replica. */
+  /** Returns all replicas on this node. */
   all(): IterableIterator<ShardReplica> {
     return this.#replicas.values();
   }
 
-  /** The replica of a shard, if this node has one. */
+  /** Returns the replica of a shard, if this node has one. */
   get(shard: number): ShardReplica | undefined {
     return this.#replicas.get(shard);
   }
 
-  /** The shard of a program's family. */
+  /** Returns the shard of a program. All programs with the same root program are on the same shard. */
   shardOfProgram(program: string): number {
     return this.shardOfKey(rootOfProgram(program));
   }
 
-  /** The shard of any other key. */
+  /** Returns the shard of any other key. */
   shardOfKey(key: string): number {
     return this.#context.hash.hash32(key) % this.#context.settings.cluster.shards;
   }
 
-  /** The replica of a shard that this node leads; throws a redirect otherwise. */
+  /** Returns the replica of a shard that this node leads. Otherwise throws a redirect to the leader, if known. */
   ledReplica(shard: number): ShardReplica {
     const replica = this.#replicas.get(shard);
     if (!replica?.leads) throw new RedirectSignal(replica?.leader?.address);
     return replica;
   }
 
-  /** Starts the first replicas of a shard that never existed. */
+  /** Starts one of the first replicas of a newly created shard. */
   bootstrap(shard: number, voters: readonly Member[]): void {
     if (this.#replicas.has(shard)) return;
     this.#create(shard).bootstrap(voters);
   }
 
-  /** Starts a recovered shard here; an older replica of it is dropped. */
+  /** Starts a replica of a recovered shard. Drops a replica of an older generation. */
   bootstrapFrom(shard: number, voters: readonly Member[], generation: number, archived: ArchivedState): void {
     if ((this.#replicas.get(shard)?.generation ?? -1) >= generation) return;
     this.drop(shard);
@@ -90,7 +90,7 @@
     throw new RedirectSignal(replica.leader?.address);
   }
 
-  /** Lets time pass for every replica. */
+  /** Runs the timers of every replica. */
   tick(): void {
     const nowMs = this.#context.clock.monotonicMs();
     for (const replica of this.#replicas.values()) {
@@ -99,12 +99,12 @@
     }
   }
 
-  /** Takes in a message of another replica. A leader's message for an unknown shard starts an empty replica. */
+  /** Handles a message from another replica. A leader's message for an unknown shard starts an empty replica. */
   onMessage({ shard, to, message }: ShardMessage): void {
     if (to === this.#context.self.instance) this.#receive(shard, message);
   }
 
-  /** Takes in the heartbeats of another node. */
+  /** Handles the heartbeats from another node. */
   onHeartbeats({ to, leader, items }: ShardHeartbeats): void {
     if (to !== this.#context.self.instance) return;
     for (const { shard, ...item } of items) {
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Takes in the acknowledgements of another node. */
+  /** Handles the acknowledgements from another node. */
   onAcknowledgements({ to, follower, items }: ShardAcknowledgements): void {
     if (to !== this.#context.self.instance) return;
     for (const { shard, ...item } of items)
@@ -157,7 +157,7 @@
     else this.#ledShards.delete(replica.shard);
     this.#context.log.info(
       { shard: replica.shard, term: replica.term, leads, leader: replica.leader?.instance },
-      leads ? "leads shard" : "no longer leads shard",
+      leads ? "became leader of shard" : "lost leadership of shard",
     );
     for (const observer of this.#observers) observer.onLeadershipChanged?.(replica);
   }
--- a/src/node/shard-outbox.ts
+++ b/src/node/shard-outbox.ts
@@ -3,7 +3,7 @@
 import type { AcknowledgementItem, HeartbeatItem } from "../messages/shard-messages.ts";
 import type { ShardCommand } from "../scheduling/shard-state.ts";
 
-/** What one turn of the event loop has for one replica's node. */
+/** The heartbeats and acknowledgements for one node that were added in the current turn of the event loop. */
 interface PendingItems {
   readonly to: Member;
   readonly heartbeats: HeartbeatItem[];
@@ -11,8 +11,8 @@
 }
 
 /**
- * Gathers the heartbeats and acknowledgements of many shards that two nodes share into one message each, so that what
- * an idle shard costs does not grow with the names of its replicas.
+ * Batches the heartbeats and acknowledgements of all shards that two nodes share: one message for each kind. The names
+ * of the nodes are then sent once for each message, so the cost of an idle shard does not grow with their length.
  */
 export class ShardOutbox {
   readonly #self: Member;
@@ -25,7 +25,7 @@
     this.#send = send;
   }
 
-  /** Sends a message, or gathers it until the end of this turn. */
+  /** Sends a message. Heartbeats and acknowledgements are batched until the end of this turn of the event loop. */
   add(shard: number, to: Member, message: ShardGroupMessage<ShardCommand>): void {
     if (message.type === "appendRequest" && message.entries.length === 0) {
       const { term, previousIndex, previousTerm, commitIndex } = message;
--- a/src/node/shard-placement-manager.ts
+++ b/src/node/shard-placement-manager.ts
@@ -1,8 +1,9 @@
 /**
- * Creates the shards of a new system, and moves replicas as nodes come and go.
+ * Creates the shards of a new system, and moves replicas when nodes join and leave.
  *
- * Who holds a shard is decided by its leader through the shard's own journal; the row in the platform's table is
- * how a shard is created exactly once, and where others read of it. So repairs go on while the table is down.
+ * The leader of a shard decides which nodes hold replicas, through membership changes in the shard's own journal. The
+ * row in the platform's table ensures that a shard is created exactly once, and lets others look up its replicas.
+ * Repairs therefore continue while the table is unavailable.
  */
 import {
   chooseReplicas,
@@ -21,10 +22,10 @@
 const PAGE_SIZE = 1_000;
 const CREATE_BATCH_SIZE = 64;
 const BOOTSTRAP_RETRY_DELAY_MS = 200;
-/** A learner this close to the journal's end may vote, in entries. */
+/** Maximum lag at which a learner counts as caught up and may become a voter, in journal entries. */
 const MAX_CAUGHT_UP_LAG = 64;
 
-/** See the module's comment. */
+/** Creates missing shards until all exist, and periodically repairs the membership of shards that this node leads. */
 export class ShardPlacementManager {
   readonly #context: NodeContext;
   readonly #shards: ShardHost;
@@ -50,7 +51,7 @@
     this.#placement = { replicas, shardsPerFamily, hash32: context.hash.hash32 };
   }
 
-  /** How replicas are placed. */
+  /** The options for choosing the nodes of replicas. */
   get placement(): PlacementOptions {
     return this.#placement;
   }
@@ -60,7 +61,7 @@
     return this.#ready;
   }
 
-  /** Starts creating and moving. */
+  /** Starts creating shards and moving replicas. */
   start(): void {
     void this.#bootstrap();
     this.#stopRepair = repeat(this.#context.clock, this.#context.settings.timing.repairMs, () =>
@@ -68,13 +69,13 @@
     );
   }
 
-  /** Stops creating and moving. */
+  /** Stops creating shards and moving replicas. */
   stop(): void {
     this.#stopped = true;
     this.#stopRepair();
   }
 
-  /** Asks another replica of every led shard to take over. */
+  /** Starts a transfer of the leadership of every shard that this node leads to another replica. */
   handOverLeadership(): void {
     for (const replica of this.#shards.all()) {
       if (!replica.leads) continue;
@@ -96,7 +97,7 @@
         }
         await this.#createMissing(rows);
       } catch {
-        // The table does not answer: try again.
+        // The table did not respond. Retry after the delay.
       }
       await delay(this.#context.clock, BOOTSTRAP_RETRY_DELAY_MS);
     }
@@ -113,7 +114,7 @@
     }
   }
 
-  /** Only replicas named at a shard's creation start with a vote; all others are brought in by the leader. */
+  /** Starts this node's initial replicas as voters. The leader adds all later replicas through membership changes. */
   #startOwnReplicas(rows: readonly ShardRow[]): void {
     const { instance } = this.#context.self;
     for (const { shard, voters, generation } of rows) {
@@ -172,7 +173,10 @@
     if (step.type === "none") void this.#publishVoters(replica);
   }
 
-  /** Ranking all nodes is work that grows with their number, so it is done only when something has changed. */
+  /**
+   * Returns the nodes that should hold the shard's replicas. The cost of ranking all nodes grows with their number, so
+   * the result is cached until the listed nodes or the health of the members change.
+   */
   #targetMembersOf(replica: ShardReplica, nowMs: number): readonly Member[] {
     const members = allMembers(replica.membership);
     const health = members
@@ -201,11 +205,11 @@
         voters: membership.voters.map((member) => member.instance),
         learners: membership.learners.map((member) => member.instance),
       },
-      "changes replicas",
+      "changing replicas",
     );
   }
 
-  /** Listed nodes that are not leaving, and replicas that answer although the list lacks them. */
+  /** Returns the listed nodes that are not leaving, and the replicas that respond although they are not listed. */
   #usableNodes(replica: ShardReplica, nowMs: number): Member[] {
     const isDead = (member: Member) => this.#isDead(replica, member, nowMs);
     const listed = this.#machines.liveMembers().filter((member) => !isDead(member));
@@ -217,7 +221,7 @@
     return [...listed, ...unlisted];
   }
 
-  /** A replica that its group has left behind is dropped after a while. */
+  /** Drops a replica that has not been a member of its group for a while. */
   #dropIfNotMember(replica: ShardReplica): void {
     const isMember = allMembers(replica.membership).some(
       ({ instance }) => instance === this.#context.self.instance,
@@ -231,7 +235,7 @@
     this.#shards.drop(replica.shard);
   }
 
-  /** Writes the settled replicas into the table, for those who look the shard up there. */
+  /** Writes the voters of a shard that needs no repair to the table, for those who look up the shard there. */
   async #publishVoters(replica: ShardReplica): Promise<void> {
     const { shard, generation } = replica;
     const { voters } = replica.membership;
--- a/src/node/shard-replica.ts
+++ b/src/node/shard-replica.ts
@@ -11,22 +11,22 @@
 import type { ApplyResult } from "../scheduling/program/program-table.ts";
 import { type ShardCommand, type ShardSnapshot, ShardState } from "../scheduling/shard-state.ts";
 
-/** What a replica needs from the node that hosts it. */
+/** The callbacks that a replica uses of the node that hosts it. */
 export interface ShardReplicaHost {
   /** Sends a message to another replica of the shard. */
   sendToReplica(shard: number, to: Member, message: ShardGroupMessage<ShardCommand>): void;
-  /** The replica's role, term or leader has changed. */
+  /** Called when the replica's role, term or leader has changed. */
   onRoleChanged(replica: ShardReplica): void;
-  /** A command was applied. Called on every replica, in journal order. */
+  /** Called when a command was applied. This happens on every replica, in journal order. */
   onApplied(replica: ShardReplica, command: ShardCommand, result: ApplyResult): void;
 }
 
-/** What became of a proposal. */
+/** The outcome of a proposed command. */
 export type ProposalResult =
   | { readonly type: "applied"; readonly result: ApplyResult }
-  /** This replica does not lead, or stopped leading before the entry was committed: the command never happened. */
+  /** This replica isn't the leader or lost leadership before the entry was committed. The command was not applied. */
   | { readonly type: "lost" }
-  /** The entry was swallowed by a snapshot: whether it happened shows only in the state. */
+  /** A snapshot replaced the entry. Only the state shows whether the command was applied. */
   | { readonly type: "unknown" };
 
 interface PendingProposal {
@@ -34,15 +34,15 @@
   readonly resolve: (result: ProposalResult) => void;
 }
 
-/** More elections than a lost group can have had. */
+/** Exceeds the number of elections that a lost group can have had, so that a new generation starts at a higher term. */
 const TERMS_PER_GENERATION = 1_000_000;
 
-/** Applied entries that stay in memory for followers that are a little behind. */
+/** Number of applied entries that stay in memory for followers that lag slightly behind. */
 const RETAINED_ENTRIES = 256;
-/** Entries after which the journal is cut. */
+/** The journal is truncated when it has more entries than this. */
 const MAX_JOURNAL_ENTRIES = 1_024;
 
-/** One replica of one shard: the pure {@link ShardGroup}, the state it replicates, and proposals under way. */
+/** One replica of one shard: the pure {@link ShardGroup}, the state that it replicates, and the pending proposals. */
 export class ShardReplica {
   readonly shard: number;
   readonly state: ShardState;
@@ -73,7 +73,7 @@
     return this.#group.term;
   }
 
-  /** How often the shard has been recovered from the archive; each generation begins with a term of its own. */
+  /** How often the shard was recovered from the archive. Each generation has its own range of terms. */
   get generation(): number {
     return Math.floor(this.#group.term / TERMS_PER_GENERATION);
   }
@@ -90,28 +90,28 @@
     return this.#appliedIndex;
   }
 
-  /** Entries of the journal in memory. */
+  /** Number of journal entries in memory. */
   get heldEntries(): number {
     return this.#group.heldEntries;
   }
 
-  /** Whether this replica leads and its state holds everything committed before. */
+  /** Whether this replica is the leader and its state contains everything that was committed before its term. */
   get leads(): boolean {
     return this.#group.isReadyLeader;
   }
 
-  /** The group, for changes of membership and hand-overs. */
+  /** The consensus group, for membership changes and leadership transfers. */
   get group(): ShardGroup<ShardCommand> {
     return this.#group;
   }
 
-  /** Starts a group that never existed. */
+  /** Starts the group of a newly created shard. */
   bootstrap(voters: readonly Member[]): void {
     this.#group.bootstrap(voters);
     this.runEffects();
   }
 
-  /** Starts a group that lost all its replicas from an archived state. */
+  /** Starts a new group from an archived state, for a shard that lost all its replicas. */
   bootstrapFrom(
     voters: readonly Member[],
     generation: number,
@@ -123,19 +123,19 @@
     this.#group.bootstrapFrom(voters, lastIndex, generation * TERMS_PER_GENERATION);
   }
 
-  /** Lets time pass. */
+  /** Runs the timers of the group. */
   tick(nowMs: number): void {
     this.#group.tick(nowMs);
     this.runEffects();
   }
 
-  /** Takes in a message of another replica. */
+  /** Handles a message from another replica. */
   receive(message: ShardGroupMessage<ShardCommand>, nowMs: number): void {
     this.#group.receive(message, nowMs);
     this.runEffects();
   }
 
-  /** Proposes a command; resolves once its fate is known. */
+  /** Proposes a command. Resolves when its outcome is known. */
   propose(command: ShardCommand, now: () => number): Promise<ProposalResult> {
     const proposed = this.#group.propose(command, now());
     if (!proposed) return Promise.resolve({ type: "lost" });
@@ -146,12 +146,12 @@
     });
   }
 
-  /** Carries out what the group asked for. */
+  /** Runs the effects that the group has requested. */
   runEffects(): void {
     for (const effect of this.#group.takeEffects()) this.#runEffect(effect);
   }
 
-  /** Proposals of one turn of the event loop travel together. */
+  /** Sends all proposals of one turn of the event loop together. */
   #scheduleFlush(now: () => number): void {
     if (this.#flushScheduled) return;
     this.#flushScheduled = true;
@@ -199,7 +199,7 @@
     pending.resolve(pending.term === entry.term ? { type: "applied", result } : { type: "lost" });
   }
 
-  /** Proposals inside the snapshot may have happened; their callers learn it from the state. */
+  /** Resolves the proposals that the snapshot covers as unknown. Only the state shows whether they were applied. */
   #restore(snapshot: ShardSnapshot, lastIndex: number): void {
     this.state.restore(snapshot);
     this.#appliedIndex = lastIndex;
--- a/src/node/start-node.ts
+++ b/src/node/start-node.ts
@@ -21,12 +21,12 @@
 export interface RunningNode {
   readonly daemon: NodeDaemon;
   readonly address: string;
-  /** Where callers reach it. */
+  /** The address at which callers reach the node. */
   readonly callersAddress: string;
   readonly metricsAddress: string;
-  /** A planned stop; resolves when the node has left. */
+  /** Performs a planned stop. Resolves when the node has left. */
   drain(): Promise<void>;
-  /** Ends at once, as if the process had been killed. */
+  /** Stops immediately, as if the process had been killed. */
   kill(): Promise<void>;
 }
 
@@ -69,7 +69,7 @@
   };
   const drain = async () => {
     await daemon.announceLeaving();
-    // Callers' requests need the node's connections to the leaders of their programs until they have ended.
+    // Callers' requests in progress need the node's connections to the leaders of their programs' shards.
     await ingress.drain();
     await daemon.drain();
     await close();
