--- a/src/node/configuration/configuration-service.ts
+++ b/src/node/configuration/configuration-service.ts
@@ -48,7 +48,7 @@
   #hasCaughtUp = false;
   #stopped = false;
   /** Called with each new version, so that it can be announced to other nodes. */
-  onAdvanced: (version: number) => void = () => undefined;
+  onNewVersion: (version: number) => void = () => undefined;
   /** Returns the number of nodes that share the polling of the table. */
   nodeCount: () => number = () => 1;
 
@@ -168,7 +168,7 @@
       { version: this.#chain.version, keys: added.map((entry) => entry.key) },
       "configuration in force",
     );
-    this.onAdvanced(this.#chain.version);
+    this.onNewVersion(this.#chain.version);
     return added.length;
   }
 
--- a/src/node/node-daemon.ts
+++ b/src/node/node-daemon.ts
@@ -131,7 +131,7 @@
     });
     machines.onRefreshed = () => homes.sync();
     configuration.nodeCount = () => machines.nodes().length;
-    configuration.onAdvanced = (version) => this.#announceConfiguration(version);
+    configuration.onNewVersion = (version) => this.#announceConfiguration(version);
     transport.onMessage((message, from, version) => this.#onMessage(message, from, version));
   }
 
