--- a/src/node/budgets/budget-service.ts
+++ b/src/node/budgets/budget-service.ts
@@ -15,28 +15,31 @@
 import type { ShardCommitter } from "../shard-committer.ts";
 import type { ShardHost } from "../shard-host.ts";
 import type { ShardReplica } from "../shard-replica.ts";
-import { isLongPast } from "./is-long-past.ts";
+import { canForgetBudget } from "./can-forget-budget.ts";
 
-/** A loan is this many times what the call at hand needs, so that not every call asks the ledger. */
+/** Multiple of a call's tokens that is borrowed in addition, so that not every call has to borrow from the ledger. */
 const LOAN_FACTOR = 8;
-/** A single shard may hold at most this part of a budget beyond what the call at hand needs. */
-const MAX_SHARE = 1 / 16;
+/** Maximum fraction of a budget that a shard borrows beyond what its current calls need. */
+const MAX_EXTRA_SHARE = 1 / 16;
 const BORROW_TIMEOUT_MS = 3_000;
 const SETTLE_INTERVAL_MS = 2_000;
-/** Time without use after which an allotment goes back, in ms. */
+/** An allotment that was not used for this long is returned to the ledger, in ms. */
 const IDLE_RETURN_MS = 8_000;
 
-/** Both sides of budgets on one node: borrowing for the shards it leads, and the ledgers of the shards it leads. */
+/**
+ * Both sides of token budgets, for the shards that this node leads. As borrower, it obtains tokens from the ledgers of
+ * budgets. As lender, it keeps the ledgers that are stored on these shards.
+ */
 export class BudgetService {
   readonly #context: NodeContext;
   readonly #shards: ShardHost;
   readonly #configuration: ConfigurationService;
   readonly #router: ShardRouter;
   readonly #committer: ShardCommitter;
-  readonly #uses = new Map<string, { readonly use: number; readonly sinceMs: number }>();
-  readonly #reported = new Map<string, string>();
-  /** Tokens that calls are borrowing for at present, by shard and budget. */
-  readonly #wanted = new Map<string, number>();
+  readonly #lastUses = new Map<string, { readonly use: number; readonly sinceMs: number }>();
+  readonly #reportedSignatures = new Map<string, string>();
+  /** Number of tokens that calls are currently waiting to borrow, by shard and budget. */
+  readonly #wantedTokens = new Map<string, number>();
   #stop: () => void = () => undefined;
 
   constructor(
@@ -58,45 +61,51 @@
     }));
     rpc.handle("readBudget", (request) => this.#read(request));
     rpc.handle("reportLoan", async (request) => {
-      const replica = this.#shards.led(this.#ledgerShard(request.budget));
+      const replica = this.#shards.ledReplica(this.#ledgerShard(request.budget));
       await this.#shards.propose(replica, { type: "reportLoan", ...request });
       return {};
     });
   }
 
-  /** Starts returning what lies idle, and reporting what was spent. */
+  /** Starts returning unused allotments and reporting spent tokens, at a fixed interval. */
   start(): void {
     const { clock } = this.#context;
     this.#stop = repeat(clock, SETTLE_INTERVAL_MS, () => void this.#settleAll().catch(() => undefined));
   }
 
-  /** Stops returning and reporting. */
+  /** Stops returning allotments and reporting spent tokens. */
   stop(): void {
     this.#stop();
   }
 
-  /** The budget that a call under this policy is charged to now. */
+  /** Returns the key of the budget to which a call with this policy is charged now. */
   budgetOf(policy: EffectivePolicy): string {
     const isoTime = new Date(this.#context.clock.wallMs()).toISOString();
     return budgetKey(policy.tenant, policy.template, policy.budget.window, isoTime);
   }
 
-  /** Makes sure that a shard may reserve `tokens`. Returns what is available, which may be less. */
-  async ensure(replica: ShardReplica, policy: EffectivePolicy, tokens: number): Promise<number> {
+  /** Borrows if a shard can't reserve `tokens`. Returns the number of available tokens, which may be lower. */
+  async ensureAvailable(replica: ShardReplica, policy: EffectivePolicy, tokens: number): Promise<number> {
     const budget = this.budgetOf(policy);
     const available = availableTokens(replica.state.allotments.get(budget));
     if (available >= tokens) return available;
     const key = `${replica.shard} ${budget}`;
-    this.#wanted.set(key, (this.#wanted.get(key) ?? 0) + tokens);
+    this.#wantedTokens.set(key, (this.#wantedTokens.get(key) ?? 0) + tokens);
     try {
-      return await this.#raise(replica, policy, budget, tokens, this.#wanted.get(key) ?? tokens);
+      return await this.#raiseAllotment(
+        replica,
+        policy,
+        budget,
+        tokens,
+        this.#wantedTokens.get(key) ?? tokens,
+      );
     } finally {
-      this.#wanted.set(key, (this.#wanted.get(key) ?? 0) - tokens);
+      this.#wantedTokens.set(key, (this.#wantedTokens.get(key) ?? 0) - tokens);
     }
   }
 
-  /** @param wanted what this call and all that ask at the same time need together */
-  async #raise(
+  /** @param wanted the tokens that this call and all concurrent calls need together */
+  async #raiseAllotment(
     replica: ShardReplica,
     policy: EffectivePolicy,
     budget: string,
@@ -105,7 +114,7 @@
   ): Promise<number> {
     const held = replica.state.allotments.get(budget);
     const available = availableTokens(held);
-    const extra = Math.min(tokens * LOAN_FACTOR, Math.floor(policy.budget.tokens * MAX_SHARE));
+    const extra = Math.min(tokens * LOAN_FACTOR, Math.floor(policy.budget.tokens * MAX_EXTRA_SHARE));
     const wantedTotal = held.grantedTotal + Math.max(0, wanted - available) + extra;
     const grantedTotal = await this.#borrow(replica, policy, budget, wantedTotal);
     if (grantedTotal > held.grantedTotal) {
@@ -119,41 +128,41 @@
       if (!replica.leads) continue;
       for (const [budget, held] of [...replica.state.allotments.entries()])
         await this.#settle(replica, budget, held);
-      await this.#forgetPast(replica);
+      await this.#forgetPastBudgets(replica);
     }
   }
 
-  /** What a shard has not touched for a while goes back, so that others can use it; the ledger learns what was spent. */
+  /** Returns an allotment that was idle for a while, so that other shards can use it, and reports the spent tokens. */
   async #settle(replica: ShardReplica, budget: string, held: Allotment): Promise<void> {
     const nowMs = this.#context.clock.monotonicMs();
     const key = `${replica.shard} ${budget}`;
     const use = held.spentTotal + held.reserved;
-    const known = this.#uses.get(key);
-    if (known?.use !== use) this.#uses.set(key, { use, sinceMs: nowMs });
+    const known = this.#lastUses.get(key);
+    if (known?.use !== use) this.#lastUses.set(key, { use, sinceMs: nowMs });
     const idle = known?.use === use && nowMs - known.sinceMs > IDLE_RETURN_MS;
     const unused = availableTokens(held);
     if (idle && unused > 0) {
       await this.#shards.propose(replica, { type: "returnAllotment", budget, tokens: unused });
     }
-    await this.#report(replica, budget, key);
+    await this.#reportLoan(replica, budget, key);
   }
 
-  async #report(replica: ShardReplica, budget: string, key: string): Promise<void> {
+  async #reportLoan(replica: ShardReplica, budget: string, key: string): Promise<void> {
     const { returnedTotal, spentTotal } = replica.state.allotments.get(budget);
     const signature = `${returnedTotal} ${spentTotal}`;
-    if (this.#reported.get(key) === signature) return;
+    if (this.#reportedSignatures.get(key) === signature) return;
     const report = { budget, borrower: borrowerName(replica.shard), returnedTotal, spentTotal };
     await this.#router.ask(this.#ledgerShard(budget), "reportLoan", report, BORROW_TIMEOUT_MS);
-    this.#reported.set(key, signature);
+    this.#reportedSignatures.set(key, signature);
   }
 
-  async #forgetPast(replica: ShardReplica): Promise<void> {
+  async #forgetPastBudgets(replica: ShardReplica): Promise<void> {
     const nowMs = this.#context.clock.wallMs();
     const known = new Set([
       ...replica.state.allotments.toSnapshot().map(([budget]) => budget),
       ...replica.state.ledger.budgets(),
     ]);
-    const past = [...known].filter((budget) => isLongPast(budget, nowMs));
+    const past = [...known].filter((budget) => canForgetBudget(budget, nowMs));
     if (past.length > 0) await this.#shards.propose(replica, { type: "forgetBudgets", budgets: past });
   }
 
@@ -176,7 +185,7 @@
 
   async #lend(request: BorrowRequest): Promise<BorrowResponse> {
     const { budget, borrower, wantedTotal } = request;
-    const replica = this.#shards.led(this.#ledgerShard(budget));
+    const replica = this.#shards.ledReplica(this.#ledgerShard(budget));
     const limit = this.#configuration.policyOf(request.tenant, request.template).budget.tokens;
     await this.#shards.propose(replica, { type: "lendAllotment", budget, limit, borrower, wantedTotal });
     const loan = replica.state.ledger.account(budget)?.loans.get(borrower);
@@ -186,7 +195,7 @@
   async #read({ tenant, template }: ReadBudgetRequest): Promise<BudgetView> {
     const policy = this.#configuration.policyOf(tenant, template);
     const budget = this.budgetOf(policy);
-    const replica = this.#shards.led(this.#ledgerShard(budget));
+    const replica = this.#shards.ledReplica(this.#ledgerShard(budget));
     const loans = [...(replica.state.ledger.account(budget)?.loans ?? [])];
     return {
       budget,
@@ -206,7 +215,7 @@
   }
 }
 
-/** The name under which a shard borrows. */
+/** Returns the name that identifies a shard as a borrower in a ledger. */
 export function borrowerName(shard: number): string {
   return `shard-${shard}`;
 }
--- a/src/node/calls/slot-client.ts
+++ b/src/node/calls/slot-client.ts
@@ -58,7 +58,7 @@
 
   /** Handles a granted slot. Returns it immediately if no request waits for it any more. */
   onGranted(message: SlotGranted, from: string): void {
-    this.#directory.learn(from, message.load);
+    this.#directory.recordLoads(from, message.load);
     const { runner, call, attempt, fencingToken, waitedMs } = message;
     const key = slotKey(call, attempt);
     if (this.#pending.get(key)?.runner === runner) {
@@ -77,7 +77,7 @@
 
   /** Handles a refused request. */
   onRefused(message: SlotRefused, from: string): void {
-    this.#directory.learn(from, message.load);
+    this.#directory.recordLoads(from, message.load);
     if (message.reason === "not-home") this.#directory.forgetHome(message.runner, from);
     const key = slotKey(message.call, message.attempt);
     if (this.#pending.get(key)?.runner !== message.runner) return;
--- a/src/node/node-daemon.ts
+++ b/src/node/node-daemon.ts
@@ -1,6 +1,7 @@
 /**
- * One node: takes callers' requests, leads or follows shards, is home of runners, and answers operators. The daemon only puts
- * the parts together and hands each message to the part that it is for; the same code runs in the simulation.
+ * One node: accepts callers' requests, leads or follows shards, grants the slots of runners and handles operators'
+ * requests. The daemon only creates the components and dispatches each message to the component that handles it. The
+ * same code runs in the simulation.
  */
 
 import type { Message } from "../messages/message.ts";
@@ -30,13 +31,13 @@
 import { RunnerHomes } from "./runners/runner-homes.ts";
 import { ShardCommitter } from "./shard-committer.ts";
 import { ShardHost } from "./shard-host.ts";
-import { ShardSteward } from "./shard-steward.ts";
+import { ShardPlacementManager } from "./shard-placement-manager.ts";
 
 const DRAIN_POLL_MS = 50;
-/** Nodes that are told of a new configuration at once. */
-const NEWS_FANOUT = 4;
+/** Number of nodes to which a new configuration is announced directly. */
+const CONFIGURATION_FANOUT = 4;
 
-/** See the module's comment. */
+/** Creates, starts and stops the components of a node, and dispatches messages to them. */
 export class NodeDaemon {
   readonly context: NodeContext;
   readonly shards: ShardHost;
@@ -48,13 +49,13 @@
   readonly #machines: MachineDirectory;
   readonly #budgets: BudgetService;
   readonly #directory: RunnerDirectory;
-  readonly #steward: ShardSteward;
+  readonly #placementManager: ShardPlacementManager;
   readonly #programs: ProgramService;
   readonly #broker: SlotClient;
   readonly #sweeper: HoldSweeper;
   readonly #archiver: ShardArchiver;
   #stopTicking: () => void = () => undefined;
-  #drained: Promise<void> | undefined;
+  #drainPromise: Promise<void> | undefined;
   /** Called when an operator asks the node to leave. */
   onDrainRequested: () => void = () => undefined;
 
@@ -116,9 +117,9 @@
       shardCount: context.settings.cluster.shards,
     });
     this.#programs = new ProgramService(context, shards, configuration, decisions, directory, rpc);
-    this.#steward = new ShardSteward(context, shards, machines, platform.table);
+    this.#placementManager = new ShardPlacementManager(context, shards, machines, platform.table);
     const archive = new ShardArchive(platform.objects, context.hash.hash64);
-    const { placement } = this.#steward;
+    const { placement } = this.#placementManager;
     this.#archiver = new ShardArchiver(context, shards, archive);
     new ShardRecovery({ context, shards, machines, table: platform.table, archive, placement, rpc });
     this.#sweeper = new HoldSweeper(context, homes, shards, router, platform.engine);
@@ -128,33 +129,33 @@
       context.log.level = level;
       return {};
     });
-    machines.onRead = () => homes.sync();
+    machines.onRefreshed = () => homes.sync();
     configuration.nodeCount = () => machines.nodes().length;
-    configuration.onAdvanced = (version) => this.#spreadNews(version);
+    configuration.onNewVersion = (version) => this.#announceConfiguration(version);
     transport.onMessage((message, from, version) => this.#onMessage(message, from, version));
   }
 
-  /** Whether the node can serve: it knows the newest configuration, and the shards exist. */
+  /** Whether the node can serve requests: it has had the newest configuration, and all shards exist. */
   get ready(): boolean {
-    return this.configuration.ready && this.#steward.ready;
+    return this.configuration.ready && this.#placementManager.ready;
   }
 
-  /** Where callers of a zone may go, nearest first. */
+  /** Returns the addresses of nodes for callers of a zone, those of the same zone first. */
   callerAddresses(zone: string | undefined): string[] {
     return this.#machines.callerAddresses(zone);
   }
 
   /**
-   * Starts all parts.
+   * Starts all components.
    *
-   * @param callersAddress where callers reach the node; left out where they cannot
+   * @param callersAddress the address at which callers reach the node; omitted if they can't reach it
    */
   start(callersAddress = ""): void {
     const { clock, settings } = this.context;
     this.#machines.callersAddress = callersAddress;
     this.#machines.start();
     this.configuration.start();
-    this.#steward.start();
+    this.#placementManager.start();
     this.#programs.start();
     this.#budgets.start();
     this.calls.start();
@@ -169,7 +170,7 @@
     this.#stopTicking();
     this.#machines.stop();
     this.configuration.stop();
-    this.#steward.stop();
+    this.#placementManager.stop();
     this.#programs.stop();
     this.#budgets.stop();
     this.calls.stop();
@@ -178,26 +179,26 @@
     this.#archiver.stop();
   }
 
-  /** Says that the node is leaving, so that callers and other nodes look for others. */
+  /** Announces that the node is leaving, so that callers and other nodes switch to other nodes. */
   announceLeaving(): Promise<void> {
     return this.#machines.announceLeaving();
   }
 
-  /** A planned stop: hands its work over, lets calls in flight end, and leaves. */
+  /** Performs a planned stop: transfers its shards to other nodes, waits for calls in progress and leaves. */
   drain(): Promise<void> {
-    this.#drained ??= this.#drain();
-    return this.#drained;
+    this.#drainPromise ??= this.#drain();
+    return this.#drainPromise;
   }
 
   async #drain(): Promise<void> {
     const { clock, settings, log } = this.context;
-    log.info({ activeCalls: this.calls.activeCalls }, "drains");
+    log.info({ activeCalls: this.calls.activeCalls }, "draining");
     const deadlineMs = clock.monotonicMs() + settings.timing.drainMs;
     await this.#machines.announceLeaving();
     this.calls.stopAdmitting();
     this.#programs.stopAdmitting();
     while (clock.monotonicMs() < deadlineMs && (this.#hasReplicas() || this.calls.activeCalls > 0)) {
-      this.#steward.handOverLeadership();
+      this.#placementManager.handOverLeadership();
       await delay(clock, DRAIN_POLL_MS);
     }
     log.info({ activeCalls: this.calls.activeCalls }, "drained");
@@ -205,16 +206,16 @@
     await this.context.transport.close();
   }
 
-  /** Whether another node still counts on this one for a shard. */
+  /** Returns whether this node is still a voter of any shard. */
   #hasReplicas(): boolean {
     return [...this.shards.all()].some((replica) =>
       replica.membership.voters.some((voter) => voter.instance === this.context.self.instance),
     );
   }
 
-  /** Tells a few others of a new configuration; they tell others, so all know within a few hops. */
-  #spreadNews(version: number): void {
-    for (const address of this.#machines.randomOthers(NEWS_FANOUT)) {
+  /** Announces a new configuration to a few nodes. These announce it in turn, so it reaches all nodes in a few hops. */
+  #announceConfiguration(version: number): void {
+    for (const address of this.#machines.randomPeers(CONFIGURATION_FANOUT)) {
       this.context.transport.send(address, { type: "configurationNews", version });
     }
   }
@@ -225,7 +226,7 @@
   }
 
   #onMessage(message: Message, from: Sender, configurationVersion: number): void {
-    this.configuration.noticeVersion(configurationVersion, from.address);
+    this.configuration.onPeerVersion(configurationVersion, from.address);
     switch (message.type) {
       case "shard":
         return this.shards.onMessage(message);
@@ -256,9 +257,9 @@
       case "slotRefused":
         return this.#broker.onRefused(message, from.address);
       case "machineListNews":
-        return this.#machines.onNews(message.news, from.address);
+        return this.#machines.onAnnouncement(message.news, from.address);
       case "announceRunners":
-        return this.#directory.learn(from.address, message.load);
+        return this.#directory.recordLoads(from.address, message.load);
       case "rpcRequest":
         return void this.#rpc.onRequest(message, from);
       case "rpcResponse":
--- a/src/node/runners/machine-directory.ts
+++ b/src/node/runners/machine-directory.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's list of machines as this node knows it. A few nodes read it; the others are told by them, so that
- * what the platform has to answer does not grow with the number of nodes. A node that has not been told for a while
- * reads for itself.
+ * This node's copy of the platform's machine list. Only a few nodes read the list from the platform. The other nodes
+ * receive it from their peers, so the load on the platform does not grow with the number of nodes. A node that has
+ * received no update for a while reads the list itself.
  */
 import type { Member } from "../../coordination/shard-group/index.ts";
 import { type SnapshotAnnouncement, SnapshotRelay } from "../../coordination/snapshot-relay/index.ts";
@@ -10,38 +10,38 @@
 import { repeat } from "../../runtime/clock.ts";
 import type { RpcEndpoint } from "../../runtime/rpc.ts";
 import type { NodeContext } from "../node-context.ts";
-import { MachineContent } from "./machine-content.ts";
-
-/** Nodes that read the platform's list. */
-const READERS = 3;
-/** Nodes that each node tells of a fresher reading. */
-const NEWS_FANOUT = 3;
-/** Earlier contents that are kept, to answer with differences. */
-const KEPT_CONTENTS = 8;
+import { MachineListSnapshot } from "./machine-list-snapshot.ts";
+
+/** Number of nodes that read the list from the platform. */
+const READER_COUNT = 3;
+/** Number of peers to which a node announces a newer read. */
+const ANNOUNCE_FANOUT = 3;
+/** Number of snapshots that are kept, so that requests of peers can be answered with changes only. */
+const MAX_KEPT_SNAPSHOTS = 8;
 const FETCH_TIMEOUT_MS = 1_000;
-/** Most addresses that a caller is given. */
-const MAX_ADDRESSES = 64;
-/** Mean time between two reports of nodes to the platform, by whichever node, in ms. */
-const REPORT_MS = 10;
+/** Maximum number of node addresses that are returned to a caller. */
+const MAX_CALLER_ADDRESSES = 64;
+/** Mean time between two reports to the platform, counted over all nodes, in ms. */
+const MEAN_REPORT_INTERVAL_MS = 10;
 
-/** See the module's comment. */
+/** Keeps a copy of the machine list up to date, reports this node to the platform and answers peers. */
 export class MachineDirectory {
   readonly #context: NodeContext;
   readonly #list: MachineList;
   readonly #rpc: RpcEndpoint;
   readonly #relay: SnapshotRelay;
-  readonly #contents = new Map<string, MachineContent>();
+  readonly #snapshots = new Map<string, MachineListSnapshot>();
   #machines: readonly Machine[] = [];
   #nodes: readonly Machine[] = [];
   #nodesVersion = 0;
   #leaving = false;
   #fetching = false;
   #nextReportMs = 0;
-  /** Where callers reach this node; empty while they cannot. */
+  /** The address at which callers reach this node. Empty while callers can't reach it. */
   callersAddress = "";
   #stop: () => void = () => undefined;
-  /** Called after each fresher reading. */
-  onRead: () => void = () => undefined;
+  /** Called when a newer read of the list was obtained, also if the list is unchanged. */
+  onRefreshed: () => void = () => undefined;
 
   constructor(context: NodeContext, list: MachineList, rpc: RpcEndpoint) {
     this.#context = context;
@@ -51,13 +51,13 @@
     rpc.handle("fetchMachines", async ({ digest }) => this.#answerFetch(digest));
   }
 
-  /** Starts to follow the list. */
+  /** Starts following the list. */
   start(): void {
-    void this.#step();
+    void this.#refresh();
     this.#stop = repeat(
       this.#context.clock,
       this.#context.settings.timing.machineListMs,
-      () => void this.#step(),
+      () => void this.#refresh(),
     );
   }
 
@@ -66,84 +66,84 @@
     this.#stop();
   }
 
-  /** Tells the platform that this node is leaving. */
+  /** Reports to the platform that this node is leaving. */
   async announceLeaving(): Promise<void> {
     this.#leaving = true;
     this.#nextReportMs = 0;
-    await this.#step();
+    await this.#refresh();
   }
 
-  /** Time since somebody read the list for what is known here, in ms. */
+  /** Returns the time since the list held here was read from the platform by any node, in ms. */
   ageMs(): number {
     return this.#relay.ageMs(this.#nowMs());
   }
 
-  /** Every machine on the list. */
+  /** Returns all machines on the list. */
   machines(): readonly Machine[] {
     return this.#machines;
   }
 
-  /** Nodes on the list. */
+  /** Returns the nodes on the list. */
   nodes(): readonly Machine[] {
     return this.#nodes;
   }
 
-  /** Listed nodes that are not leaving, as replicas of shards would be. */
+  /** Returns the listed nodes that are not leaving, in the form used for shard membership. */
   liveMembers(): Member[] {
     return this.#nodes
       .filter((machine) => machine.state === "live")
       .map(({ incarnation, address, zone }) => ({ instance: incarnation, address, zone }));
   }
 
-  /** Where callers of a zone may go: nodes that stay, those of the zone first. */
+  /** Returns addresses for callers of a zone: nodes that are not leaving, those of the same zone first. */
   callerAddresses(zone: string | undefined): string[] {
     const open = this.#nodes.filter((node) => node.state === "live" && node.callers);
     const near = open.filter((node) => node.zone === zone);
     const far = open.filter((node) => node.zone !== zone);
-    return [...near, ...far].slice(0, MAX_ADDRESSES).map((node) => node.callers ?? "");
+    return [...near, ...far].slice(0, MAX_CALLER_ADDRESSES).map((node) => node.callers ?? "");
   }
 
-  /** Addresses of up to `count` other nodes, drawn at random. */
-  randomOthers(count: number): string[] {
+  /** Returns the addresses of up to `count` other nodes, chosen at random. */
+  randomPeers(count: number): string[] {
     const { random, self } = this.#context;
     const others = this.#nodes.map((node) => node.address).filter((address) => address !== self.address);
-    const drawn: string[] = [];
-    while (drawn.length < count && others.length > 0) {
-      drawn.push(...others.splice(random.below(others.length), 1));
+    const chosen: string[] = [];
+    while (chosen.length < count && others.length > 0) {
+      chosen.push(...others.splice(random.below(others.length), 1));
     }
-    return drawn;
+    return chosen;
   }
 
-  /** Changes whenever {@link nodes} does, so that what is worked out from them need not be worked out again. */
+  /** Changes whenever {@link nodes} changes. Results that are derived from the nodes can be cached by this version. */
   get nodesVersion(): number {
     return this.#nodesVersion;
   }
 
-  /** Another node told of a reading. */
-  onNews(news: SnapshotAnnouncement, from: string): void {
+  /** Handles a peer's announcement of a newer read. */
+  onAnnouncement(news: SnapshotAnnouncement, from: string): void {
     if (this.#relay.shouldRequest(news, this.#nowMs())) void this.#fetch(from);
   }
 
-  async #step(): Promise<void> {
+  async #refresh(): Promise<void> {
     await this.#reportIfDue();
     if (this.#isReader() || this.ageMs() > this.#context.settings.timing.machineListMs * 2)
       await this.#read();
   }
 
-  /** The readers are the nodes that come first by hash; whoever knows too few nodes reads as well. */
+  /** The nodes with the lowest hashes are the readers. A node that knows of too few other nodes also reads. */
   #isReader(): boolean {
     const { self, hash } = this.#context;
     const own = hash.hash32(`reader|${self.instance}`);
     const before = this.#nodes.filter((node) => hash.hash32(`reader|${node.incarnation}`) < own);
-    return before.length < READERS;
+    return before.length < READER_COUNT;
   }
 
-  /** The more nodes there are, the more rarely each reports itself. */
+  /** The report interval of each node grows with the number of nodes, which keeps the platform's load constant. */
   async #reportIfDue(): Promise<void> {
     const { self, settings, random } = this.#context;
     const nowMs = this.#nowMs();
     if (nowMs < this.#nextReportMs) return;
-    this.#nextReportMs = nowMs + this.#nodes.length * REPORT_MS * (0.5 + random.unit());
+    this.#nextReportMs = nowMs + this.#nodes.length * MEAN_REPORT_INTERVAL_MS * (0.5 + random.unit());
     await this.#list
       .report({
         name: settings.name,
@@ -169,12 +169,12 @@
       const machines = await this.#list.read();
       if (!this.#relay.isNewer(startMs)) return;
       const whole = { whole: true, put: machines, removed: [] };
-      const content = MachineContent.EMPTY.after(whole, this.#context.hash);
-      this.#take(content);
-      this.#tellOthers(this.#relay.recordRead(content.digest, startMs, this.#nowMs()));
-      this.onRead();
+      const snapshot = MachineListSnapshot.EMPTY.withChanges(whole, this.#context.hash);
+      this.#adopt(snapshot);
+      this.#announce(this.#relay.recordRead(snapshot.digest, startMs, this.#nowMs()));
+      this.onRefreshed();
     } catch {
-      // The platform does not answer: what is known stands, and its age is watched by those who depend on it.
+      // The platform did not respond. The current list is kept; code that needs a fresh list checks ageMs().
     }
   }
 
@@ -188,55 +188,55 @@
       if (reply.type !== "done") return;
       const { changes, ageMs } = reply.body;
       if (!this.#relay.isNewer(askedAtMs - ageMs)) return;
-      if (reply.body.digest === held) return this.#confirm(held, ageMs, askedAtMs);
-      const before = this.#contents.get(held) ?? MachineContent.EMPTY;
-      const content = before.after(changes, this.#context.hash);
-      const { digest } = content;
+      if (reply.body.digest === held) return this.#confirmUnchanged(held, ageMs, askedAtMs);
+      const before = this.#snapshots.get(held) ?? MachineListSnapshot.EMPTY;
+      const snapshot = before.withChanges(changes, this.#context.hash);
+      const { digest } = snapshot;
       if (digest !== reply.body.digest) return;
-      this.#take(content);
-      this.#tellOthers(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
-      this.onRead();
+      this.#adopt(snapshot);
+      this.#announce(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
+      this.onRefreshed();
     } finally {
       this.#fetching = false;
     }
   }
 
-  /** The content is what is held already, and read later than was known. */
-  #confirm(digest: string, ageMs: number, askedAtMs: number): void {
+  /** Handles the response that the list held here is unchanged and was read more recently than known so far. */
+  #confirmUnchanged(digest: string, ageMs: number, askedAtMs: number): void {
     if (digest !== this.#relay.digest) return;
-    this.#tellOthers(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
-    this.onRead();
+    this.#announce(this.#relay.adopt({ digest, ageMs }, askedAtMs, this.#nowMs()));
+    this.onRefreshed();
   }
 
   #answerFetch(digest: string): FetchMachinesResponse {
-    const current = this.#current();
-    const known = this.#contents.get(digest);
+    const current = this.#currentSnapshot();
+    const known = this.#snapshots.get(digest);
     const changes = known
       ? current.changesFrom(known)
       : { whole: true, put: [...current.machines.values()], removed: [] };
     return { digest: this.#relay.digest, ageMs: this.ageMs(), changes };
   }
 
-  #current(): MachineContent {
-    return this.#contents.get(this.#relay.digest) ?? MachineContent.EMPTY;
+  #currentSnapshot(): MachineListSnapshot {
+    return this.#snapshots.get(this.#relay.digest) ?? MachineListSnapshot.EMPTY;
   }
 
-  #take(content: MachineContent): void {
-    const { digest } = content;
-    this.#contents.delete(digest);
-    this.#contents.set(digest, content);
-    const [oldest] = this.#contents.keys();
-    if (this.#contents.size > KEPT_CONTENTS) this.#contents.delete(oldest);
+  #adopt(snapshot: MachineListSnapshot): void {
+    const { digest } = snapshot;
+    this.#snapshots.delete(digest);
+    this.#snapshots.set(digest, snapshot);
+    const [oldest] = this.#snapshots.keys();
+    if (this.#snapshots.size > MAX_KEPT_SNAPSHOTS) this.#snapshots.delete(oldest);
     if (digest === this.#relay.digest) return;
-    this.#machines = [...content.machines.values()];
+    this.#machines = [...snapshot.machines.values()];
     const nodes = this.#machines.filter((machine) => machine.kind === "node");
     if (signatureOf(nodes) === signatureOf(this.#nodes)) return;
     this.#nodes = nodes;
     this.#nodesVersion += 1;
   }
 
-  #tellOthers(news: SnapshotAnnouncement): void {
-    for (const address of this.randomOthers(NEWS_FANOUT)) {
+  #announce(news: SnapshotAnnouncement): void {
+    for (const address of this.randomPeers(ANNOUNCE_FANOUT)) {
       this.#context.transport.send(address, { type: "machineListNews", news });
     }
   }
--- a/src/node/shard-outbox.ts
+++ b/src/node/shard-outbox.ts
@@ -3,21 +3,21 @@
 import type { AcknowledgementItem, HeartbeatItem } from "../messages/shard-messages.ts";
 import type { ShardCommand } from "../scheduling/shard-state.ts";
 
-/** What one turn of the event loop has for one replica's node. */
-interface Pending {
+/** The heartbeats and acknowledgements for one node that were added in the current turn of the event loop. */
+interface PendingItems {
   readonly to: Member;
   readonly heartbeats: HeartbeatItem[];
   readonly acknowledgements: AcknowledgementItem[];
 }
 
 /**
- * Gathers the heartbeats and acknowledgements of many shards that two nodes share into one message each, so that what
- * an idle shard costs does not grow with the names of its replicas.
+ * Batches the heartbeats and acknowledgements of all shards that two nodes share: one message for each kind. The names
+ * of the nodes are then sent once for each message, so the cost of an idle shard does not grow with their length.
  */
 export class ShardOutbox {
   readonly #self: Member;
   readonly #send: (address: string, message: Message) => void;
-  readonly #pending = new Map<string, Pending>();
+  readonly #pending = new Map<string, PendingItems>();
   #scheduled = false;
 
   constructor(self: Member, send: (address: string, message: Message) => void) {
@@ -25,7 +25,7 @@
     this.#send = send;
   }
 
-  /** Sends a message, or gathers it until the end of this turn. */
+  /** Sends a message. Heartbeats and acknowledgements are batched until the end of this turn of the event loop. */
   add(shard: number, to: Member, message: ShardGroupMessage<ShardCommand>): void {
     if (message.type === "appendRequest" && message.entries.length === 0) {
       const { term, previousIndex, previousTerm, commitIndex } = message;
@@ -38,7 +38,7 @@
     }
   }
 
-  #pendingFor(to: Member): Pending {
+  #pendingFor(to: Member): PendingItems {
     const pending = this.#pending.get(to.instance) ?? { to, heartbeats: [], acknowledgements: [] };
     this.#pending.set(to.instance, pending);
     if (!this.#scheduled) {
