--- a/src/launcher/bundle-script.ts
+++ b/src/launcher/bundle-script.ts
@@ -7,8 +7,8 @@
 import { join } from "node:path";
 import { Script } from "node:vm";
 
-const BUNDLE = "gateway-bundle.cjs";
-const CODE_CACHE = "gateway-bundle.code-cache";
+const BUNDLE_FILE = "gateway-bundle.cjs";
+const CODE_CACHE_FILE = "gateway-bundle.code-cache";
 const WRAPPER = ["(function (require) {", "\n})"] as const;
 
 type Bundle = (require: NodeJS.Require) => void;
@@ -20,7 +20,7 @@
 
   /** @param folder where the build has put the bundle and, unless it is being made, its compiled code */
   constructor(folder: string) {
-    this.#path = join(folder, BUNDLE);
+    this.#path = join(folder, BUNDLE_FILE);
     // The build writes nothing but ASCII, so that one byte is one character.
     const source = readFileSync(this.#path, "latin1");
     const cache = BundleScript.cachePath(folder);
@@ -33,7 +33,7 @@
 
   /** Where compiled code lies. */
   static cachePath(folder: string): string {
-    return join(folder, CODE_CACHE);
+    return join(folder, CODE_CACHE_FILE);
   }
 
   /** Whether there was compiled code, of another version of the runtime or for other flags: it was compiled anew. */
--- a/src/launcher/main.ts
+++ b/src/launcher/main.ts
@@ -8,7 +8,7 @@
  * the optimizing compiler costs more than it saves. Set only once everything is loaded: given on the command line, it
  * makes Node.js refuse the compiled code of its own modules, which costs a start 25 ms of 110.
  */
-const OPTIMIZE_AFTER = 2_000_000;
+const INTERRUPT_BUDGET_BYTES = 2_000_000;
 
 const script = new BundleScript(dirname(process.argv[1] as string));
 if (script.cacheRejected)
@@ -16,4 +16,4 @@
     "The stored code is of another version of Node.js or for other flags; it is compiled anew. Run the build again.\n",
   );
 script.run();
-setFlagsFromString(`--interrupt-budget=${OPTIMIZE_AFTER}`);
+setFlagsFromString(`--interrupt-budget=${INTERRUPT_BUDGET_BYTES}`);
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -23,7 +23,7 @@
 ): Promise<z.infer<Schema>> {
   const text = file === undefined ? "" : await readSettingsFile(file);
   const merged = overrides.length === 0 ? text : applyOverrides(text, overrides);
-  const valid = fromJson(merged, schema);
+  const valid = parseValidJson(merged, schema);
   if (valid) return valid;
   const known = onUnknown ? withoutUnknownKeys(merged, schema, onUnknown) : merged;
   return parseYaml(known, file ?? "flags", schema, "invalid-settings")[0].value;
@@ -33,7 +33,7 @@
  * Settings that are valid and written as JSON: reading and checking them takes 6 ms of a start where YAML takes 12 (medians of
  * 6 CPU profiles). Undefined for all others; what is wrong with them is for the YAML parser to say, which knows lines.
  */
-function fromJson<Schema extends z.ZodType>(text: string, schema: Schema): z.infer<Schema> | undefined {
+function parseValidJson<Schema extends z.ZodType>(text: string, schema: Schema): z.infer<Schema> | undefined {
   if (!text.startsWith("{")) return undefined;
   let value: unknown;
   try {
--- a/src/settings/parse-yaml.ts
+++ b/src/settings/parse-yaml.ts
@@ -23,22 +23,22 @@
   const documents = parseAllDocuments(text, { lineCounter, prettyErrors: false });
   if (!Array.isArray(documents) || documents.length === 0)
     throw configurationError(kind, `${file}: is empty.`);
-  const found: string[] = [];
+  const problems: string[] = [];
   const parsed: ParsedDocument<z.infer<Schema>>[] = [];
   for (const document of documents) {
     const lineOf = (offset: number | undefined) => lineCounter.linePos(offset ?? 0).line;
-    for (const error of document.errors) found.push(`${file}:${lineOf(error.pos[0])}: ${error.message}`);
+    for (const error of document.errors) problems.push(`${file}:${lineOf(error.pos[0])}: ${error.message}`);
     if (document.errors.length > 0) continue;
     const checked = schema.safeParse(document.toJS());
     if (checked.success) parsed.push({ value: checked.data, text: document.toString() });
     else {
       for (const issue of checked.error.issues) {
         const line = lineOf(offsetOfPath(document.contents, issue.path));
-        found.push(`${file}:${line}: ${issue.path.join(".") || "document"}: ${issue.message}`);
+        problems.push(`${file}:${line}: ${issue.path.join(".") || "document"}: ${issue.message}`);
       }
     }
   }
-  if (found.length > 0) throw configurationError(kind, `${found.join("\n")}\n`);
+  if (problems.length > 0) throw configurationError(kind, `${problems.join("\n")}\n`);
   return parsed;
 }
 
--- a/src/settings/read-by-schema.ts
+++ b/src/settings/read-by-schema.ts
@@ -20,7 +20,7 @@
 
 type JsonObject = Readonly<Record<string, unknown>>;
 
-const KEYWORDS: ReadonlySet<string> = new Set([
+const SUPPORTED_KEYWORDS: ReadonlySet<string> = new Set([
   "$schema",
   "description",
   "type",
@@ -36,20 +36,20 @@
 ]);
 
 /** Thrown where a value or its schema is not understood. */
-class Unread extends Error {}
+class SchemaMismatchError extends Error {}
 
 /** A value with its defaults; undefined when it is not valid, or the schema is not understood. */
 export function readBySchema(value: unknown, schema: JsonSchema): unknown {
   try {
     return read(value, schema);
   } catch (error) {
-    if (error instanceof Unread) return undefined;
+    if (error instanceof SchemaMismatchError) return undefined;
     throw error;
   }
 }
 
 function read(value: unknown, schema: JsonSchema): unknown {
-  for (const keyword of Object.keys(schema)) demand(KEYWORDS.has(keyword));
+  for (const keyword of Object.keys(schema)) ensure(SUPPORTED_KEYWORDS.has(keyword));
   switch (schema.type) {
     case "object":
       return readObject(value, schema);
@@ -61,48 +61,48 @@
     case "number":
       return readNumber(value, schema);
     case "boolean":
-      demand(typeof value === "boolean");
+      ensure(typeof value === "boolean");
       return value;
     default:
-      throw new Unread();
+      throw new SchemaMismatchError();
   }
 }
 
 function readObject(value: unknown, schema: JsonSchema): JsonObject {
   const { properties = {}, required = [], additionalProperties } = schema;
-  demand(additionalProperties === false);
-  demand(typeof value === "object" && value !== null && !Array.isArray(value));
-  const given = value as JsonObject;
-  for (const key of Object.keys(given)) demand(Object.hasOwn(properties, key));
+  ensure(additionalProperties === false);
+  ensure(typeof value === "object" && value !== null && !Array.isArray(value));
+  const input = value as JsonObject;
+  for (const key of Object.keys(input)) ensure(Object.hasOwn(properties, key));
   const result: Record<string, unknown> = {};
-  for (const [key, inner] of Object.entries(properties)) {
-    const member = given[key] === undefined ? inner.default : given[key];
-    if (member !== undefined) result[key] = read(member, inner);
-    else demand(!required.includes(key));
+  for (const [key, propertySchema] of Object.entries(properties)) {
+    const propertyValue = input[key] === undefined ? propertySchema.default : input[key];
+    if (propertyValue !== undefined) result[key] = read(propertyValue, propertySchema);
+    else ensure(!required.includes(key));
   }
   return result;
 }
 
 function readArray(value: unknown, { items }: JsonSchema): unknown[] {
-  if (!Array.isArray(value) || !items) throw new Unread();
+  if (!Array.isArray(value) || !items) throw new SchemaMismatchError();
   return value.map((item) => read(item, items));
 }
 
 function readString(value: unknown, { pattern, enum: allowed }: JsonSchema): string {
-  if (typeof value !== "string") throw new Unread();
-  if (pattern !== undefined) demand(new RegExp(pattern, "u").test(value));
-  if (allowed) demand(allowed.includes(value));
+  if (typeof value !== "string") throw new SchemaMismatchError();
+  if (pattern !== undefined) ensure(new RegExp(pattern, "u").test(value));
+  if (allowed) ensure(allowed.includes(value));
   return value;
 }
 
 function readNumber(value: unknown, { type, minimum, maximum }: JsonSchema): number {
-  if (typeof value !== "number") throw new Unread();
-  demand(type === "integer" ? Number.isSafeInteger(value) : Number.isFinite(value));
-  demand(minimum === undefined || value >= minimum);
-  demand(maximum === undefined || value <= maximum);
+  if (typeof value !== "number") throw new SchemaMismatchError();
+  ensure(type === "integer" ? Number.isSafeInteger(value) : Number.isFinite(value));
+  ensure(minimum === undefined || value >= minimum);
+  ensure(maximum === undefined || value <= maximum);
   return value;
 }
 
-function demand(holds: boolean): void {
-  if (!holds) throw new Unread();
+function ensure(condition: boolean): void {
+  if (!condition) throw new SchemaMismatchError();
 }
--- a/src/settings/templates/resolve-policy.ts
+++ b/src/settings/templates/resolve-policy.ts
@@ -22,14 +22,14 @@
     priorityClass: tenant.priorityClass ?? template.priorityClass ?? "standard",
     weight: tenant.weight ?? template.weight ?? 1,
     budget: tenant.budget ?? template.budget ?? { tokens: 0, window: "day" },
-    limits: { ...DEFAULT_LIMITS, ...defined(template.limits), ...defined(tenant.limits) },
+    limits: { ...DEFAULT_LIMITS, ...omitUndefined(template.limits), ...omitUndefined(tenant.limits) },
     services: { ...template.services, ...tenant.services },
     cacheKeepMs: tenant.cacheKeepMs ?? template.cacheKeepMs ?? DEFAULT_CACHE_KEEP_MS,
     deadlineMs: tenant.deadlineMs ?? template.deadlineMs,
   };
 }
 
-function defined(limits: Partial<PolicyLimits> | undefined): Partial<PolicyLimits> {
+function omitUndefined(limits: Partial<PolicyLimits> | undefined): Partial<PolicyLimits> {
   const entries = Object.entries(limits ?? {}).filter(([, value]) => value !== undefined);
   return Object.fromEntries(entries);
 }
--- a/test/contract/settings.test.ts
+++ b/test/contract/settings.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe("templates", () => {
-  const WRONG: [string, string, RegExp][] = [
+  const INVALID_DOCUMENTS: [string, string, RegExp][] = [
     ["an unknown key", "kind: template\nname: a\nbuget: 1\n", /t\.yaml:1: document: .*buget/],
     ["a wrong class", "kind: template\nname: a\npriorityClass: urgent\n", /t\.yaml:3: priorityClass: /],
     ["a name with capitals", "kind: template\nname: PayRun\n", /t\.yaml:2: name: must be lower-case/],
@@ -40,7 +40,7 @@
       /t\.yaml:5: name: /,
     ],
   ];
-  for (const [name, text, message] of WRONG) {
+  for (const [name, text, message] of INVALID_DOCUMENTS) {
     it(`refuses ${name}, with the line and the remedy`, () => {
       expect(() => parse(text)).toThrow(message);
       expect(() => parse(text)).toThrow(/Correct the lines/);
@@ -76,7 +76,7 @@
     expect([settings.cluster.shards, settings.cluster.replicas]).toEqual([4, 5]);
   });
 
-  const WRONG: [string, string[], RegExp][] = [
+  const INVALID_SETTINGS: [string, string[], RegExp][] = [
     ["an unknown key", [...NODE, ...PLATFORM, "colour=1"], /colour/],
     [
       "a host name in place of a number",
@@ -90,7 +90,7 @@
       /callers/,
     ],
   ];
-  for (const [name, flags, message] of WRONG) {
+  for (const [name, flags, message] of INVALID_SETTINGS) {
     it(`are refused with ${name}`, async () => {
       await expect(loadSettings(undefined, flags.map(parseOverride), nodeSettingsSchema)).toBeRejectedWith(
         message,
