--- a/src/errors/error-kinds.ts
+++ b/src/errors/error-kinds.ts
@@ -1,6 +1,6 @@
 import type { ProblemOutcome } from "./problem.ts";
 
-/** What all errors of one kind have in common. */
+/** The properties that all errors of one kind share. */
 export interface ErrorKind {
   readonly title: string;
   readonly status: number;
@@ -9,7 +9,7 @@
   readonly remedy: string;
 }
 
-/** Every kind of problem that a caller or an operator can meet. docs/ERRORS.md is generated from this table. */
+/** Every kind of problem that a caller or an operator can receive. docs/ERRORS.md is generated from this table. */
 export const ERROR_KINDS = {
   "invalid-request": {
     title: "The request is malformed",
@@ -193,5 +193,5 @@
   },
 } as const satisfies Record<string, ErrorKind>;
 
-/** The name of a kind of problem. */
+/** Name of a kind of problem. */
 export type ErrorKindName = keyof typeof ERROR_KINDS;
--- a/src/errors/problem.ts
+++ b/src/errors/problem.ts
@@ -1,20 +1,20 @@
-/** Whether the request ran: `not-run` is only said when it did not and never will. */
+/** Whether the request ran. `not-run` guarantees that it has not run and never will. */
 export type ProblemOutcome = "not-run" | "failed" | "unknown";
 
-/** A problem as it travels between processes and, as an RFC 9457 document, to callers. */
+/** A problem as sent between processes and, as an RFC 9457 document, to callers. */
 export interface Problem {
-  /** A kind of `ERROR_KINDS`, for example `budget-exhausted`. */
+  /** A key of `ERROR_KINDS`, for example `budget-exhausted`. */
   readonly kind: string;
   readonly title: string;
   /** HTTP status. */
   readonly status: number;
   readonly outcome: ProblemOutcome;
-  /** What happened, with the names and numbers of this case. */
+  /** What happened, with the names and values of this case. */
   readonly detail: string;
-  /** What the reader can do about it. */
+  /** What the caller or operator can do about it. */
   readonly remedy: string;
   /** Whether the same request may succeed later. */
   readonly retriable: boolean;
-  /** When to come back, in ms from now, where waiting helps. */
+  /** Time after which to retry, in ms from the response; absent if waiting does not help. */
   readonly retryAfterMs?: number;
 }
--- a/src/launcher/bundle-script.ts
+++ b/src/launcher/bundle-script.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway's bundle as a script, with the compiled code that the build has stored beside it. Machines have small
- * processors and restart often: compiling the bundle anew would be a third of a start.
+ * Loads the gateway's bundle as a script, with the V8 code cache that the build stores beside it. Machines have small
+ * processors and restart often: without the cache, compiling the bundle would take a third of the start-up time.
  */
 import { existsSync, readFileSync } from "node:fs";
 import { createRequire } from "node:module";
@@ -13,15 +13,15 @@
 
 type Bundle = (require: NodeJS.Require) => void;
 
-/** See the module's comment. */
+/** The gateway's bundle, compiled from the code cache if there is a valid one. */
 export class BundleScript {
   readonly #path: string;
   readonly #script: Script;
 
-  /** @param folder where the build has put the bundle and, unless it is being made, its compiled code */
+  /** @param folder contains the bundle and its code cache; the build itself also loads the bundle before the cache exists */
   constructor(folder: string) {
     this.#path = join(folder, BUNDLE_FILE);
-    // The build writes nothing but ASCII, so that one byte is one character.
+    // The build writes only ASCII, so each byte is one character.
     const source = readFileSync(this.#path, "latin1");
     const cache = BundleScript.cachePath(folder);
     const cachedData = existsSync(cache) ? readFileSync(cache) : undefined;
@@ -31,23 +31,26 @@
     });
   }
 
-  /** Where compiled code lies. */
+  /** Returns the path of the code cache. */
   static cachePath(folder: string): string {
     return join(folder, CODE_CACHE_FILE);
   }
 
-  /** Whether there was compiled code, of another version of the runtime or for other flags: it was compiled anew. */
+  /**
+   * Whether V8 rejected the code cache, for example because of another Node.js version or other flags, and compiled the
+   * source.
+   */
   get cacheRejected(): boolean {
     return this.#script.cachedDataRejected === true;
   }
 
-  /** Runs the bundle; each run is a gateway of its own. */
+  /** Runs the bundle; each run starts a separate gateway. */
   run(): void {
     const bundle = this.#script.runInThisContext() as Bundle;
     bundle(createRequire(this.#path));
   }
 
-  /** The compiled code of the functions that have run so far. */
+  /** Returns a code cache with the functions that have run so far. */
   compiledCode(): Buffer {
     return this.#script.createCachedData();
   }
--- a/src/launcher/main.ts
+++ b/src/launcher/main.ts
@@ -1,19 +1,19 @@
-/** Starts the gateway's bundle; see bundle-script.ts. */
+/** Entry point of the gateway: loads the bundle with its code cache and runs it. */
 import { dirname } from "node:path";
 import { setFlagsFromString } from "node:v8";
 import { BundleScript } from "./bundle-script.ts";
 
 /**
- * Bytes of bytecode that a function runs before it may be optimized. A gateway serves some thousand requests in its life:
- * the optimizing compiler costs more than it saves. Set only once everything is loaded: given on the command line, it
- * makes Node.js refuse the compiled code of its own modules, which costs a start 25 ms of 110.
+ * Bytes of bytecode that a function executes before V8 may optimize it. A gateway serves only a few thousand requests in
+ * its lifetime, so the optimizing compiler costs more time than it saves. The flag is set after everything is loaded: on
+ * the command line it would make Node.js reject the code cache of its own modules, which costs 25 ms of a 110 ms start.
  */
 const INTERRUPT_BUDGET_BYTES = 2_000_000;
 
 const script = new BundleScript(dirname(process.argv[1] as string));
 if (script.cacheRejected)
   process.stderr.write(
-    "The stored code is of another version of Node.js or for other flags; it is compiled anew. Run the build again.\n",
+    "The code cache was made by another Node.js version or with other flags; the bundle is compiled from source. Run the build again.\n",
   );
 script.run();
 setFlagsFromString(`--interrupt-budget=${INTERRUPT_BUDGET_BYTES}`);
--- a/src/messages/call-messages.ts
+++ b/src/messages/call-messages.ts
@@ -1,34 +1,37 @@
 import type { Problem } from "../errors/problem.ts";
 import type { CallAnswer, CallRequest } from "../scheduling/program/records.ts";
 
-/** The node that a caller speaks to hands a call to the leader of the program's shard; sent again until an answer comes. */
+/**
+ * Submits a call to the leader of the program's shard. Sent by the node that the caller is connected to, and repeated until
+ * the leader answers.
+ */
 export interface SubmitCall {
   readonly type: "submitCall";
   readonly program: string;
   readonly call: string;
   readonly tenant: string;
-  /** The call's number; undefined for the next free one. */
+  /** Number of the call in its program; undefined requests the next free number. */
   readonly number: number | undefined;
   readonly request: CallRequest;
-  /** The part of the answer that the caller has already seen, after a break. */
+  /** Answer text that the caller received before the call was interrupted. */
   readonly receivedText: string;
-  /** How long the caller waits, in ms from now. */
+  /** How long the caller still waits, in ms from the time of sending. */
   readonly patienceMs: number;
 }
 
-/** The caller hung up: nobody waits for the call any more. */
+/** Reports that the caller closed its connection, so that no client waits for the call any more. */
 export interface AbandonCall {
   readonly type: "abandonCall";
   readonly call: string;
 }
 
-/** The leader has taken the call; repeated as a sign of life while it runs. */
+/** Confirms that the leader accepted the call. Repeated as a heartbeat while the call runs. */
 export interface CallAccepted {
   readonly type: "callAccepted";
   readonly call: string;
 }
 
-/** The receiver does not lead the program's shard. */
+/** Reports that the receiver of a `submitCall` does not lead the program's shard. */
 export interface CallRedirected {
   readonly type: "callRedirected";
   readonly call: string;
@@ -36,16 +39,16 @@
   readonly leader: string | undefined;
 }
 
-/** A piece of the answer's text. */
+/** Part of the answer's text. */
 export interface CallChunk {
   readonly type: "callChunk";
   readonly call: string;
-  /** Position of the piece in the answer's text, in UTF-16 units. */
+  /** Position of the part in the answer's text, in UTF-16 code units. */
   readonly offset: number;
   readonly text: string;
 }
 
-/** The committed end of a call, with the whole answer. */
+/** Reports that a call has finished and its outcome is committed; carries the complete answer. */
 export interface CallFinished {
   readonly type: "callFinished";
   readonly call: string;
@@ -53,12 +56,12 @@
   readonly answer: CallAnswer;
 }
 
-/** The committed end of a call that has no answer. */
+/** Reports that a call has failed and its outcome is committed. */
 export interface CallFailed {
   readonly type: "callFailed";
   readonly call: string;
   readonly problem: Problem;
 }
 
-/** Messages from a leader to the node that the caller speaks to about one call. */
+/** Messages about one call, from the leader to the node that the caller is connected to. */
 export type CallEvent = CallAccepted | CallRedirected | CallChunk | CallFinished | CallFailed;
--- a/src/messages/message.ts
+++ b/src/messages/message.ts
@@ -4,19 +4,21 @@
 import type { ShardAcknowledgements, ShardHeartbeats, ShardMessage } from "./shard-messages.ts";
 import type { SlotMessage } from "./slot-messages.ts";
 
-/** There is a newer configuration; whoever hears of it fetches it from the sender. */
+/**
+ * Announces the sender's configuration version; a receiver with an older version fetches the newer entries from the sender.
+ */
 export interface ConfigurationNews {
   readonly type: "configurationNews";
   readonly version: number;
 }
 
-/** Somebody has read the platform's list of machines. */
+/** Announces that a node has read the platform's list of machines. */
 export interface MachineListNews {
   readonly type: "machineListNews";
   readonly news: SnapshotAnnouncement;
 }
 
-/** Every message between processes of the system. */
+/** Any message between processes of the system. */
 export type Message =
   | ConfigurationNews
   | MachineListNews
--- a/src/messages/rpc-messages.ts
+++ b/src/messages/rpc-messages.ts
@@ -5,17 +5,17 @@
 import type { EndReason, ForkPoint, ProgramRecord } from "../scheduling/program/records.ts";
 import type { ShardCommand } from "../scheduling/shard-state.ts";
 
-/** Opens a program; repeating it with the same identifier changes nothing. */
+/** Opens a program. Idempotent: a repeated request with the same identifier has no effect. */
 export interface OpenProgramRequest {
   readonly program: string;
   readonly tenant: string;
   readonly template: string;
   readonly parent: ForkPoint | undefined;
-  /** Time until the deadline, in ms from now. */
+  /** Time until the deadline, in ms from the time of sending. */
   readonly deadlineMs: number | undefined;
 }
 
-/** A program, with its calls, refusals and history. */
+/** A program with its calls, refusals and history. */
 export interface ProgramView {
   readonly program: ProgramRecord;
 }
@@ -30,24 +30,26 @@
 /** Reads a program. */
 export interface ReadProgramRequest {
   readonly program: string;
-  /** Refused when the program is another tenant's; undefined for operators. */
+  /** The request is refused if the program belongs to another tenant; undefined for operators. */
   readonly tenant: string | undefined;
 }
 
-/** Reads why a call or program was treated as it was. */
+/** Reads the scheduling decision about a call or a program. */
 export interface ReadDecisionRequest {
   readonly subject: string;
   readonly tenant: string | undefined;
 }
 
-/** The decision, and how the call stands. */
+/** A decision, and the current state of the call or program that it is about. */
 export interface DecisionView {
   readonly decision: Decision;
   readonly state: "running" | "answered" | "failed" | "refused" | "open" | "ended";
   readonly problem: Problem | undefined;
 }
 
-/** What every process needs to find its way. */
+/**
+ * The nodes, shards and runners of the cluster, from which a process finds the leader of a shard or the home of a runner.
+ */
 export interface ClusterView {
   readonly shardCount: number;
   readonly configurationVersion: number;
@@ -56,7 +58,7 @@
   readonly runners: readonly RunnerStatus[];
 }
 
-/** One node. */
+/** One node of the cluster. */
 export interface NodeView {
   readonly instance: string;
   readonly address: string;
@@ -64,7 +66,7 @@
   readonly leaving: boolean;
 }
 
-/** One shard, as the answering node knows it. */
+/** State of one shard, as known to the responding node. */
 export interface ShardView {
   readonly shard: number;
   readonly role: string;
@@ -74,7 +76,7 @@
   readonly programs: number;
 }
 
-/** One runner, as the answering node knows it. */
+/** State of one runner, as known to the responding node. */
 export interface RunnerStatus {
   readonly runner: string;
   readonly pool: string;
@@ -85,7 +87,7 @@
   readonly expectedWaitMs: number;
 }
 
-/** Asks the ledger's shard to lend. */
+/** Requests a loan of tokens from the shard that holds the budget's ledger. */
 export interface BorrowRequest {
   readonly budget: string;
   readonly tenant: string;
@@ -94,12 +96,12 @@
   readonly wantedTotal: number;
 }
 
-/** The borrower's running total. */
+/** The total that the borrower has been granted so far. */
 export interface BorrowResponse {
   readonly grantedTotal: number;
 }
 
-/** Tells the ledger what a borrower returned and spent. */
+/** Reports to the ledger how much a borrower has returned and spent in total. */
 export interface ReportLoanRequest {
   readonly budget: string;
   readonly borrower: string;
@@ -113,12 +115,12 @@
   readonly template: string;
 }
 
-/** The name of a budget in its present window. */
+/** The name of a budget in its current window. */
 export interface NameBudgetResponse {
   readonly budget: string;
 }
 
-/** A budget as its ledger has it; in tokens. */
+/** State of a budget in its ledger; amounts in tokens. */
 export interface BudgetView {
   readonly budget: string;
   readonly limit: number;
@@ -127,147 +129,150 @@
   readonly borrowers: readonly { readonly borrower: string; readonly lent: number; readonly spent: number }[];
 }
 
-/** Asks a node for configuration entries that the asker lacks. */
+/** Requests the configuration entries that are newer than the requester's version. */
 export interface FetchConfigurationRequest {
   readonly afterVersion: number;
 }
 
-/** One accepted change of configuration. */
+/** One accepted configuration change. */
 export interface ConfigurationEntry {
   readonly version: number;
-  /** Chosen by whoever applied it; the same identifier is accepted once. */
+  /** Identifier chosen by the client that applied the change. A change with a known identifier is not applied again. */
   readonly change: string;
   readonly atMs: number;
   readonly key: string;
-  /** The new content; undefined when the key was removed. */
+  /** New content of the key; undefined if the key was removed. */
   readonly content: string | undefined;
 }
 
-/** Entries in order of version. */
+/** Configuration entries in order of their version. */
 export interface FetchConfigurationResponse {
   readonly entries: readonly ConfigurationEntry[];
   readonly newestVersion: number;
 }
 
-/** Applies a change of configuration. */
+/** Applies a configuration change. */
 export interface ApplyConfigurationRequest {
   readonly change: string;
   readonly key: string;
   readonly content: string | undefined;
-  /** Version of the key that the change was made from; 0 for a new key. */
+  /** Version of the key on which the change is based; 0 for a new key. */
   readonly baseVersion: number;
 }
 
-/** The change is accepted. */
+/** Confirms that the change was accepted. */
 export interface ApplyConfigurationResponse {
   readonly version: number;
   readonly alreadyApplied: boolean;
 }
 
-/** Reads a key's history. */
+/** Reads the history of all keys with a prefix. */
 export interface ReadConfigurationRequest {
   readonly prefix: string;
 }
 
-/** Entries that touched the keys, oldest first. */
+/** Entries that changed the keys, oldest first. */
 export interface ReadConfigurationResponse {
   readonly entries: readonly ConfigurationEntry[];
   readonly version: number;
 }
 
-/** Asks a node to hand its work over and leave. */
+/** Requests that a node transfer its work to other nodes and leave the cluster. */
 export interface DrainNodeRequest {
   readonly reason: string;
 }
 
-/** Changes a process's log level. */
+/** Changes the log level of a process. */
 export interface SetLogLevelRequest {
   readonly level: string;
 }
 
-/** Asks a node for the list of machines; `digest` says which content the asker has. */
+/** Requests the list of machines; `digest` identifies the content that the requester already has. */
 export interface FetchMachinesRequest {
   readonly digest: string;
 }
 
-/** What turns one list of machines into another. */
+/** The difference between two versions of the list of machines. */
 export interface MachineChanges {
-  /** Whether the changes start from an empty list. */
+  /** Whether the changes apply to an empty list instead of the requester's content. */
   readonly whole: boolean;
   readonly put: readonly Machine[];
   readonly removed: readonly string[];
 }
 
-/** The list of machines, as a difference where the asker's content is known. */
+/** The list of machines; only the difference if the responding node knows the requester's content. */
 export interface FetchMachinesResponse {
   readonly digest: string;
-  /** Time since somebody read the platform's list for this content, in ms. */
+  /** Time since a node read this content from the platform's list, in ms. */
   readonly ageMs: number;
   readonly changes: MachineChanges;
 }
 
-/** Asks a node to recover a shard whose replicas are lost, from the object store. */
+/** Requests that a node recover a shard from the object store after all its replicas were lost. */
 export interface RecoverShardRequest {
   readonly shard: number;
 }
 
-/** The shard starts anew. */
+/** Reports the state with which the recovered shard starts. */
 export interface RecoverShardResponse {
   readonly generation: number;
-  /** Programs that were recovered. */
+  /** Number of recovered programs. */
   readonly programs: number;
   readonly lastIndex: number;
 }
 
-/** Asks whether a node holds a replica of a shard, or tells it to look at the table for a recovered one. */
+/**
+ * Asks whether a node holds a replica of a shard. With `adopt`, the node also reads the table for a recovered generation of
+ * the shard.
+ */
 export interface ShardPresenceRequest {
   readonly shard: number;
   readonly adopt: boolean;
 }
 
-/** Whether the node holds a replica that votes, and of which generation. */
+/** Whether the node holds a voting replica, and its generation. */
 export interface ShardPresenceResponse {
   readonly instance: string;
   readonly holds: boolean;
   readonly generation: number;
 }
 
-/** Asks which programs need no cache any more: they ended, or pause for longer than their template keeps it. */
+/** Asks which programs no longer need their cache: they have ended, or paused longer than their template retains it. */
 export interface FindGoneRequest {
   readonly programs: readonly string[];
 }
 
-/** The programs whose cache may go. */
+/** The programs whose cache may be freed. */
 export interface FindGoneResponse {
   readonly gone: readonly string[];
 }
 
-/** Commits a command on a shard; sent by a node that carries out a call but no longer leads its shard. */
+/** Commits a command on a shard. Sent by a node that still executes a call but no longer leads the call's shard. */
 export interface CommitRequest {
   readonly shard: number;
   readonly command: ShardCommand;
 }
 
-/** What became of the command. */
+/** The result of applying the command. */
 export interface CommitResponse {
   readonly result: ApplyResult;
 }
 
-/** A new leader asks whether a node still carries out a call. */
+/** Asks whether a node still executes a call. Sent by a new leader. */
 export interface QueryCallRequest {
   readonly call: string;
   readonly attempt: number;
 }
 
-/** Whether the call is still being carried out. */
+/** Whether the node still executes the call. */
 export interface QueryCallResponse {
   readonly running: boolean;
 }
 
-/** Nothing to say. */
+/** A body without fields. */
 export type Empty = Record<string, never>;
 
-/** Every request with its response. */
+/** Body types of every request and its response, by the request's name. */
 export interface RpcSchema {
   openProgram: { request: OpenProgramRequest; response: ProgramView };
   endProgram: { request: EndProgramRequest; response: ProgramView };
@@ -291,18 +296,18 @@
   setLogLevel: { request: SetLogLevelRequest; response: Empty };
 }
 
-/** The name of a request. */
+/** Name of an RPC request. */
 export type RpcName = keyof RpcSchema;
 
-/** A list of requests and their responses, by name. */
+/** The shape of every RPC schema: request and response types by name. */
 export type RpcSchemaShape<Schema> = {
   readonly [Name in keyof Schema]: { request: unknown; response: unknown };
 };
 
-/** Chosen by whoever asks, and given back as it came: earlier builds send texts. */
+/** Identifier chosen by the requester and returned unchanged. A string is allowed because earlier builds send strings. */
 export type RpcId = number | string;
 
-/** A request on the wire. */
+/** An RPC request as sent between processes. */
 export interface RpcRequest<Schema extends RpcSchemaShape<Schema> = RpcSchema> {
   readonly type: "rpcRequest";
   readonly id: RpcId;
@@ -310,14 +315,14 @@
   readonly body: Schema[keyof Schema]["request"];
 }
 
-/** How a request ended. */
+/** The outcome of an RPC request. */
 export type RpcResult<Schema extends RpcSchemaShape<Schema> = RpcSchema> =
   | { readonly type: "done"; readonly body: Schema[keyof Schema]["response"] }
   | { readonly type: "problem"; readonly problem: Problem }
-  /** The receiver does not lead the shard that the request is about. */
+  /** The receiver does not lead the shard that the request addresses. */
   | { readonly type: "redirect"; readonly leader: string | undefined };
 
-/** A response on the wire. */
+/** An RPC response as sent between processes. */
 export interface RpcResponse<Schema extends RpcSchemaShape<Schema> = RpcSchema> {
   readonly type: "rpcResponse";
   readonly id: RpcId;
--- a/src/messages/shard-messages.ts
+++ b/src/messages/shard-messages.ts
@@ -5,12 +5,15 @@
 export interface ShardMessage {
   readonly type: "shard";
   readonly shard: number;
-  /** The replica that is meant; another instance under the same address must not answer for it. */
+  /** Instance of the addressed replica. A different instance at the same address must ignore the message. */
   readonly to: string;
   readonly message: ShardGroupMessage<ShardCommand>;
 }
 
-/** The heartbeat of one shard; an append request without entries, less what all heartbeats to a node share. */
+/**
+ * The heartbeat of one shard: an append request without entries, and without the fields that {@link ShardHeartbeats} holds
+ * once.
+ */
 export interface HeartbeatItem {
   readonly shard: number;
   readonly term: number;
@@ -19,7 +22,7 @@
   readonly commitIndex: number;
 }
 
-/** The heartbeats of all shards that one node leads and another follows. */
+/** The heartbeats of all shards that the sender leads and the receiver follows, sent as one message. */
 export interface ShardHeartbeats {
   readonly type: "shardHeartbeats";
   readonly to: string;
@@ -27,7 +30,7 @@
   readonly items: readonly HeartbeatItem[];
 }
 
-/** The answer to an append request of one shard. */
+/** The response to an append request of one shard. */
 export interface AcknowledgementItem {
   readonly shard: number;
   readonly term: number;
@@ -35,7 +38,7 @@
   readonly matchIndex: number;
 }
 
-/** The answers of one node to another. */
+/** The responses of one node to append requests of another, sent as one message. */
 export interface ShardAcknowledgements {
   readonly type: "shardAcknowledgements";
   readonly to: string;
--- a/src/messages/slot-messages.ts
+++ b/src/messages/slot-messages.ts
@@ -1,13 +1,18 @@
 import type { SlotRequest } from "../scheduling/queue/slot-request.ts";
 
-/** A leader asks a runner's home for a slot. Sent again until it is answered. */
+/**
+ * Requests a slot of a runner from the runner's home (the node that grants its slots). Sent by a shard leader and repeated
+ * until answered.
+ */
 export interface RequestSlot {
   readonly type: "requestSlot";
   readonly runner: string;
   readonly request: SlotRequest;
 }
 
-/** The home grants the slot. The engine takes the call only with a token that is not older than its newest. */
+/**
+ * Grants the slot. The engine accepts the call only if the fencing token is at least as new as the newest that it has seen.
+ */
 export interface SlotGranted {
   readonly type: "slotGranted";
   readonly runner: string;
@@ -18,7 +23,7 @@
   readonly load: readonly RunnerLoad[];
 }
 
-/** The home put the request in line. */
+/** Reports that the home has queued the request. */
 export interface SlotQueued {
   readonly type: "slotQueued";
   readonly runner: string;
@@ -27,7 +32,7 @@
   readonly expectedWaitMs: number;
 }
 
-/** The home does not grant the slot, now or later. */
+/** Reports that the home rejects the request; it is not queued either. */
 export interface SlotRefused {
   readonly type: "slotRefused";
   readonly runner: string;
@@ -38,7 +43,7 @@
   readonly load: readonly RunnerLoad[];
 }
 
-/** The leader is done with a slot, or no longer wants one. */
+/** Releases a slot, or cancels the request for one. */
 export interface ReleaseSlot {
   readonly type: "releaseSlot";
   readonly runner: string;
@@ -46,7 +51,7 @@
   readonly attempt: number;
 }
 
-/** The load of one runner, as its home sees it. */
+/** The load of one runner, as known to its home. */
 export interface RunnerLoad {
   readonly runner: string;
   readonly fencingToken: number;
@@ -55,20 +60,20 @@
   readonly leaving: boolean;
 }
 
-/** A home says which runners it serves; sent on a change and now and then. */
+/** Announces the runners of a home. Sent after a change and periodically. */
 export interface AnnounceRunners {
   readonly type: "announceRunners";
   readonly load: readonly RunnerLoad[];
 }
 
-/** A program has ended: the home frees what the runner holds for it. */
+/** Reports that a program has ended, so that the home frees what the runner holds for it. */
 export interface ReleaseProgram {
   readonly type: "releaseProgram";
   readonly runner: string;
   readonly program: string;
 }
 
-/** Messages between leaders and homes. */
+/** Messages between shard leaders and the homes of runners. */
 export type SlotMessage =
   | RequestSlot
   | SlotGranted
--- a/src/settings/ingress-settings.ts
+++ b/src/settings/ingress-settings.ts
@@ -38,12 +38,12 @@
   addressesTtlS: z.number().min(0.1).max(60).default(2).describe("How long callers keep addresses, s"),
 });
 
-/** Settings of a node's side towards callers. */
+/** Settings for the handling of callers' requests at a node. */
 export const ingressSettingsSchema = z.strictObject({
   defaultTenant: nameSchema.optional().describe("Tenant of requests that name none"),
   limits: limitsSchema.prefault({}),
   timing: timingSchema.prefault({}),
 });
 
-/** Settings of a node's side towards callers. */
+/** Settings for the handling of callers' requests at a node. */
 export type IngressSettings = z.infer<typeof ingressSettingsSchema>;
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -4,16 +4,16 @@
 import { configurationError } from "../errors/tulipwheel-error.ts";
 import { parseYaml } from "./parse-yaml.ts";
 
-/** A flag that overrides a setting: the path of keys, and the text given. */
+/** A command-line override of one setting: its key path and the new value as text. */
 export interface SettingOverride {
   readonly path: readonly string[];
   readonly text: string;
 }
 
 /**
- * Reads a settings file, lays the flags over it, and checks the whole.
+ * Reads a settings file, applies the command-line overrides, and validates the result.
  *
- * @param onUnknown told of keys that are passed over because the schema does not have them; without it they are errors
+ * @param onUnknown called with the keys that are ignored because the schema does not define them; without it they are errors
  */
 export async function loadSettings<Schema extends z.ZodType>(
   file: string | undefined,
@@ -30,8 +30,8 @@
 }
 
 /**
- * Settings that are valid and written as JSON: reading and checking them takes 6 ms of a start where YAML takes 12 (medians of
- * 6 CPU profiles). Undefined for all others; what is wrong with them is for the YAML parser to say, which knows lines.
+ * Reads and validates settings in JSON format, which takes 6 ms at the start of a process instead of 12 ms with the YAML
+ * parser. Returns undefined for all other input; the YAML parser then reads it and reports errors with line numbers.
  */
 function parseValidJson<Schema extends z.ZodType>(text: string, schema: Schema): z.infer<Schema> | undefined {
   if (!text.startsWith("{")) return undefined;
@@ -45,7 +45,7 @@
   return checked.success ? checked.data : undefined;
 }
 
-/** Parses `a.b.c=value`. */
+/** Parses an override of the form `a.b.c=value`. */
 export function parseOverride(flag: string): SettingOverride {
   const separator = flag.indexOf("=");
   if (separator <= 0) throw configurationError("invalid-settings", `--set ${flag}: must be key=value.`);
@@ -78,7 +78,7 @@
   setAt(next, rest, value);
 }
 
-/** The settings as text without the keys that the schema does not have. */
+/** Returns the settings text without the keys that the schema does not define. */
 function withoutUnknownKeys(
   text: string,
   schema: z.ZodType,
--- a/src/settings/parse-yaml.ts
+++ b/src/settings/parse-yaml.ts
@@ -3,15 +3,15 @@
 import type { ErrorKindName } from "../errors/error-kinds.ts";
 import { configurationError } from "../errors/tulipwheel-error.ts";
 
-/** A checked document, with its own text. */
+/** A valid document with its source text. */
 export interface ParsedDocument<Value> {
   readonly value: Value;
   readonly text: string;
 }
 
 /**
- * Parses YAML and checks every document by a schema.
- * Throws a `ConfigurationError` that names file, line and remedy of everything that is wrong.
+ * Parses YAML and validates every document against a schema.
+ * Throws a `ConfigurationError` that lists all errors with file and line, and the remedy.
  */
 export function parseYaml<Schema extends z.ZodType>(
   text: string,
@@ -42,7 +42,7 @@
   return parsed;
 }
 
-/** Where the value at a path begins, or the innermost part of the path that exists. */
+/** Returns the offset of the value at a path, or of its innermost ancestor that exists. */
 function offsetOfPath(root: unknown, path: readonly PropertyKey[]): number | undefined {
   let node = root as YAMLMap | undefined;
   let offset = node?.range?.[0];
--- a/src/settings/read-by-schema.ts
+++ b/src/settings/read-by-schema.ts
@@ -1,10 +1,11 @@
 /**
- * Reads values by a JSON Schema, and lays in its defaults: for processes that have to start with little work, whose settings
- * are valid nearly always. What is wrong with a value is not said; the library that the schema was made by does that. Only
- * the keywords that it writes for settings are known: a schema with others reads nothing.
+ * Validates values against a JSON Schema and fills in its defaults. It is for processes that must start quickly and whose
+ * settings are almost always valid. It doesn't report what is wrong with an invalid value; the library that generated the
+ * schema does that. Only the keywords that the library generates for settings are supported: a schema with any other keyword
+ * rejects every value.
  */
 
-/** The part of JSON Schema that settings need. */
+/** The subset of JSON Schema that settings use. */
 export interface JsonSchema {
   readonly type?: string;
   readonly default?: unknown;
@@ -35,10 +36,10 @@
   "maximum",
 ]);
 
-/** Thrown where a value or its schema is not understood. */
+/** Thrown when a value is invalid or its schema is not supported. */
 class SchemaMismatchError extends Error {}
 
-/** A value with its defaults; undefined when it is not valid, or the schema is not understood. */
+/** Returns a value with its defaults filled in; undefined if it is invalid or the schema is not supported. */
 export function readBySchema(value: unknown, schema: JsonSchema): unknown {
   try {
     return read(value, schema);
--- a/src/settings/templates/resolve-policy.ts
+++ b/src/settings/templates/resolve-policy.ts
@@ -1,7 +1,7 @@
 import type { EffectivePolicy, PolicyLimits } from "../../scheduling/policy/effective-policy.ts";
 import type { TemplateDocument, TenantDocument } from "./template-schema.ts";
 
-/** What holds where neither the template nor the tenant's parameters say anything. */
+/** Limits that apply if neither the template nor the tenant's parameters set them. */
 const DEFAULT_LIMITS: PolicyLimits = {
   turns: 240,
   historyTokens: 440_000,
@@ -13,7 +13,7 @@
 
 const DEFAULT_CACHE_KEEP_MS = 30_000;
 
-/** Lays a tenant's parameters over a template. */
+/** Combines a template with a tenant's parameters; the tenant's values take precedence. */
 export function resolvePolicy(template: TemplateDocument, tenant: TenantDocument): EffectivePolicy {
   return {
     tenant: tenant.tenant,
--- a/src/settings/templates/template-schema.ts
+++ b/src/settings/templates/template-schema.ts
@@ -1,6 +1,7 @@
 /**
- * Templates: what a family of programs may use. One document states the defaults of a template, another one the
- * parameters of one tenant; both are checked by the same schema, and unknown keys are refused.
+ * Schemas of templates. A template defines which models, services, budget and limits a group of programs may use. One
+ * document sets the defaults of a template, another one the parameters of one tenant. Both accept the same parameters, and
+ * unknown keys are rejected.
  */
 import * as z from "zod";
 import { PRIORITY_CLASSES } from "../../scheduling/policy/effective-policy.ts";
@@ -46,7 +47,7 @@
   ...parameterFields,
 });
 
-/** The parameters of one tenant for a template; what it leaves out comes from the template. */
+/** The parameters of one tenant for a template; omitted values are taken from the template. */
 export const tenantDocumentSchema = z.strictObject({
   kind: z.literal("tenant"),
   template: nameSchema,
@@ -54,14 +55,14 @@
   ...parameterFields,
 });
 
-/** What operators want of one runner. */
+/** The state of one runner that operators request. */
 export const runnerDocumentSchema = z.strictObject({
   kind: z.literal("runner"),
   name: nameSchema,
   draining: z.boolean().describe("Whether the runner takes no more work"),
 });
 
-/** Any document. */
+/** Any configuration document. */
 export const configurationDocumentSchema = z.discriminatedUnion("kind", [
   templateDocumentSchema,
   tenantDocumentSchema,
@@ -72,12 +73,12 @@
 export type TemplateDocument = z.infer<typeof templateDocumentSchema>;
 /** The parameters of one tenant. */
 export type TenantDocument = z.infer<typeof tenantDocumentSchema>;
-/** What operators want of one runner. */
+/** The state of one runner that operators request. */
 export type RunnerDocument = z.infer<typeof runnerDocumentSchema>;
-/** Any document. */
+/** Any configuration document. */
 export type ConfigurationDocument = z.infer<typeof configurationDocumentSchema>;
 
-/** The configuration key under which a document is kept. */
+/** Returns the configuration key under which a document is stored. */
 export function keyOfDocument(document: ConfigurationDocument): string {
   switch (document.kind) {
     case "template":
@@ -89,17 +90,17 @@
   }
 }
 
-/** The key of what operators want of a runner. */
+/** Returns the configuration key of a runner's document. */
 export function runnerKey(runner: string): string {
   return `runner/${runner}`;
 }
 
-/** The key of a template. */
+/** Returns the configuration key of a template. */
 export function templateKey(template: string): string {
   return `template/${template}`;
 }
 
-/** The key of a tenant's parameters. */
+/** Returns the configuration key of a tenant's parameters. */
 export function tenantKey(template: string, tenant: string): string {
   return `tenant/${template}/${tenant}`;
 }
--- a/src/telemetry/metrics-server.ts
+++ b/src/telemetry/metrics-server.ts
@@ -2,7 +2,7 @@
 import { listenAt } from "../runtime/listen-at.ts";
 import type { MetricsSource } from "./metrics.ts";
 
-/** Serves `GET /metrics` (Prometheus text) and `GET /healthz` of a node. */
+/** HTTP server of a node for `GET /metrics` (Prometheus text) and `GET /healthz`. */
 export class MetricsServer {
   readonly #server: Server;
 
@@ -20,12 +20,12 @@
     });
   }
 
-  /** Listens; returns the address, with the port that was taken for port 0. */
+  /** Starts to listen; returns the address with the actual port, which port 0 leaves to the system. */
   listen(address: string): Promise<string> {
     return listenAt(this.#server, address);
   }
 
-  /** Ends at once. */
+  /** Closes the server and its open connections immediately. */
   close(): void {
     this.#server.closeAllConnections();
     this.#server.close();
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,20 +1,20 @@
 import { Counter, collectDefaultMetrics, Gauge, type Metric, Registry } from "prom-client";
 
-/** Anything whose metrics can be read as Prometheus text. */
+/** A source of metrics in the Prometheus text format. */
 export interface MetricsSource {
   render(): Promise<{ readonly contentType: string; readonly text: string }>;
 }
 
-/** A number that is read when the metrics are. */
+/** A metric whose value is read when the metrics are collected. */
 export interface MetricDefinition {
   readonly name: string;
   readonly help: string;
-  /** Counters only grow; gauges go both ways. */
+  /** A counter only increases; a gauge can also decrease. */
   readonly type: "counter" | "gauge";
   read(): number;
 }
 
-/** The metrics of one process. Names begin with `tulipwheel_`. */
+/** The metrics of one process. All names start with `tulipwheel_`. */
 export class ProcessMetrics implements MetricsSource {
   readonly #registry = new Registry();
 
@@ -23,7 +23,7 @@
     for (const definition of definitions) this.#define(definition);
   }
 
-  /** Adds a metric that keeps its own numbers. */
+  /** Adds a metric that stores its own values. */
   register(metric: Metric): void {
     this.#registry.registerMetric(metric);
   }
--- a/test/contract/bundle-script.test.ts
+++ b/test/contract/bundle-script.test.ts
@@ -1,4 +1,4 @@
-/** The start of the gateway's bundle from compiled code, and without. */
+/** Tests loading the gateway's bundle with and without a code cache. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -9,7 +9,7 @@
 const RUNS = "bundleScriptTestRuns";
 const counters = globalThis as unknown as Record<string, number>;
 
-/** Writes a bundle that counts its runs. The runtime keeps scripts by their text, so that each test has another one. */
+/** Writes a bundle that counts its runs. V8 caches scripts by their source text, so each test needs a different text. */
 function writeBundle(step: number): string {
   const folder = mkdtempSync(join(tmpdir(), "tulipwheel-bundle-"));
   folders.push(folder);
@@ -28,7 +28,7 @@
     for (const folder of folders) rmSync(folder, { recursive: true });
   });
 
-  it("runs the bundle without compiled code, and with it", () => {
+  it("runs the bundle with and without a code cache", () => {
     const folder = writeBundle(1);
     const first = new BundleScript(folder);
     first.run();
@@ -39,7 +39,7 @@
     expect(counters[RUNS]).toEqual(6);
   });
 
-  it("compiles the bundle anew where the compiled code does not fit", () => {
+  it("compiles the bundle from source if the code cache is rejected", () => {
     const folder = writeBundle(2);
     writeFileSync(BundleScript.cachePath(folder), "not compiled code");
     const script = new BundleScript(folder);
--- a/test/contract/settings.test.ts
+++ b/test/contract/settings.test.ts
@@ -23,31 +23,35 @@
 describe("templates", () => {
   const INVALID_DOCUMENTS: [string, string, RegExp][] = [
     ["an unknown key", "kind: template\nname: a\nbuget: 1\n", /t\.yaml:1: document: .*buget/],
-    ["a wrong class", "kind: template\nname: a\npriorityClass: urgent\n", /t\.yaml:3: priorityClass: /],
+    [
+      "an unknown priority class",
+      "kind: template\nname: a\npriorityClass: urgent\n",
+      /t\.yaml:3: priorityClass: /,
+    ],
     ["a name with capitals", "kind: template\nname: PayRun\n", /t\.yaml:2: name: must be lower-case/],
     ["a negative budget", "kind: template\nname: a\nbudget:\n  tokens: -1\n", /t\.yaml:4: budget\.tokens: /],
     [
-      "a pattern that is none",
+      "a malformed pattern of repeatable calls",
       "kind: template\nname: a\nservices:\n  x:\n    repeatable: [get]\n",
       /t\.yaml:5: services\.x\.repeatable\.0/,
     ],
     ["broken YAML", "kind: [\n", /t\.yaml:\d+: /],
     ["an unknown kind", "kind: tulip\n", /t\.yaml:1: kind: /],
-    ["nothing at all", "", /t\.yaml: is empty/],
+    ["an empty file", "", /t\.yaml: is empty/],
     [
-      "a mistake in the second document",
+      "an error in the second document",
       "kind: template\nname: a\n---\nkind: template\nname: B\n",
       /t\.yaml:5: name: /,
     ],
   ];
   for (const [name, text, message] of INVALID_DOCUMENTS) {
-    it(`refuses ${name}, with the line and the remedy`, () => {
+    it(`are rejected for ${name}, with the line and the remedy`, () => {
       expect(() => parse(text)).toThrow(message);
       expect(() => parse(text)).toThrow(/Correct the lines/);
     });
   }
 
-  it("lays a tenant's parameters over the template's defaults", () => {
+  it("override the template's defaults with a tenant's parameters", () => {
     const [template, tenant] = parse(
       "kind: template\nname: a\nmodels: [m]\nlimits: { turns: 5, depth: 2 }\n---\n" +
         "kind: tenant\ntemplate: a\ntenant: t\nlimits: { turns: 9 }\nbudget: { tokens: 7 }\n",
@@ -59,7 +63,7 @@
   });
 
   for (const file of ["examples/magnolia/templates.yaml", "examples/rateora/templates.yaml"]) {
-    it(`accepts ${file}`, async () => {
+    it(`are valid in ${file}`, async () => {
       expect(parse(await readFile(file, "utf8")).length).toEqual(4);
     });
   }
@@ -70,7 +74,7 @@
   const NODE = ["name=a", "region=r", "zone=z", ...ADDRESSES];
   const PLATFORM = ["table", "objects", "machineList"].map((name) => `platform.${name}=127.0.0.1:3`);
 
-  it("take flags over the file, and fill in defaults", async () => {
+  it("apply overrides and fill in defaults", async () => {
     const flags = [...NODE, ...PLATFORM, "cluster.shards=4"].map(parseOverride);
     const settings = await loadSettings(undefined, flags, nodeSettingsSchema);
     expect([settings.cluster.shards, settings.cluster.replicas]).toEqual([4, 5]);
@@ -79,7 +83,7 @@
   const INVALID_SETTINGS: [string, string[], RegExp][] = [
     ["an unknown key", [...NODE, ...PLATFORM, "colour=1"], /colour/],
     [
-      "a host name in place of a number",
+      "a host name instead of an IP address",
       [...NODE, ...PLATFORM, "address=localhost:1"],
       /must be an IP address/,
     ],
@@ -91,14 +95,14 @@
     ],
   ];
   for (const [name, flags, message] of INVALID_SETTINGS) {
-    it(`are refused with ${name}`, async () => {
+    it(`are rejected with ${name}`, async () => {
       await expect(loadSettings(undefined, flags.map(parseOverride), nodeSettingsSchema)).toBeRejectedWith(
         message,
       );
     });
   }
 
-  it("are read from JSON as from YAML, and say the line of what is wrong in either", async () => {
+  it("can be written as JSON or YAML, and errors name the line in both formats", async () => {
     const folder = await mkdtemp(join(tmpdir(), "tulipwheel-settings-"));
     const file = join(folder, "settings.json");
     const node = await loadSettings(undefined, [...NODE, ...PLATFORM].map(parseOverride), nodeSettingsSchema);
@@ -111,7 +115,7 @@
     await rm(folder, { recursive: true });
   });
 
-  it("go on without keys of newer builds where the reader says so, and only without those", async () => {
+  it("ignore only unknown keys, such as those of newer builds, if the caller of loadSettings allows it", async () => {
     const folder = await mkdtemp(join(tmpdir(), "tulipwheel-settings-"));
     const node = await loadSettings(undefined, [...NODE, ...PLATFORM].map(parseOverride), nodeSettingsSchema);
     const newer = { ...node, colour: 1, cluster: { ...node.cluster, shade: 2 } };
@@ -131,21 +135,21 @@
     await rm(folder, { recursive: true });
   });
 
-  it("say which file cannot be read", async () => {
+  it("name the file that cannot be read", async () => {
     await expect(loadSettings("none.yaml", [], nodeSettingsSchema)).toBeRejectedWith(
       /none\.yaml: cannot be read/,
     );
   });
 
   for (const deployment of ["magnolia", "rateora"]) {
-    it(`of ${deployment} are accepted`, async () => {
+    it(`of ${deployment} are valid`, async () => {
       await loadSettings(`examples/${deployment}/node.yaml`, [], nodeSettingsSchema);
     });
   }
 });
 
 describe("errors", () => {
-  it("each name a remedy, and the page lists each with its status and outcome", async () => {
+  it("are all listed in docs/ERRORS.md with status, outcome, title and remedy", async () => {
     const page = await readFile("docs/ERRORS.md", "utf8");
     const lines = Object.entries(ERROR_KINDS).map(
       ([kind, { title, status, outcome, remedy }]) =>
@@ -154,7 +158,7 @@
     expect(lines.filter((line) => !page.includes(line))).toEqual([]);
   });
 
-  it("carry their kind's outcome unless told otherwise", () => {
+  it("have the outcome of their kind unless it is overridden", () => {
     expect(problemOf("overloaded", "x").outcome).toEqual("not-run");
     expect(problemOf("overloaded", "x", { outcome: "failed" }).outcome).toEqual("failed");
   });
