--- a/src/cli/commands/cluster-commands.ts
+++ b/src/cli/commands/cluster-commands.ts
@@ -26,22 +26,22 @@
     const views = await Promise.all(
       cluster.nodes.map((node) => client.ask("readCluster", {}, node.address).catch(() => undefined)),
     );
-    const led = views.flatMap((view) => view?.shards.filter((shard) => shard.role === "leader") ?? []);
+    const ledShards = views.flatMap((view) => view?.shards.filter((shard) => shard.role === "leader") ?? []);
     const rows = cluster.nodes.map(({ instance, address, zone, leaving }, index) => [
       instance,
       address,
       zone,
       nodeState(leaving, views[index]),
       String(views[index]?.configurationVersion ?? "-"),
-      String(led.filter((shard) => shard.leader === instance).length),
+      String(ledShards.filter((shard) => shard.leader === instance).length),
     ]);
     const text = [
       formatTable(["NODE", "ADDRESS", "ZONE", "STATE", "CONFIGURATION", "SHARDS LED"], rows),
-      `\n${led.length} of ${cluster.shardCount} shards have a leader; ${programCount(led)} programs.`,
+      `\n${ledShards.length} of ${cluster.shardCount} shards have a leader; ${programCount(ledShards)} programs.`,
       `${cluster.runners.filter((runner) => runner.home).length} of ${cluster.runners.length} runners have a home.`,
     ];
-    this.print({ ...cluster, shards: led }, text.join("\n"));
-    return led.length === cluster.shardCount ? EXIT_CODES.done : EXIT_CODES.unavailable;
+    this.print({ ...cluster, shards: ledShards }, text.join("\n"));
+    return ledShards.length === cluster.shardCount ? EXIT_CODES.done : EXIT_CODES.unavailable;
   }
 }
 
@@ -87,7 +87,9 @@
         if (!this.all || problemOfError(error).kind !== "shard-alive") throw error;
       }
     }
-    const rows = recovered.map((one) => [one.shard, one.generation, one.programs, one.lastIndex].map(String));
+    const rows = recovered.map((result) =>
+      [result.shard, result.generation, result.programs, result.lastIndex].map(String),
+    );
     this.print(recovered, formatTable(["SHARD", "GENERATION", "PROGRAMS", "LAST INDEX"], rows));
     return EXIT_CODES.done;
   }
--- a/src/cli/commands/explain-logs-command.ts
+++ b/src/cli/commands/explain-logs-command.ts
@@ -2,8 +2,8 @@
 import { requestError } from "../../errors/tulipwheel-error.ts";
 import { EXIT_CODES } from "../exit-codes.ts";
 import { formatTable } from "../format-table.ts";
+import { buildTimeline } from "../logs/build-timeline.ts";
 import { readLogs } from "../logs/read-logs.ts";
-import { tellStory } from "../logs/tell-story.ts";
 import { TulipwheelCommand } from "../tulipwheel-command.ts";
 
 /** `tulipwheel explain ID --logs FILE` */
@@ -23,19 +23,19 @@
   logs = Option.Array("--logs", { required: true, description: "A file of JSON lines; may be given often" });
 
   protected override async run(): Promise<number> {
-    const story = tellStory(await readLogs(this.logs), this.subject);
-    if (story.length === 0)
+    const timeline = buildTimeline(await readLogs(this.logs), this.subject);
+    if (timeline.length === 0)
       throw requestError(
         "not-found",
         `No line of these logs names ${this.subject}. Collect those of all gateways.`,
       );
-    const first = story[0]?.time ?? 0;
-    const rows = story.map(({ time, node, text }) => [
-      `${((time - first) / 1_000).toFixed(3)} s`,
+    const startMs = timeline[0]?.time ?? 0;
+    const rows = timeline.map(({ time, node, text }) => [
+      `${((time - startMs) / 1_000).toFixed(3)} s`,
       node,
       text,
     ]);
-    this.print(story, formatTable(["time", "machine", "what"], rows));
+    this.print(timeline, formatTable(["time", "machine", "what"], rows));
     return EXIT_CODES.done;
   }
 }
--- a/src/cli/commands/program-commands.ts
+++ b/src/cli/commands/program-commands.ts
@@ -24,7 +24,7 @@
   subject = Option.String({ name: "CALL_OR_PROGRAM" });
 
   protected override async operate(client: OperatorClient): Promise<number> {
-    requireSubject(this.subject);
+    requireProgramOrCallId(this.subject);
     const body = { subject: this.subject, tenant: undefined };
     const view = await client.askLeader(this.subject, "readDecision", body);
     this.print(view, explanationOf(view));
@@ -39,7 +39,7 @@
   program = Option.String({ name: "PROGRAM" });
 
   protected override async operate(client: OperatorClient): Promise<number> {
-    requireSubject(this.program);
+    requireProgramOrCallId(this.program);
     const body = { program: this.program, tenant: undefined };
     const { program } = await client.askLeader(this.program, "readProgram", body);
     this.print(program, programText(program));
@@ -57,7 +57,7 @@
   program = Option.String({ name: "PROGRAM" });
 
   protected override async operate(client: OperatorClient): Promise<number> {
-    requireSubject(this.program);
+    requireProgramOrCallId(this.program);
     const body = { program: this.program, tenant: undefined, reason: "operator" } as const;
     const { program } = await client.askLeader(this.program, "endProgram", body);
     this.print(program, programText(program));
@@ -86,14 +86,14 @@
   }
 }
 
-function requireSubject(subject: string): void {
+function requireProgramOrCallId(subject: string): void {
   if (isCallId(subject) || isProgramId(subject)) return;
   throw requestError("invalid-request", `"${subject}" is not an identifier of a program or call.`);
 }
 
 function explanationOf({ decision, state, problem }: DecisionView): string {
   const { inputs } = decision;
-  const facts = Object.entries(inputs)
+  const inputLines = Object.entries(inputs)
     .filter(([, value]) => value !== undefined)
     .map(([name, value]) => `  ${name}: ${typeof value === "object" ? JSON.stringify(value) : value}`);
   return [
@@ -103,7 +103,7 @@
     `waited ${decision.waitedMs} ms, ${decision.attempts} attempt(s)`,
     ...(problem ? [`problem: ${problem.detail} (${problem.outcome}) ${problem.remedy}`] : []),
     "inputs:",
-    ...facts,
+    ...inputLines,
     ...alternativesText(decision.alternatives),
   ].join("\n");
 }
@@ -141,7 +141,11 @@
 }
 
 function budgetText({ budget, limit, lent, spentReported, borrowers }: BudgetView): string {
-  const rows = borrowers.map(({ borrower, lent: held, spent }) => [borrower, String(held), String(spent)]);
+  const rows = borrowers.map(({ borrower, lent: lentTokens, spent }) => [
+    borrower,
+    String(lentTokens),
+    String(spent),
+  ]);
   return [
     `${budget}: ${lent} of ${limit} tokens lent, ${spentReported} reported as spent`,
     formatTable(["BORROWER", "LENT", "SPENT"], rows),
--- a/src/cli/commands/report-logs-command.ts
+++ b/src/cli/commands/report-logs-command.ts
@@ -5,9 +5,9 @@
 import { formatTable } from "../format-table.ts";
 import { readLogs } from "../logs/read-logs.ts";
 import {
-  type BeliefCount,
   type IntervalSummary,
-  type Spread,
+  type Percentiles,
+  type StateChangeCount,
   summarizeLogs,
 } from "../logs/summarize-logs.ts";
 import { summarySvg } from "../logs/summary-svg.ts";
@@ -62,7 +62,7 @@
     }
     if (this.svg !== undefined) await writeFile(this.svg, summarySvg(summary));
     const table = formatTable(HEADER, summary.intervals.map(rowOf));
-    this.print(summary, `${table}\n\n${summary.beliefs.map(lineOf).join("\n")}`);
+    this.print(summary, `${table}\n\n${summary.beliefs.map(stateChangeText).join("\n")}`);
     return EXIT_CODES.done;
   }
 }
@@ -70,7 +70,7 @@
 function rowOf(interval: IntervalSummary): string[] {
   const { startMs, answered, refused, failed, turns, admissions, firstBytes, others } = interval;
   const counts = [startMs / MS_PER_S, answered, refused, failed].map(String);
-  const times = [turns, admissions, firstBytes, others].map(spreadText);
+  const times = [turns, admissions, firstBytes, others].map(percentilesText);
   return [
     ...counts,
     ...times,
@@ -80,10 +80,10 @@
   ];
 }
 
-function spreadText(spread: Spread | undefined): string {
-  return spread ? `${Math.round(spread.medianMs)} / ${Math.round(spread.p90Ms)}` : "-";
+function percentilesText(percentiles: Percentiles | undefined): string {
+  return percentiles ? `${Math.round(percentiles.medianMs)} / ${Math.round(percentiles.p90Ms)}` : "-";
 }
 
-function lineOf({ startMs, belief, count }: BeliefCount): string {
+function stateChangeText({ startMs, belief, count }: StateChangeCount): string {
   return `${(startMs / MS_PER_S).toFixed(0)} s: ${belief}${count > 1 ? ` (${count} times)` : ""}`;
 }
--- a/src/cli/commands/settings-commands.ts
+++ b/src/cli/commands/settings-commands.ts
@@ -52,9 +52,9 @@
   daemon = Option.String({ name: "DAEMON" });
 
   protected override async run(): Promise<number> {
-    const rows = describe(z.toJSONSchema(schemaOf(this.daemon), { io: "input" }) as SchemaNode, []);
+    const rows = listSettings(z.toJSONSchema(schemaOf(this.daemon), { io: "input" }) as SchemaNode, []);
     this.print(
-      rows.map(([key, initial, description]) => ({ key, default: initial, description })),
+      rows.map(([key, defaultValue, description]) => ({ key, default: defaultValue, description })),
       formatTable(["KEY", "DEFAULT", "DESCRIPTION"], rows),
     );
     return EXIT_CODES.done;
@@ -69,16 +69,16 @@
   readonly description?: string;
 }
 
-function describe(node: SchemaNode, path: readonly string[]): string[][] {
+function listSettings(node: SchemaNode, path: readonly string[]): string[][] {
   return Object.entries(node.properties ?? {}).flatMap(([key, child]) => {
     const childPath = [...path, key];
-    if (child.properties) return describe(child, childPath);
-    return [[childPath.join("."), initialOf(key, child, node), child.description ?? ""]];
+    if (child.properties) return listSettings(child, childPath);
+    return [[childPath.join("."), defaultText(key, child, node), child.description ?? ""]];
   });
 }
 
 /** What a setting is when it is left out. */
-function initialOf(key: string, child: SchemaNode, parent: SchemaNode): string {
+function defaultText(key: string, child: SchemaNode, parent: SchemaNode): string {
   if (child.default !== undefined) return JSON.stringify(child.default);
   return parent.required?.includes(key) ? "(required)" : "(none)";
 }
--- a/src/cli/demo/demo-caller.ts
+++ b/src/cli/demo/demo-caller.ts
@@ -17,19 +17,19 @@
   readonly #address: string;
   readonly #tenant: string;
   readonly #model: string;
-  #knownTokens: number;
+  #historyTokens: number;
 
   constructor(address: string, tenant: string, model: string, id: string, inheritedTokens: number) {
     this.#address = address;
     this.#tenant = tenant;
     this.#model = model;
     this.id = id;
-    this.#knownTokens = inheritedTokens;
+    this.#historyTokens = inheritedTokens;
   }
 
   /** Tokens of the history so far. */
-  get knownTokens(): number {
-    return this.#knownTokens;
+  get historyTokens(): number {
+    return this.#historyTokens;
   }
 
   /** Opens a program, or a child of one. */
@@ -50,7 +50,7 @@
     if (response.status !== 201)
       throw new Error(`Opening ${template} was answered ${response.status}: ${text}`);
     const { id } = JSON.parse(text) as { id: string };
-    return new DemoProgram(address, tenant, model, id, parent?.program.knownTokens ?? 0);
+    return new DemoProgram(address, tenant, model, id, parent?.program.historyTokens ?? 0);
   }
 
   /** One streamed turn. Throws unless the answer came whole. */
@@ -66,7 +66,7 @@
     if (response.status !== 200)
       throw new Error(`A turn of ${this.id} was answered ${response.status}: ${text}`);
     this.calls.push(response.headers.get("tulipwheel-call-id") ?? "");
-    this.#takeAnswer(text);
+    this.#recordAnswer(text);
   }
 
   /** One call of a service. Throws unless it was carried out. */
@@ -102,7 +102,7 @@
     });
   }
 
-  #takeAnswer(stream: string): void {
+  #recordAnswer(stream: string): void {
     const events = stream.split("\n\n").filter((event) => event !== "");
     if (events.at(-1) !== "data: [DONE]")
       throw new Error(`A stream of ${this.id} did not end: ${events.at(-1)}`);
@@ -110,8 +110,8 @@
     this.answers.push(chunks.map((chunk) => chunk.choices[0]?.delta.content ?? "").join(""));
     const usage = chunks.at(-1).usage;
     const cachedTokens: number = usage.prompt_tokens_details.cached_tokens;
-    const prefilledAgain = Math.max(0, Math.min(this.#knownTokens, usage.prompt_tokens) - cachedTokens);
+    const prefilledAgain = Math.max(0, Math.min(this.#historyTokens, usage.prompt_tokens) - cachedTokens);
     this.turns.push({ promptTokens: usage.prompt_tokens, cachedTokens, prefilledAgain });
-    this.#knownTokens = usage.total_tokens;
+    this.#historyTokens = usage.total_tokens;
   }
 }
--- a/src/cli/demo/demo-command.ts
+++ b/src/cli/demo/demo-command.ts
@@ -30,13 +30,13 @@
 
   protected override async run(): Promise<number> {
     const startMs = performance.now();
-    const say = (line: string) => this.#say(startMs, line);
-    say("starting stand-ins, and three nodes in three zones");
+    const printProgress = (line: string) => this.#printProgress(startMs, line);
+    printProgress("starting stand-ins, and three nodes in three zones");
     const system = await DemoSystem.start({ callers: Number(this.port), firstNode: 0 }, this.logLevel);
-    say(`callers reach the system at http://${system.address}`);
-    const workload = new DemoWorkload(system.address, say);
-    const failures = this.#takeMachinesAway(system, say);
-    await withinTime(workload.run());
+    printProgress(`callers reach the system at http://${system.address}`);
+    const workload = new DemoWorkload(system.address, printProgress);
+    const failures = this.#scheduleFailures(system, printProgress);
+    await withTimeout(workload.run());
     for (const timer of failures) clearTimeout(timer);
     const report = await this.#report(system, workload.reports);
     checkLedger(system, workload.reports);
@@ -44,26 +44,26 @@
       report.json,
       `\n${report.text}\nEvery answer was whole, and every deposit and charge ran once.`,
     );
-    if (this.keep) await this.#keepUp(system, say);
+    if (this.keep) await this.#waitForSignal(system, printProgress);
     await system.stop();
     return EXIT_CODES.done;
   }
 
-  #say(startMs: number, line: string): void {
+  #printProgress(startMs: number, line: string): void {
     const seconds = ((performance.now() - startMs) / 1_000).toFixed(1);
     this.context.stderr.write(`[${seconds.padStart(5)} s] ${line}\n`);
   }
 
-  #takeMachinesAway(system: DemoSystem, say: (line: string) => void): NodeJS.Timeout[] {
-    const nodeFails = setTimeout(() => {
-      say("one node is taken away");
+  #scheduleFailures(system: DemoSystem, printProgress: (line: string) => void): NodeJS.Timeout[] {
+    const nodeTimer = setTimeout(() => {
+      printProgress("one node is taken away");
       void system.killNode(FAILING_NODE);
     }, NODE_FAILS_AFTER_MS);
-    const engineFails = setTimeout(() => {
-      say("one engine is taken away");
+    const engineTimer = setTimeout(() => {
+      printProgress("one engine is taken away");
       void system.killEngine(FAILING_ENGINE);
     }, ENGINE_FAILS_AFTER_MS);
-    return [nodeFails, engineFails];
+    return [nodeTimer, engineTimer];
   }
 
   async #report(system: DemoSystem, reports: readonly ProgramReport[]) {
@@ -77,7 +77,7 @@
       rows.map((row) => [row.name, row.latencyMs, row.turns, row.prompt, row.again].map(String)),
     );
     const budgets = await readBudgets(system);
-    const explained = await explainOne(reports);
+    const explained = await explainException(reports);
     const budgetLines = budgets.map(
       ({ budget, limit, lent }) => `budget ${budget}: ${lent} of ${limit} tokens lent`,
     );
@@ -92,11 +92,11 @@
     return { json: { programs: rows, budgets, explained }, text: text.join("\n") };
   }
 
-  async #keepUp(system: DemoSystem, say: (line: string) => void): Promise<void> {
-    say(
+  async #waitForSignal(system: DemoSystem, printProgress: (line: string) => void): Promise<void> {
+    printProgress(
       `left up: curl -H 'Tulipwheel-Tenant: magnolia' -d '{"template":"question"}' http://${system.address}/v1/programs`,
     );
-    say(`operators: tulipwheel status --node ${system.nodes[0].address}; Ctrl-C ends`);
+    printProgress(`operators: tulipwheel status --node ${system.nodes[0].address}; Ctrl-C ends`);
     await new Promise<void>((resolve) => {
       process.once("SIGINT", () => resolve());
       process.once("SIGTERM", () => resolve());
@@ -104,7 +104,7 @@
   }
 }
 
-async function withinTime(work: Promise<void>): Promise<void> {
+async function withTimeout(work: Promise<void>): Promise<void> {
   let timer: NodeJS.Timeout | undefined;
   const limit = new Promise<never>((_, reject) => {
     timer = setTimeout(
@@ -131,7 +131,7 @@
 }
 
 /** The call that waited longest among those of the pay run's exceptions. */
-async function explainOne(reports: readonly ProgramReport[]): Promise<unknown> {
+async function explainException(reports: readonly ProgramReport[]): Promise<unknown> {
   const report = reports.find(({ name }) => name.startsWith("exception"));
   return report?.program.explain(report.program.calls[0]);
 }
--- a/src/cli/demo/demo-system.ts
+++ b/src/cli/demo/demo-system.ts
@@ -28,7 +28,7 @@
 const SLOTS = 8;
 const KV_TOKENS = 60_000;
 const READY_TIMEOUT_MS = 10_000;
-const POLL_MS = 20;
+const POLL_INTERVAL_MS = 20;
 const TEMPLATE_FILES = [
   "../../../examples/magnolia/templates.yaml",
   "../../../examples/rateora/templates.yaml",
@@ -64,18 +64,18 @@
   static async start(ports: DemoPorts, logLevel: string): Promise<DemoSystem> {
     const table = tableStandin();
     const objects = objectStandin();
-    const list = machineListStandin();
+    const machineList = machineListStandin();
     const platform = {
       table: await table.listen(`${LOOPBACK}:0`),
       objects: await objects.listen(`${LOOPBACK}:0`),
-      machineList: await list.standin.listen(`${LOOPBACK}:0`),
+      machineList: await machineList.standin.listen(`${LOOPBACK}:0`),
     };
     const system = new DemoSystem(platform, ports, logLevel);
-    system.#standins.push(table, objects, list.standin);
-    const put = (machine: Machine) => list.model.put(machine, performance.now());
-    await system.#startBackEnds(put);
+    system.#standins.push(table, objects, machineList.standin);
+    const addMachine = (machine: Machine) => machineList.model.put(machine, performance.now());
+    await system.#startBackEnds(addMachine);
     system.nodes.push(...(await Promise.all(ZONES.map((zone, index) => system.#startNode(zone, index)))));
-    await system.#untilReady();
+    await system.#waitUntilReady();
     await system.#applyTemplates();
     return system;
   }
@@ -97,7 +97,7 @@
     await Promise.all(this.#standins.map((standin) => standin.close()));
   }
 
-  async #startBackEnds(put: (machine: Machine) => void): Promise<void> {
+  async #startBackEnds(addMachine: (machine: Machine) => void): Promise<void> {
     const hash = await loadTextHash();
     for (const [index, pool] of ["agent-llm", "agent-llm", "agent-llm", "lm-pool", "lm-pool"].entries()) {
       const name = `${pool}-${index + 1}`;
@@ -108,8 +108,8 @@
       this.engines.set(name, engine);
       const address = await engine.listen(`${LOOPBACK}:0`);
       const zone = ZONES[index % ZONES.length];
-      put(
-        machine({
+      addMachine(
+        createMachine({
           name,
           kind: "runner",
           pool,
@@ -124,7 +124,9 @@
     const service = serviceStandin(this.service);
     this.#standins.push(service);
     const address = await service.listen(`${LOOPBACK}:0`);
-    put(machine({ name: "pay-api-1", kind: "service", pool: "pay-api", zone: ZONES[0], address }));
+    addMachine(
+      createMachine({ name: "pay-api-1", kind: "service", pool: "pay-api", zone: ZONES[0], address }),
+    );
   }
 
   #startNode(zone: string, index: number): Promise<RunningNode> {
@@ -143,11 +145,11 @@
     );
   }
 
-  async #untilReady(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const deadline = performance.now() + READY_TIMEOUT_MS;
     while (!this.nodes.every((node) => node.daemon.ready)) {
       if (performance.now() > deadline) throw new Error("The demo's nodes did not become ready.");
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 
@@ -169,8 +171,8 @@
   }
 }
 
-function machine(
-  known: Partial<Machine> & Pick<Machine, "name" | "kind" | "pool" | "zone" | "address">,
+function createMachine(
+  fields: Partial<Machine> & Pick<Machine, "name" | "kind" | "pool" | "zone" | "address">,
 ): Machine {
-  return { incarnation: "1", state: "live", models: [], slots: 0, kvTokens: 0, ...known };
+  return { incarnation: "1", state: "live", models: [], slots: 0, kvTokens: 0, ...fields };
 }
--- a/src/cli/demo/demo-workload.ts
+++ b/src/cli/demo/demo-workload.ts
@@ -19,11 +19,11 @@
 export class DemoWorkload {
   readonly reports: ProgramReport[] = [];
   readonly #address: string;
-  readonly #progress: (line: string) => void;
+  readonly #printProgress: (line: string) => void;
 
-  constructor(address: string, progress: (line: string) => void) {
+  constructor(address: string, printProgress: (line: string) => void) {
     this.#address = address;
-    this.#progress = progress;
+    this.#printProgress = printProgress;
   }
 
   /** Runs everything; rejects when any answer is not whole. */
@@ -32,7 +32,7 @@
   }
 
   async #payRun(): Promise<void> {
-    await this.#measured("pay run", async () => {
+    await this.#measure("pay run", async () => {
       const run = await DemoProgram.open(this.#address, "magnolia", "agent-llm", "pay-run");
       await run.turn(`${RULES} Walk the pay run. #tokens=30`);
       const exceptions = CHECKS_PER_EXCEPTION.map((checks, index) => this.#exception(run, index, checks));
@@ -45,7 +45,7 @@
   }
 
   async #exception(run: DemoProgram, index: number, checks: number): Promise<void> {
-    await this.#measured(`exception ${index + 1} (${checks} checks)`, async () => {
+    await this.#measure(`exception ${index + 1} (${checks} checks)`, async () => {
       const parent = { program: run, afterCall: 1 };
       const program = await DemoProgram.open(this.#address, "magnolia", "agent-llm", "pay-run", parent);
       await program.turn(`Exception ${index + 1}: a check came out short. #tokens=60`);
@@ -70,7 +70,7 @@
   }
 
   async #checkout(index: number): Promise<void> {
-    await this.#measured(`checkout ${index}`, async () => {
+    await this.#measure(`checkout ${index}`, async () => {
       const program = await DemoProgram.open(this.#address, "rateora", "lm-pool", "checkout");
       for (let turn = 1; turn <= CHECKOUT_TURNS; turn++) {
         await program.turn(`Checkout ${index}, turn ${turn}: three instalments? #tokens=20`);
@@ -81,22 +81,22 @@
     });
   }
 
-  async #measured(name: string, work: () => Promise<DemoProgram>): Promise<void> {
+  async #measure(name: string, work: () => Promise<DemoProgram>): Promise<void> {
     const startMs = performance.now();
     const program = await work();
     const latencyMs = performance.now() - startMs;
-    await checkWhole(name, program);
+    await checkHistory(name, program);
     this.reports.push({ name, program, latencyMs });
-    this.#progress(`${name}: done in ${Math.round(latencyMs)} ms, ${program.turns.length} turns`);
+    this.#printProgress(`${name}: done in ${Math.round(latencyMs)} ms, ${program.turns.length} turns`);
   }
 }
 
 /** What the caller saw must be what is in the history: whole, in order, and nobody else's. */
-async function checkWhole(name: string, program: DemoProgram): Promise<void> {
+async function checkHistory(name: string, program: DemoProgram): Promise<void> {
   const committed = (await program.committedAnswers()).slice(-program.answers.length);
-  const same =
+  const matches =
     committed.length === program.answers.length && committed.every((text, i) => text === program.answers[i]);
-  if (!same) throw new Error(`The history of ${name} (${program.id}) differs from what its caller saw.`);
+  if (!matches) throw new Error(`The history of ${name} (${program.id}) differs from what its caller saw.`);
 }
 
 function pause(ms: number): Promise<void> {
--- /dev/null
+++ b/src/cli/logs/build-timeline.ts
@@ -0,0 +1,142 @@
+/** Puts the story of a request or a program together from the collected logs of all gateways. Pure. */
+
+import { gatewayNameOf } from "../../gateway/members/instance-name.ts";
+import type { AdmissionRecord } from "../../gateway/telemetry/admission-record.ts";
+import type { PlacedRecord } from "../../gateway/telemetry/placed-record.ts";
+import type { RateRecord } from "../../gateway/telemetry/rate-record.ts";
+import type { RetentionRecord } from "../../gateway/telemetry/retention-record.ts";
+import { type CallEntry, isCallEntry } from "./call-entry.ts";
+import type { LogEntry } from "./log-entry.ts";
+import type { TimelineEntry } from "./timeline-entry.ts";
+
+/** How long before the first call beliefs matter, in ms. */
+const LOOKBACK_MS = 5_000;
+/** Messages of beliefs about a partition. */
+const PARTITION_STATE_MESSAGES = ["partition taken over", "partition released", "limits begin"];
+/** Messages of beliefs that touch every call of a machine. */
+const MACHINE_STATE_MESSAGES = [
+  "gateway started",
+  "stops",
+  "stopped",
+  "store unreachable",
+  "store reachable",
+  "configuration in force",
+  "lines of calls left out",
+  "unexpected error",
+  "headroom changed",
+];
+
+/**
+ * The story of `subject`, a request's or a program's identifier, in order: its calls with the grounds of each decision,
+ * and what the machines that decided came to believe shortly before or meanwhile. Empty when no line names it.
+ */
+export function buildTimeline(entries: readonly LogEntry[], subject: string): TimelineEntry[] {
+  const calls = entries.filter(isCallEntry).filter((entry) => isCallOf(entry, subject));
+  if (calls.length === 0) return [];
+  const fromMs = Math.min(...calls.map((call) => call.time - call.elapsedMs)) - LOOKBACK_MS;
+  const untilMs = Math.max(...calls.map((call) => call.time));
+  const ownerRequests = calls.flatMap(({ admission, rate }) => [admission ?? [], rate ?? []].flat());
+  const partitions = new Set(ownerRequests.map(({ partition }) => partition));
+  const owners = new Set(ownerRequests.flatMap(({ owner }) => owner ?? []));
+  const nodes = new Set([...calls.map(({ node }) => node), ...[...owners].map(gatewayNameOf)]);
+  const stateChanges = entries.filter((entry) => {
+    if (entry.time < fromMs || entry.time > untilMs) return false;
+    if (PARTITION_STATE_MESSAGES.includes(entry.msg)) return partitions.has(entry.partition as number);
+    if (MACHINE_STATE_MESSAGES.includes(entry.msg)) return nodes.has(entry.node);
+    return entry.msg === "peer lost" && nodes.has(entry.node) && owners.has(entry.instance as string);
+  });
+  const timeline = [...calls.flatMap(entriesOfCall), ...stateChanges.map(entryOfStateChange)];
+  return timeline.sort((left, right) => left.time - right.time);
+}
+
+function isCallOf(entry: CallEntry, subject: string): boolean {
+  return entry.request === subject || entry.program === subject;
+}
+
+function entriesOfCall(call: CallEntry): TimelineEntry[] {
+  const {
+    node,
+    request,
+    route,
+    configuration,
+    tenant,
+    rate,
+    admission,
+    places = [],
+    retention,
+    tries = [],
+  } = call;
+  const arrivedMs = call.time - call.elapsedMs;
+  const at = (sinceMs: number, text: string): TimelineEntry => ({ time: arrivedMs + sinceMs, node, text });
+  const program = call.program === undefined ? "" : ` of program ${call.program}`;
+  const tenantText = tenant === undefined ? "" : ` for tenant ${tenant}`;
+  const arrival = `${request}${program}${tenantText} arrives on route ${route}, configuration ${configuration}`;
+  const entries = [at(0, arrival)];
+  if (rate) entries.push(at(rate.atMs + rate.elapsedMs, rateText(request, rate)));
+  if (admission) entries.push(at(admission.elapsedMs, admissionText(request, admission)));
+  for (const place of places) entries.push(at(place.atMs + place.waitedMs, placeText(request, place)));
+  for (const attempt of tries) {
+    const expected = attempt.expectedMs === undefined ? "" : `, ${attempt.expectedMs} ms expected`;
+    const runnerState = `${attempt.load} in flight, ${Math.round(100 * attempt.failureRate)}% failing${expected}`;
+    entries.push(at(attempt.atMs, `${request} is sent to ${attempt.runner} (${runnerState})`));
+    if (attempt.failure !== undefined)
+      entries.push(
+        at(
+          attempt.atMs + (attempt.elapsedMs ?? 0),
+          `${request} gets nothing from ${attempt.runner}: ${attempt.failure}`,
+        ),
+      );
+  }
+  if (call.firstByteMs !== undefined) entries.push(at(call.firstByteMs, `${request}: first byte handed on`));
+  if (retention) entries.push(at(call.elapsedMs, retentionText(request, retention, call.elapsedMs)));
+  const detailText = call.detail === undefined ? "" : `: ${call.detail}`;
+  entries.push(
+    at(
+      call.elapsedMs,
+      `${request} ends after ${call.elapsedMs} ms, ${call.status} ${call.kind}${detailText}`,
+    ),
+  );
+  return entries;
+}
+
+function rateText(request: string, { partition, owner, verdict, elapsedMs }: RateRecord): string {
+  const ownerName = owner ?? "nobody that is known";
+  return `${request}: the tenant's limit, partition ${partition}, owned by ${ownerName}, says ${verdict} after ${elapsedMs} ms`;
+}
+
+function admissionText(request: string, admission: AdmissionRecord): string {
+  const { partition, owner, answer, previousTurn, spentTokens, elapsedMs } = admission;
+  const spentText = spentTokens === undefined ? "" : `, ${spentTokens} tokens spent or promised`;
+  const ownerName = owner === undefined ? "nobody that is known" : owner;
+  const previousTurnText = previousTurn === undefined ? "" : `, goes on from ${previousTurn}`;
+  return `${request}${previousTurnText}: partition ${partition}, owned by ${ownerName}, says ${answer}${spentText} after ${elapsedMs} ms`;
+}
+
+function placeText(request: string, place: PlacedRecord): string {
+  const { verdict, reason, unasked, dispatcher, group, lease, behind, waitedMs } = place;
+  const { expectedMs, holdingMs, ownDelayMs } = place;
+  const expectedText = expectedMs === undefined ? "" : `, ${expectedMs} ms expected`;
+  const holdingText = holdingMs === undefined ? "" : `, a place is held for ${holdingMs} ms`;
+  const ownDelayText = ownDelayMs === undefined ? "" : `, the gateway itself ${ownDelayMs} ms late`;
+  const aheadText = behind === undefined ? "" : `, behind tenant ${behind}`;
+  const dispatcherText = dispatcher === undefined ? "" : ` by ${dispatcher} for group ${group}`;
+  const leaseText = verdict === "granted" ? `, lease ${lease}` : "";
+  const reasons = [reason, unasked].flatMap((ground) => ground ?? []);
+  const reasonText = reasons.length === 0 ? "" : ` (${reasons.join(": ")})`;
+  const outcome = verdict === "alone" ? "is placed by its gateway alone" : `is ${verdict} a place`;
+  return `${request} ${outcome}${reasonText}${dispatcherText}${leaseText} after ${waitedMs} ms${expectedText}${holdingText}${ownDelayText}${aheadText}`;
+}
+
+function retentionText(
+  request: string,
+  { heldBy, atMs, elapsedMs }: RetentionRecord,
+  callMs: number,
+): string {
+  const waitedMs = elapsedMs ?? callMs - atMs;
+  return `${request}: the turn is held by ${heldBy}, for which the end of the answer waited ${waitedMs} ms`;
+}
+
+function entryOfStateChange({ time, node, msg, ...fields }: LogEntry): TimelineEntry {
+  const { level: _level, ...rest } = fields;
+  return { time, node, text: `(${msg} ${JSON.stringify(rest)})` };
+}
--- a/src/cli/logs/summarize-logs.ts
+++ b/src/cli/logs/summarize-logs.ts
@@ -4,9 +4,9 @@
 
 const FIRST_FAILURE_STATUS = 400;
 /** Statuses that promise that the call has not run. */
-const REFUSALS = [402, 408, 421, 429, 503];
+const REFUSAL_STATUSES = [402, 408, 421, 429, 503];
 /** Messages of beliefs that explain a change in the figures. */
-const TELLING = [
+const STATE_CHANGE_MESSAGES = [
   "gateway started",
   "stops",
   "store unreachable",
@@ -17,7 +17,7 @@
 ];
 
 /** Times in ms that half and nine tenths of some calls took at most; undefined when there were none. */
-export interface Spread {
+export interface Percentiles {
   readonly medianMs: number;
   readonly p90Ms: number;
 }
@@ -31,13 +31,13 @@
   /** Calls that failed, or whose answer was broken off. */
   readonly failed: number;
   /** Whole time of calls of programs' turns. */
-  readonly turns: Spread | undefined;
+  readonly turns: Percentiles | undefined;
   /** Of these, the time until the owner of the program had answered. */
-  readonly admissions: Spread | undefined;
+  readonly admissions: Percentiles | undefined;
   /** Of these, the time from there to the first byte. */
-  readonly firstBytes: Spread | undefined;
+  readonly firstBytes: Percentiles | undefined;
   /** Whole time of all other calls. */
-  readonly others: Spread | undefined;
+  readonly others: Percentiles | undefined;
   /** Tries beyond the first. */
   readonly repeated: number;
   /** Runners that got calls. */
@@ -47,7 +47,7 @@
 }
 
 /** What gateways came to believe, how often in one interval. */
-export interface BeliefCount {
+export interface StateChangeCount {
   readonly startMs: number;
   readonly belief: string;
   readonly count: number;
@@ -56,7 +56,7 @@
 /** See the module's comment. */
 export interface LogSummary {
   readonly intervals: readonly IntervalSummary[];
-  readonly beliefs: readonly BeliefCount[];
+  readonly beliefs: readonly StateChangeCount[];
 }
 
 /** @param intervalMs length of an interval, in ms */
@@ -68,26 +68,26 @@
   const byStart = groupBy(calls, startOf);
   const starts = [...byStart.keys()].sort((left, right) => left - right);
   const intervals = starts.map((startMs) => summarize(startMs, byStart.get(startMs) ?? []));
-  return { intervals, beliefs: countBeliefs(entries, startOf) };
+  return { intervals, beliefs: countStateChanges(entries, startOf) };
 }
 
 function summarize(startMs: number, calls: readonly CallEntry[]): IntervalSummary {
   const turns = calls.filter((call) => call.admission !== undefined);
   const others = calls.filter((call) => call.admission === undefined);
-  const refused = calls.filter(({ status }) => REFUSALS.includes(status)).length;
+  const refused = calls.filter(({ status }) => REFUSAL_STATUSES.includes(status)).length;
   const answered = calls.filter(({ status }) => status > 0 && status < FIRST_FAILURE_STATUS).length;
   const tries = calls.flatMap((call) => call.tries ?? []);
-  const counts = [...groupBy(tries, (one) => one.runner).values()].map((group) => group.length);
+  const counts = [...groupBy(tries, (attempt) => attempt.runner).values()].map((group) => group.length);
   const mean = tries.length / Math.max(1, counts.length);
   return {
     startMs,
     answered,
     refused,
     failed: calls.length - answered - refused,
-    turns: spreadOf(turns.map((call) => call.elapsedMs)),
-    admissions: spreadOf(turns.map((call) => call.admission?.elapsedMs ?? 0)),
-    firstBytes: spreadOf(turns.flatMap(firstByteAfterAdmission)),
-    others: spreadOf(others.map((call) => call.elapsedMs)),
+    turns: percentilesOf(turns.map((call) => call.elapsedMs)),
+    admissions: percentilesOf(turns.map((call) => call.admission?.elapsedMs ?? 0)),
+    firstBytes: percentilesOf(turns.flatMap(firstByteAfterAdmission)),
+    others: percentilesOf(others.map((call) => call.elapsedMs)),
     repeated: calls.reduce((sum, call) => sum + Math.max(0, (call.tries?.length ?? 0) - 1), 0),
     runners: counts.length,
     busiest: counts.length === 0 ? 0 : Math.max(...counts) / mean,
@@ -98,26 +98,29 @@
   return firstByteMs === undefined ? [] : [firstByteMs - (admission?.elapsedMs ?? 0)];
 }
 
-function countBeliefs(entries: readonly LogEntry[], startOf: (entry: LogEntry) => number): BeliefCount[] {
-  const telling = entries.filter((entry) => TELLING.includes(entry.msg));
-  const counts: BeliefCount[] = [];
-  for (const [startMs, group] of groupBy(telling, startOf)) {
-    for (const [belief, same] of groupBy(group, (entry) => entry.msg)) {
-      counts.push({ startMs, belief, count: same.length });
+function countStateChanges(
+  entries: readonly LogEntry[],
+  startOf: (entry: LogEntry) => number,
+): StateChangeCount[] {
+  const stateChanges = entries.filter((entry) => STATE_CHANGE_MESSAGES.includes(entry.msg));
+  const counts: StateChangeCount[] = [];
+  for (const [startMs, group] of groupBy(stateChanges, startOf)) {
+    for (const [belief, entriesOfMessage] of groupBy(group, (entry) => entry.msg)) {
+      counts.push({ startMs, belief, count: entriesOfMessage.length });
     }
   }
   return counts.sort((left, right) => left.startMs - right.startMs);
 }
 
-function spreadOf(timesMs: readonly number[]): Spread | undefined {
+function percentilesOf(timesMs: readonly number[]): Percentiles | undefined {
   if (timesMs.length === 0) return undefined;
   const sorted = [...timesMs].sort((left, right) => left - right);
-  return { medianMs: partOf(sorted, 0.5), p90Ms: partOf(sorted, 0.9) };
+  return { medianMs: percentile(sorted, 0.5), p90Ms: percentile(sorted, 0.9) };
 }
 
 /** The least time that at least this part of the calls did not exceed. */
-function partOf(sorted: readonly number[], part: number): number {
-  return sorted[Math.ceil(sorted.length * part) - 1] ?? 0;
+function percentile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.ceil(sorted.length * fraction) - 1] ?? 0;
 }
 
 function groupBy<Item, Key>(items: readonly Item[], keyOf: (item: Item) => Key): Map<Key, Item[]> {
--- a/src/cli/logs/summary-svg.ts
+++ b/src/cli/logs/summary-svg.ts
@@ -64,14 +64,14 @@
     const line = `<line x1="${at}" y1="${MARGIN}" x2="${at}" y2="${height - GAP}" stroke="#999" stroke-dasharray="2 4"/>`;
     return `<g><title>${escapeText(belief)} (${count})</title>${line}</g>`;
   });
-  const seconds = `<text x="${WIDTH - MARGIN}" y="${height - 8}" text-anchor="end">${(lastMs / MS_PER_S).toFixed(0)} s</text>`;
+  const endLabel = `<text x="${WIDTH - MARGIN}" y="${height - 8}" text-anchor="end">${(lastMs / MS_PER_S).toFixed(0)} s</text>`;
   return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${WIDTH} ${height}" font-family="sans-serif" font-size="11">
 <title>What gateways' logs say</title>
 <rect width="100%" height="100%" fill="white"/>
 ${marks.join("\n")}
 ${panels.join("\n")}
 <text x="${MARGIN}" y="${height - 8}">0 s; dotted: what gateways came to believe</text>
-${seconds}
+${endLabel}
 </svg>
 `;
 }
@@ -83,8 +83,8 @@
   top: number,
 ): string {
   const values = curves.flatMap((curve) => intervals.map((interval) => curve.read(interval) ?? 0));
-  const most = Math.max(1, ...values);
-  const y = (value: number) => top + PANEL_HEIGHT * (1 - value / most);
+  const maxValue = Math.max(1, ...values);
+  const y = (value: number) => top + PANEL_HEIGHT * (1 - value / maxValue);
   const lines = curves.map(({ color, read }) => {
     const points = intervals.flatMap((interval) => {
       const value = read(interval);
@@ -98,7 +98,7 @@
   return `<text x="${MARGIN}" y="${top - 6}" font-weight="bold">${title}</text>
 ${legend.join("\n")}
 <line x1="${MARGIN}" y1="${top + PANEL_HEIGHT}" x2="${WIDTH - MARGIN}" y2="${top + PANEL_HEIGHT}" stroke="black"/>
-<text x="${MARGIN - 6}" y="${top + 8}" text-anchor="end">${Math.round(most)}</text>
+<text x="${MARGIN - 6}" y="${top + 8}" text-anchor="end">${Math.round(maxValue)}</text>
 <text x="${MARGIN - 6}" y="${top + PANEL_HEIGHT}" text-anchor="end">0</text>
 ${lines.join("\n")}`;
 }
--- a/src/cli/logs/story-line.ts
+++ b/src/cli/logs/timeline-entry.ts
@@ -1,5 +1,5 @@
 /** One step of a story that logs tell. */
-export interface StoryLine {
+export interface TimelineEntry {
   /** Wall clock of the machine, in ms since 1970. */
   readonly time: number;
   readonly node: string;
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -8,7 +8,7 @@
 import { loadTextHash, type TextHash } from "../runtime/text-hash.ts";
 import { programOfCall, rootOfProgram } from "../scheduling/program/program-id.ts";
 
-const TRY_TIMEOUT_MS = 3_000;
+const REQUEST_TIMEOUT_MS = 3_000;
 const RETRY_AFTER_MS = 2_000;
 
 /** An operator's connection to the cluster, for the time of one command. */
@@ -47,7 +47,7 @@
     body: RpcSchema[Name]["request"],
     address = this.#node,
   ): Promise<RpcSchema[Name]["response"]> {
-    const reply = await this.#rpc.ask(address, name, body, TRY_TIMEOUT_MS);
+    const reply = await this.#rpc.ask(address, name, body, REQUEST_TIMEOUT_MS);
     if (reply.type === "done") return reply.body;
     if (reply.type === "problem") throw reply.error;
     const detail = `The node at ${address} does not answer.`;
@@ -63,7 +63,7 @@
     const cluster = await this.cluster();
     const shardKey = key.startsWith("prog-") ? rootOfProgram(programOfCall(key)) : key;
     const shard = this.#hash.hash32(shardKey) % cluster.shardCount;
-    return this.#router.ask(shard, name, body, TRY_TIMEOUT_MS * 2);
+    return this.#router.ask(shard, name, body, REQUEST_TIMEOUT_MS * 2);
   }
 
   /** The cluster as the node sees it. */
--- a/src/cli/wait-until-in-force.ts
+++ b/src/cli/wait-until-in-force.ts
@@ -3,7 +3,7 @@
 import type { OperatorClient } from "./operator-client.ts";
 
 const TIMEOUT_MS = 12_000;
-const POLL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
 /** Waits until every node on the list has a configuration version. Returns how long that took, in ms. */
 export async function waitUntilInForce(client: OperatorClient, version: number): Promise<number> {
@@ -17,7 +17,7 @@
       const detail = `Version ${version} is accepted, but after ${waitedMs} ms not known to ${behind.join(", ")}.`;
       throw requestError("unavailable", detail, { outcome: "unknown" });
     }
-    await delay(clock, POLL_MS);
+    await delay(clock, POLL_INTERVAL_MS);
   }
 }
 
--- a/test/contract/log-story.test.ts
+++ b/test/contract/log-timeline.test.ts
@@ -1,8 +1,8 @@
 /** The story of a request or a program from collected logs. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
+import { buildTimeline } from "../../src/cli/logs/build-timeline.ts";
 import { parseLog } from "../../src/cli/logs/parse-log.ts";
-import { tellStory } from "../../src/cli/logs/tell-story.ts";
 
 const START = 1_000_000;
 
@@ -56,8 +56,8 @@
 
 describe("story from logs", () => {
   it("tells of a request what was decided where, and what the owner believed before", () => {
-    const story = tellStory(parseLog(TEXT), "r1");
-    expect(story.map(({ time, node, text }) => `${time - START} ${node} ${text}`)).toEqual([
+    const timeline = buildTimeline(parseLog(TEXT), "r1");
+    expect(timeline.map(({ time, node, text }) => `${time - START} ${node} ${text}`)).toEqual([
       '50 gateway-b (store unreachable {"reason":"status 429"})',
       "100 gateway-a r1 of program p arrives on route turn, configuration 4",
       "104 gateway-a r1: partition 9, owned by gateway-b#1, says unavailable after 4 ms",
@@ -66,8 +66,8 @@
   });
 
   it("tells of a program all its requests, and where its partition went meanwhile", () => {
-    const story = tellStory(parseLog(TEXT), "p").slice(4);
-    expect(story.map(({ time, text }) => `${time - START} ${text}`)).toEqual([
+    const timeline = buildTimeline(parseLog(TEXT), "p").slice(4);
+    expect(timeline.map(({ time, text }) => `${time - START} ${text}`)).toEqual([
       '300 (partition taken over {"partition":9,"epoch":7})',
       "400 r2 of program p arrives on route turn, configuration 4",
       "420 r2, goes on from r0: partition 9, owned by gateway-c#1, says granted after 20 ms",
@@ -92,8 +92,8 @@
       elapsedMs: 7,
       rate: { partition: 8, owner: "gateway-c#1", verdict: "limited", atMs: 2, elapsedMs: 5 },
     };
-    const story = tellStory(parseLog(`${TEXT}\n${line("gateway-a", 310, limited)}`), "r9");
-    expect(story.map(({ time, text }) => `${time - START} ${text}`)).toEqual([
+    const timeline = buildTimeline(parseLog(`${TEXT}\n${line("gateway-a", 310, limited)}`), "r9");
+    expect(timeline.map(({ time, text }) => `${time - START} ${text}`)).toEqual([
       '301 (partition taken over {"partition":8,"epoch":7})',
       "303 r9 for tenant shop arrives on route turn, configuration 4",
       "310 r9: the tenant's limit, partition 8, owned by gateway-c#1, says limited after 5 ms",
@@ -135,8 +135,8 @@
         },
       ],
     };
-    const story = tellStory(parseLog(line("gateway-a", 500, placed)), "r7").map(({ text }) => text);
-    expect(story.filter((text) => text.includes("plac"))).toEqual([
+    const timeline = buildTimeline(parseLog(line("gateway-a", 500, placed)), "r7").map(({ text }) => text);
+    expect(timeline.filter((text) => text.includes("plac"))).toEqual([
       "r7 is placed by its gateway alone (the dispatcher does not answer) after 30 ms, the gateway itself 3 ms late",
       "r7 is granted a place by gateway-d#1 for group 2, lease 5 after 40 ms, 35 ms expected, behind tenant shop",
       "r7 is refused a place (wait-too-long) by d#1 for group 0 after 2 ms, 900 ms expected, a place is held for 700 ms",
@@ -144,6 +144,6 @@
   });
 
   it("tells nothing of what no line names", () => {
-    expect(tellStory(parseLog(TEXT), "r3")).toEqual([]);
+    expect(buildTimeline(parseLog(TEXT), "r3")).toEqual([]);
   });
 });
