--- a/src/cli/commands/cluster-commands.ts
+++ b/src/cli/commands/cluster-commands.ts
@@ -65,14 +65,17 @@
   static override paths = [["shard", "recover"]];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: "Starts shards anew from the object store, after all their replicas were lost",
+    description: "Recovers shards from the object store after all their replicas were lost",
     details: `
       What was committed after the last write to the object store is lost. Refused while a replica answers. Make sure
-      that the replicas are gone and not only out of reach: two copies of a shard would part its programs' histories.
+      that the replicas are gone and not only unreachable: with two copies of a shard, the histories of its programs
+      would diverge.
     `,
   });
   shards = Option.Rest({ name: "SHARD" });
-  all = Option.Boolean("--all", false, { description: "Tries every shard, and passes over those that live" });
+  all = Option.Boolean("--all", false, {
+    description: "Tries every shard and skips those with a replica that answers",
+  });
 
   protected override async operate(client: OperatorClient): Promise<number> {
     const { shardCount } = await client.cluster();
@@ -173,6 +176,6 @@
   return leaving ? "leaving" : "live";
 }
 
-function programCount(led: readonly ShardView[]): number {
-  return led.reduce((sum, shard) => sum + shard.programs, 0);
+function programCount(ledShards: readonly ShardView[]): number {
+  return ledShards.reduce((sum, shard) => sum + shard.programs, 0);
 }
--- a/src/cli/commands/explain-logs-command.ts
+++ b/src/cli/commands/explain-logs-command.ts
@@ -11,7 +11,7 @@
   static override paths = [["explain"]];
   static override usage = Command.Usage({
     category: "Programs",
-    description: "Tells the story of a request or a program from collected logs of gateways",
+    description: "Shows the timeline of a request or a program from collected gateway logs",
     examples: [
       [
         "A request, from the logs of all machines",
@@ -20,14 +20,17 @@
     ],
   });
   subject = Option.String({ name: "REQUEST_OR_PROGRAM" });
-  logs = Option.Array("--logs", { required: true, description: "A file of JSON lines; may be given often" });
+  logs = Option.Array("--logs", {
+    required: true,
+    description: "A file of JSON lines; may be given more than once",
+  });
 
   protected override async run(): Promise<number> {
     const timeline = buildTimeline(await readLogs(this.logs), this.subject);
     if (timeline.length === 0)
       throw requestError(
         "not-found",
-        `No line of these logs names ${this.subject}. Collect those of all gateways.`,
+        `No line of these logs contains ${this.subject}. Collect the logs of all gateways.`,
       );
     const startMs = timeline[0]?.time ?? 0;
     const rows = timeline.map(({ time, node, text }) => [
--- a/src/cli/commands/report-logs-command.ts
+++ b/src/cli/commands/report-logs-command.ts
@@ -33,15 +33,18 @@
   static override paths = [["report"]];
   static override usage = Command.Usage({
     category: "Programs",
-    description:
-      "Sums collected logs of gateways up by time: how calls fared, and where turns lost their time",
+    description: "Summarizes collected gateway logs by time: outcomes of calls and latency of turns",
     details: `
-      Times are the median and what nine in ten calls took at most. OWNER is the wait for the owner of the program,
-      FIRST BYTE the time from there on. BUSIEST is what the busiest runner got, as a multiple of the mean.
+      Times are the median and the 90th percentile. OWNER is the time until the owner of the program has responded,
+      FIRST BYTE the time from then to the first byte. BUSIEST is the number of tries sent to the busiest runner, as a
+      multiple of the mean.
     `,
     examples: [["With a plot", "tulipwheel report --logs a.log --logs b.log --svg day.svg"]],
   });
-  logs = Option.Array("--logs", { required: true, description: "A file of JSON lines; may be given often" });
+  logs = Option.Array("--logs", {
+    required: true,
+    description: "A file of JSON lines; may be given more than once",
+  });
   interval = Option.String("--interval", "2", { description: "Length of an interval, s" });
   svg = Option.String("--svg", { description: "Draws the summary into this file" });
 
@@ -57,7 +60,7 @@
     if (summary.intervals.length === 0) {
       throw requestError(
         "not-found",
-        "No line of these logs is that of a call. Collect those of all gateways.",
+        "These logs contain no line about a call. Collect the logs of all gateways.",
       );
     }
     if (this.svg !== undefined) await writeFile(this.svg, summarySvg(summary));
--- a/src/cli/commands/settings-commands.ts
+++ b/src/cli/commands/settings-commands.ts
@@ -63,7 +63,7 @@
 
 interface SchemaNode {
   readonly properties?: Record<string, SchemaNode>;
-  /** Names of the properties that must be given. */
+  /** Names of the required properties. */
   readonly required?: readonly string[];
   readonly default?: unknown;
   readonly description?: string;
@@ -77,7 +77,7 @@
   });
 }
 
-/** What a setting is when it is left out. */
+/** Describes the value of a setting that is not given. */
 function defaultText(key: string, child: SchemaNode, parent: SchemaNode): string {
   if (child.default !== undefined) return JSON.stringify(child.default);
   return parent.required?.includes(key) ? "(required)" : "(none)";
--- a/src/cli/commands/template-commands.ts
+++ b/src/cli/commands/template-commands.ts
@@ -28,7 +28,7 @@
   return parseYaml(text, file, configurationDocumentSchema, "invalid-template");
 }
 
-/** The newest entry of a key, if there is one. */
+/** Returns the newest configuration entry of a key, if there is one. */
 async function newestEntry(client: OperatorClient, key: string): Promise<ConfigurationEntry | undefined> {
   const { entries } = await client.ask("readConfiguration", { prefix: key });
   return entries.filter((entry) => entry.key === key).at(-1);
@@ -159,7 +159,7 @@
   }
 }
 
-/** Lines that only one of two texts has. */
+/** Returns the lines that occur in only one of two texts. */
 function diffLines(before: string, after: string): { removed: string[]; added: string[] } {
   const beforeLines = before.split("\n").filter((line) => line !== "");
   const afterLines = after.split("\n").filter((line) => line !== "");
--- a/src/cli/demo/demo-caller.ts
+++ b/src/cli/demo/demo-caller.ts
@@ -1,14 +1,14 @@
 import { fetch } from "undici";
 
-/** What one turn cost. */
+/** Token usage of one turn. */
 export interface TurnCost {
   readonly promptTokens: number;
   readonly cachedTokens: number;
-  /** Prompt tokens that the program had had prefilled before, and that had to be prefilled again. */
+  /** Prompt tokens that were prefilled in an earlier turn and had to be prefilled again. */
   readonly prefilledAgain: number;
 }
 
-/** A program as its caller sees it. */
+/** A program as seen by its caller: sends its requests and records the answers. */
 export class DemoProgram {
   readonly id: string;
   readonly turns: TurnCost[] = [];
@@ -27,12 +27,12 @@
     this.#historyTokens = inheritedTokens;
   }
 
-  /** Tokens of the history so far. */
+  /** Number of tokens in the history so far. */
   get historyTokens(): number {
     return this.#historyTokens;
   }
 
-  /** Opens a program, or a child of one. */
+  /** Opens a program, or a child program if a parent is given. */
   static async open(
     address: string,
     tenant: string,
@@ -48,12 +48,12 @@
     });
     const text = await response.text();
     if (response.status !== 201)
-      throw new Error(`Opening ${template} was answered ${response.status}: ${text}`);
+      throw new Error(`Opening ${template} failed with status ${response.status}: ${text}`);
     const { id } = JSON.parse(text) as { id: string };
     return new DemoProgram(address, tenant, model, id, parent?.program.historyTokens ?? 0);
   }
 
-  /** One streamed turn. Throws unless the answer came whole. */
+  /** Sends one turn and reads the streamed answer. Throws if the answer is incomplete. */
   async turn(content: string): Promise<void> {
     const response = await this.#send("POST", "/v1/chat/completions", {
       model: this.#model,
@@ -64,17 +64,17 @@
     });
     const text = await response.text();
     if (response.status !== 200)
-      throw new Error(`A turn of ${this.id} was answered ${response.status}: ${text}`);
+      throw new Error(`A turn of ${this.id} failed with status ${response.status}: ${text}`);
     this.calls.push(response.headers.get("tulipwheel-call-id") ?? "");
     this.#recordAnswer(text);
   }
 
-  /** One call of a service. Throws unless it was carried out. */
+  /** Calls a service. Throws if the call was not executed. */
   async service(method: string, path: string, body?: unknown): Promise<void> {
     const response = await this.#send(method, `/v1/services/pay-api${path}`, body);
     const text = await response.text();
     if (response.status !== 200)
-      throw new Error(`${method} ${path} was answered ${response.status}: ${text}`);
+      throw new Error(`${method} ${path} failed with status ${response.status}: ${text}`);
   }
 
   /** Ends the program. */
@@ -82,14 +82,14 @@
     await (await this.#send("DELETE", `/v1/programs/${this.id}`)).text();
   }
 
-  /** The assistant's messages in the program's history. */
+  /** Returns the assistant's messages in the program's committed history. */
   async committedAnswers(): Promise<string[]> {
     const response = await this.#send("GET", `/v1/programs/${this.id}/history`);
     const { messages } = (await response.json()) as { messages: { role: string; content: string }[] };
     return messages.filter(({ role }) => role === "assistant").map(({ content }) => content);
   }
 
-  /** Why a call went where it went. */
+  /** Returns the scheduling decision about a call. */
   async explain(call: string): Promise<unknown> {
     return (await this.#send("GET", `/v1/decisions/${call}`)).json();
   }
--- a/src/cli/demo/demo-command.ts
+++ b/src/cli/demo/demo-command.ts
@@ -17,10 +17,11 @@
   static override paths = [["demo"]];
   static override usage = Command.Usage({
     category: "Daemons",
-    description: "Runs a whole system in this process, with a pay run and checkouts, and takes machines away",
+    description:
+      "Runs a whole system in this process, with a pay run and checkouts, and stops machines meanwhile",
     details: `
-      Starts the platform's stand-ins and three nodes in three zones on loopback. In the middle one node and one
-      engine are taken away. Ends by itself within 30 s, with code 0 only if every answer was whole.
+      Starts the platform's stand-ins and three nodes in three zones on loopback. During the run one node and
+      one engine are stopped. Ends by itself within 30 s, with code 0 only if every answer was complete.
       With --keep the system stays up afterwards, for curl.
     `,
   });
@@ -56,11 +57,11 @@
 
   #scheduleFailures(system: DemoSystem, printProgress: (line: string) => void): NodeJS.Timeout[] {
     const nodeTimer = setTimeout(() => {
-      printProgress("one node is taken away");
+      printProgress("one node is stopped");
       void system.killNode(FAILING_NODE);
     }, NODE_FAILS_AFTER_MS);
     const engineTimer = setTimeout(() => {
-      printProgress("one engine is taken away");
+      printProgress("one engine is stopped");
       void system.killEngine(FAILING_ENGINE);
     }, ENGINE_FAILS_AFTER_MS);
     return [nodeTimer, engineTimer];
@@ -94,9 +95,11 @@
 
   async #waitForSignal(system: DemoSystem, printProgress: (line: string) => void): Promise<void> {
     printProgress(
-      `left up: curl -H 'Tulipwheel-Tenant: magnolia' -d '{"template":"question"}' http://${system.address}/v1/programs`,
+      `still running: curl -H 'Tulipwheel-Tenant: magnolia' -d '{"template":"question"}' http://${system.address}/v1/programs`,
+    );
+    printProgress(
+      `for operators: tulipwheel status --node ${system.nodes[0].address}; Ctrl-C stops the system`,
     );
-    printProgress(`operators: tulipwheel status --node ${system.nodes[0].address}; Ctrl-C ends`);
     await new Promise<void>((resolve) => {
       process.once("SIGINT", () => resolve());
       process.once("SIGTERM", () => resolve());
@@ -130,7 +133,7 @@
   return budgets;
 }
 
-/** The call that waited longest among those of the pay run's exceptions. */
+/** Returns the decision about the first call of the exception of the pay run that finished first. */
 async function explainException(reports: readonly ProgramReport[]): Promise<unknown> {
   const report = reports.find(({ name }) => name.startsWith("exception"));
   return report?.program.explain(report.program.calls[0]);
--- a/src/cli/demo/demo-system.ts
+++ b/src/cli/demo/demo-system.ts
@@ -16,10 +16,11 @@
 import { configurationDocumentSchema, keyOfDocument } from "../../settings/templates/template-schema.ts";
 import { OperatorClient } from "../operator-client.ts";
 
-/** Ports of the demo; 0 takes free ones. */
+/** Ports of the demo; 0 selects free ports. */
 export interface DemoPorts {
-  /** Where callers reach the first node. */
+  /** Port of the first node for callers' requests. */
   readonly callers: number;
+  /** Port of the first node for other processes; the following nodes use the next numbers. */
   readonly firstNode: number;
 }
 
@@ -34,7 +35,10 @@
   "../../../examples/rateora/templates.yaml",
 ];
 
-/** A whole system in one process on loopback: stand-ins, and three nodes in three zones. */
+/**
+ * A complete system in one process on loopback: stand-ins for the platform and the back ends, and three nodes in three
+ * zones.
+ */
 export class DemoSystem {
   readonly service = new ServiceModel();
   readonly engines = new Map<string, EngineStandin>();
@@ -55,12 +59,12 @@
     return this.#platform;
   }
 
-  /** Where callers reach the system: its first node. */
+  /** Address for callers' requests: that of the first node. */
   get address(): string {
     return this.nodes[0].callersAddress;
   }
 
-  /** Starts everything and applies the example templates. */
+  /** Starts all parts and applies the example templates. */
   static async start(ports: DemoPorts, logLevel: string): Promise<DemoSystem> {
     const table = tableStandin();
     const objects = objectStandin();
@@ -80,17 +84,17 @@
     return system;
   }
 
-  /** Ends a node as if its machine had failed. */
+  /** Stops a node abruptly, as if its machine had failed. */
   async killNode(index: number): Promise<void> {
     await this.nodes[index].kill();
   }
 
-  /** Ends an engine as if its machine had failed; its streams break. */
+  /** Stops an engine abruptly, as if its machine had failed; its streams are interrupted. */
   async killEngine(name: string): Promise<void> {
     await this.engines.get(name)?.close();
   }
 
-  /** Ends everything. */
+  /** Stops all parts. */
   async stop(): Promise<void> {
     await Promise.all(this.nodes.map((node) => node.kill()));
     for (const engine of this.engines.values()) await engine.close();
--- a/src/cli/demo/demo-workload.ts
+++ b/src/cli/demo/demo-workload.ts
@@ -1,13 +1,13 @@
 import { DemoProgram } from "./demo-caller.ts";
 
-/** How one program of the demo went. */
+/** The result of one program of the demo. */
 export interface ProgramReport {
   readonly name: string;
   readonly program: DemoProgram;
   readonly latencyMs: number;
 }
 
-/** Exceptions of the pay run, with the checks that each branches into. */
+/** Number of checks in each exception of the pay run. */
 const CHECKS_PER_EXCEPTION = [2, 0, 3, 1, 2, 3];
 const CHECKOUTS = 8;
 const CHECKOUT_TURNS = 3;
@@ -15,7 +15,7 @@
 const TOOL_PAUSE_MS = 120;
 const RULES = "Payroll rules of the shop: ".padEnd(6_000, "overtime counts from the fortieth hour; ");
 
-/** Magnolia's pay run beside Rateora's checkouts. */
+/** Runs Magnolia's pay run and Rateora's checkouts concurrently. */
 export class DemoWorkload {
   readonly reports: ProgramReport[] = [];
   readonly #address: string;
@@ -26,7 +26,7 @@
     this.#printProgress = printProgress;
   }
 
-  /** Runs everything; rejects when any answer is not whole. */
+  /** Runs all programs; rejects if any answer is incomplete. */
   async run(): Promise<void> {
     await Promise.all([this.#payRun(), this.#checkouts()]);
   }
@@ -91,7 +91,7 @@
   }
 }
 
-/** What the caller saw must be what is in the history: whole, in order, and nobody else's. */
+/** Throws unless the history ends with exactly the answers that the caller received, complete and in order. */
 async function checkHistory(name: string, program: DemoProgram): Promise<void> {
   const committed = (await program.committedAnswers()).slice(-program.answers.length);
   const matches =
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,6 +1,6 @@
 import { TulipwheelError, type TulipwheelErrorInstance } from "../errors/tulipwheel-error.ts";
 
-/** What the command line tells scripts. */
+/** Exit codes of the command line, for scripts. */
 export const EXIT_CODES = {
   done: 0,
   unexpected: 1,
@@ -14,7 +14,7 @@
 const CONFLICT_KINDS = new Set(["configuration-conflict", "call-conflict"]);
 const UNAVAILABLE_STATUS = 503;
 
-/** The exit code of a command that ended with an error. */
+/** Returns the exit code of a command that failed with an error. */
 export function exitCodeOf(error: unknown): number {
   if (!(error instanceof TulipwheelError)) return EXIT_CODES.unexpected;
   const { kind, status } = (error as TulipwheelErrorInstance).problem;
--- a/src/cli/format-table.ts
+++ b/src/cli/format-table.ts
@@ -1,4 +1,4 @@
-/** Lines up rows of text in columns, with a header. */
+/** Formats rows as a text table with aligned columns and a header. */
 export function formatTable(header: readonly string[], rows: readonly (readonly string[])[]): string {
   const all = [header, ...rows];
   const widths = header.map((_, column) => Math.max(...all.map((row) => (row[column] ?? "").length)));
@@ -11,7 +11,7 @@
   return lines.join("\n");
 }
 
-/** A time of day with its date, as ISO 8601. */
+/** Formats a point in time as ISO 8601. */
 export function formatTime(atMs: number): string {
   return new Date(atMs).toISOString();
 }
--- a/src/cli/logs/build-timeline.ts
+++ b/src/cli/logs/build-timeline.ts
@@ -1,4 +1,4 @@
-/** Puts the story of a request or a program together from the collected logs of all gateways. Pure. */
+/** Builds the timeline of a request or a program from the collected logs of all gateways. No I/O. */
 
 import { gatewayNameOf } from "../../gateway/members/instance-name.ts";
 import type { AdmissionRecord } from "../../gateway/telemetry/admission-record.ts";
@@ -9,11 +9,11 @@
 import type { LogEntry } from "./log-entry.ts";
 import type { TimelineEntry } from "./timeline-entry.ts";
 
-/** How long before the first call beliefs matter, in ms. */
+/** State changes are included from this time before the first call arrived, in ms. */
 const LOOKBACK_MS = 5_000;
-/** Messages of beliefs about a partition. */
+/** Log messages of state changes that affect a single partition. */
 const PARTITION_STATE_MESSAGES = ["partition taken over", "partition released", "limits begin"];
-/** Messages of beliefs that touch every call of a machine. */
+/** Log messages of state changes that affect every call at a machine. */
 const MACHINE_STATE_MESSAGES = [
   "gateway started",
   "stops",
@@ -27,8 +27,9 @@
 ];
 
 /**
- * The story of `subject`, a request's or a program's identifier, in order: its calls with the grounds of each decision,
- * and what the machines that decided came to believe shortly before or meanwhile. Empty when no line names it.
+ * Returns the events of `subject`, the identifier of a request or a program, in order of time: its calls with the reasons
+ * for each decision, and the state changes, shortly before and during the calls, of the machines that handled or decided
+ * them. Empty if no call in the logs belongs to `subject`.
  */
 export function buildTimeline(entries: readonly LogEntry[], subject: string): TimelineEntry[] {
   const calls = entries.filter(isCallEntry).filter((entry) => isCallOf(entry, subject));
@@ -100,14 +101,14 @@
 }
 
 function rateText(request: string, { partition, owner, verdict, elapsedMs }: RateRecord): string {
-  const ownerName = owner ?? "nobody that is known";
+  const ownerName = owner ?? "an unknown gateway";
   return `${request}: the tenant's limit, partition ${partition}, owned by ${ownerName}, says ${verdict} after ${elapsedMs} ms`;
 }
 
 function admissionText(request: string, admission: AdmissionRecord): string {
   const { partition, owner, answer, previousTurn, spentTokens, elapsedMs } = admission;
   const spentText = spentTokens === undefined ? "" : `, ${spentTokens} tokens spent or promised`;
-  const ownerName = owner === undefined ? "nobody that is known" : owner;
+  const ownerName = owner === undefined ? "an unknown gateway" : owner;
   const previousTurnText = previousTurn === undefined ? "" : `, goes on from ${previousTurn}`;
   return `${request}${previousTurnText}: partition ${partition}, owned by ${ownerName}, says ${answer}${spentText} after ${elapsedMs} ms`;
 }
--- a/src/cli/logs/call-entry.ts
+++ b/src/cli/logs/call-entry.ts
@@ -5,13 +5,13 @@
 import type { TryRecord } from "../../gateway/telemetry/try-record.ts";
 import type { LogEntry } from "./log-entry.ts";
 
-/** The line that a gateway writes when a call is over. */
+/** The log line that a gateway writes when a call has ended. */
 export interface CallEntry extends LogEntry {
   readonly request: string;
   readonly program?: string;
   readonly route: string;
   readonly configuration: number;
-  /** For whom the call was made. */
+  /** Tenant that made the call. */
   readonly tenant?: string;
   readonly rate?: RateRecord;
   readonly status: number;
@@ -25,7 +25,7 @@
   readonly tries?: readonly TryRecord[];
 }
 
-/** Whether a line is that of a call. */
+/** Whether a log line reports the end of a call. */
 export function isCallEntry(entry: LogEntry): entry is CallEntry {
   return entry.msg === "call answered" || entry.msg === "call failed";
 }
--- a/src/cli/logs/log-entry.ts
+++ b/src/cli/logs/log-entry.ts
@@ -1,6 +1,6 @@
-/** A line of a gateway's log, as collected. Fields beyond the common ones depend on the message. */
+/** A line of a collected gateway log. Fields other than the declared ones depend on the message. */
 export interface LogEntry {
-  /** Wall clock of the machine, in ms since 1970. */
+  /** Wall-clock time of the machine, in ms since 1970. */
   readonly time: number;
   /** Name of the machine. */
   readonly node: string;
--- a/src/cli/logs/parse-log.ts
+++ b/src/cli/logs/parse-log.ts
@@ -1,6 +1,6 @@
 import type { LogEntry } from "./log-entry.ts";
 
-/** Reads collected lines; whatever a collector has put before the JSON is passed over, and so are other lines. */
+/** Parses collected log lines. Text that a collector put before the JSON is ignored, and so are lines of other formats. */
 export function parseLog(text: string): LogEntry[] {
   return text.split("\n").flatMap((line) => parseLine(line) ?? []);
 }
--- a/src/cli/logs/read-logs.ts
+++ b/src/cli/logs/read-logs.ts
@@ -3,7 +3,7 @@
 import type { LogEntry } from "./log-entry.ts";
 import { parseLog } from "./parse-log.ts";
 
-/** Reads files of collected logs. Throws a request error when one cannot be read. */
+/** Reads files of collected logs. Throws a request error if a file cannot be read. */
 export async function readLogs(files: readonly string[]): Promise<LogEntry[]> {
   const texts = await Promise.all(files.map(readLog));
   return texts.flatMap(parseLog);
--- a/src/cli/logs/summarize-logs.ts
+++ b/src/cli/logs/summarize-logs.ts
@@ -1,11 +1,11 @@
-/** Sums collected logs of gateways up by intervals: how calls fared, and where turns lost their time. Pure. */
+/** Summarizes collected gateway logs by interval: outcomes of calls, latency of turns, and state changes. No I/O. */
 import { type CallEntry, isCallEntry } from "./call-entry.ts";
 import type { LogEntry } from "./log-entry.ts";
 
 const FIRST_FAILURE_STATUS = 400;
-/** Statuses that promise that the call has not run. */
+/** HTTP statuses that guarantee that the call has not run. */
 const REFUSAL_STATUSES = [402, 408, 421, 429, 503];
-/** Messages of beliefs that explain a change in the figures. */
+/** Log messages of state changes that can explain a change in the figures. */
 const STATE_CHANGE_MESSAGES = [
   "gateway started",
   "stops",
@@ -16,50 +16,55 @@
   "runner's entry lapsed in an outage",
 ];
 
-/** Times in ms that half and nine tenths of some calls took at most; undefined when there were none. */
+/** Median and 90th percentile of the durations of a group of calls, in ms; left undefined for an empty group. */
 export interface Percentiles {
   readonly medianMs: number;
   readonly p90Ms: number;
 }
 
-/** What happened in one interval. Calls count where they ended. */
+/** Figures of one interval. A call is counted in the interval in which it ended. */
 export interface IntervalSummary {
-  /** Since the beginning of the logs. */
+  /** Start of the interval, in ms since the first call of the logs ended. */
   readonly startMs: number;
   readonly answered: number;
   readonly refused: number;
-  /** Calls that failed, or whose answer was broken off. */
+  /** Calls that failed or whose answer was interrupted. */
   readonly failed: number;
-  /** Whole time of calls of programs' turns. */
+  /** Duration from arrival to end of the calls that are turns of programs. */
   readonly turns: Percentiles | undefined;
-  /** Of these, the time until the owner of the program had answered. */
+  /** For turns: time until the owner of the program had responded. */
   readonly admissions: Percentiles | undefined;
-  /** Of these, the time from there to the first byte. */
+  /** For turns: time from the owner's response to the first byte of the answer. */
   readonly firstBytes: Percentiles | undefined;
-  /** Whole time of all other calls. */
+  /** Duration from arrival to end of all other calls. */
   readonly others: Percentiles | undefined;
-  /** Tries beyond the first. */
+  /** Number of tries after the first of each call. */
   readonly repeated: number;
-  /** Runners that got calls. */
+  /** Number of runners that received calls. */
   readonly runners: number;
-  /** What the busiest of them got, as a multiple of the mean. */
+  /** Tries sent to the busiest runner, as a multiple of the mean per runner. */
   readonly busiest: number;
 }
 
-/** What gateways came to believe, how often in one interval. */
+/** How often gateways logged one kind of state change in one interval. */
 export interface StateChangeCount {
   readonly startMs: number;
+  /** The log message of the state change. */
   readonly belief: string;
   readonly count: number;
 }
 
-/** See the module's comment. */
+/** The summary of collected logs; empty if the logs contain no call. */
 export interface LogSummary {
   readonly intervals: readonly IntervalSummary[];
   readonly beliefs: readonly StateChangeCount[];
 }
 
-/** @param intervalMs length of an interval, in ms */
+/**
+ * Summarizes log entries.
+ *
+ * @param intervalMs length of an interval, in ms
+ */
 export function summarizeLogs(entries: readonly LogEntry[], intervalMs: number): LogSummary {
   const calls = entries.filter(isCallEntry);
   if (calls.length === 0) return { intervals: [], beliefs: [] };
@@ -118,7 +123,7 @@
   return { medianMs: percentile(sorted, 0.5), p90Ms: percentile(sorted, 0.9) };
 }
 
-/** The least time that at least this part of the calls did not exceed. */
+/** Returns the smallest value that at least this fraction of the sorted values does not exceed. */
 function percentile(sorted: readonly number[], fraction: number): number {
   return sorted[Math.ceil(sorted.length * fraction) - 1] ?? 0;
 }
--- a/src/cli/logs/summary-svg.ts
+++ b/src/cli/logs/summary-svg.ts
@@ -1,4 +1,4 @@
-/** Draws a summary of logs as SVG: calls by outcome, latency of turns, runners, and what gateways came to believe. */
+/** Draws a log summary as SVG: calls by outcome, latency of turns, number of runners, and state changes of gateways. */
 import type { IntervalSummary, LogSummary } from "./summarize-logs.ts";
 
 const WIDTH = 900;
@@ -51,7 +51,7 @@
   },
 ];
 
-/** See the module's comment. */
+/** Returns the SVG document of a log summary. */
 export function summarySvg({ intervals, beliefs }: LogSummary): string {
   const lastMs = Math.max(1, ...intervals.map(({ startMs }) => startMs));
   const x = (ms: number) => MARGIN + (Math.min(Math.max(0, ms), lastMs) / lastMs) * (WIDTH - 2 * MARGIN);
@@ -66,11 +66,11 @@
   });
   const endLabel = `<text x="${WIDTH - MARGIN}" y="${height - 8}" text-anchor="end">${(lastMs / MS_PER_S).toFixed(0)} s</text>`;
   return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${WIDTH} ${height}" font-family="sans-serif" font-size="11">
-<title>What gateways' logs say</title>
+<title>Summary of gateway logs</title>
 <rect width="100%" height="100%" fill="white"/>
 ${marks.join("\n")}
 ${panels.join("\n")}
-<text x="${MARGIN}" y="${height - 8}">0 s; dotted: what gateways came to believe</text>
+<text x="${MARGIN}" y="${height - 8}">0 s; dotted lines: state changes of gateways</text>
 ${endLabel}
 </svg>
 `;
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line: one class per command, exit codes as docs/OPERATIONS.md lists them. */
+/** Entry point of the command line. Each command is a class; docs/OPERATIONS.md lists the exit codes. */
 import { Builtins, Cli } from "clipanion";
 import {
   LogLevelCommand,
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -11,7 +11,7 @@
 const REQUEST_TIMEOUT_MS = 3_000;
 const RETRY_AFTER_MS = 2_000;
 
-/** An operator's connection to the cluster, for the time of one command. */
+/** A connection to the cluster for the duration of one operator command. */
 export class OperatorClient {
   readonly #node: string;
   readonly #transport: TcpTransport;
@@ -34,14 +34,14 @@
     });
   }
 
-  /** Connects by way of one node. */
+  /** Connects to the cluster through one of its nodes. */
   static async connect(node: string): Promise<OperatorClient> {
     const instance = `operator#${systemRandom().token(8)}`;
     const transport = await TcpTransport.listen({ instance, address: "127.0.0.1:0" });
     return new OperatorClient(node, transport, await loadTextHash());
   }
 
-  /** Asks one node; throws typed errors. */
+  /** Sends a request to one node. Throws a request error if the node reports a problem or doesn't respond. */
   async ask<Name extends RpcName>(
     name: Name,
     body: RpcSchema[Name]["request"],
@@ -54,7 +54,7 @@
     throw requestError("unavailable", detail, { retryAfterMs: RETRY_AFTER_MS, outcome: "unknown" });
   }
 
-  /** Asks whoever leads the shard of a program, call or other key. */
+  /** Sends a request to the leader of the shard that holds a program, a call or another key. */
   async askLeader<Name extends RpcName>(
     key: string,
     name: Name,
@@ -66,14 +66,14 @@
     return this.#router.ask(shard, name, body, REQUEST_TIMEOUT_MS * 2);
   }
 
-  /** The cluster as the node sees it. */
+  /** Returns the state of the cluster as known to the node. */
   async cluster(): Promise<ClusterView> {
     const cluster = await this.ask("readCluster", {});
     if (cluster.nodes.length > 0) this.#addresses = cluster.nodes.map((node) => node.address);
     return cluster;
   }
 
-  /** Ends the connection. */
+  /** Closes the connection. */
   close(): Promise<void> {
     return this.#transport.close();
   }
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -3,14 +3,14 @@
 import { OperatorClient } from "./operator-client.ts";
 import { TulipwheelCommand } from "./tulipwheel-command.ts";
 
-/** The base of commands that talk to a cluster. */
+/** Base class of commands that connect to a cluster. */
 export abstract class OperatorCommand extends TulipwheelCommand {
   node = Option.String("--node", {
     env: "TULIPWHEEL_NODE",
     description: "IP:port of any node; or TULIPWHEEL_NODE",
   });
 
-  /** Does the work with a connection. */
+  /** Executes the command with a connection to the cluster and returns its exit code. */
   protected abstract operate(client: OperatorClient): Promise<number>;
 
   protected override async run(): Promise<number> {
--- a/src/cli/tulipwheel-command.ts
+++ b/src/cli/tulipwheel-command.ts
@@ -2,11 +2,13 @@
 import { problemOfError, TulipwheelError } from "../errors/tulipwheel-error.ts";
 import { exitCodeOf } from "./exit-codes.ts";
 
-/** The base of every command: people's text by default, JSON for scripts, exit codes by kind of error. */
+/**
+ * Base class of every command: prints text by default and JSON with `--json`; the exit code depends on the kind of error.
+ */
 export abstract class TulipwheelCommand extends Command {
   json = Option.Boolean("--json", false, { description: "Prints JSON" });
 
-  /** Does the work; returns the exit code. */
+  /** Executes the command and returns its exit code. */
   protected abstract run(): Promise<number>;
 
   override async execute(): Promise<number> {
--- a/src/cli/wait-until-in-force.ts
+++ b/src/cli/wait-until-in-force.ts
@@ -5,7 +5,7 @@
 const TIMEOUT_MS = 12_000;
 const POLL_INTERVAL_MS = 50;
 
-/** Waits until every node on the list has a configuration version. Returns how long that took, in ms. */
+/** Waits until every node of the cluster has applied a configuration version. Returns the waiting time in ms. */
 export async function waitUntilInForce(client: OperatorClient, version: number): Promise<number> {
   const clock = new SystemClock();
   const startMs = clock.monotonicMs();
@@ -14,7 +14,7 @@
     const waitedMs = Math.round(clock.monotonicMs() - startMs);
     if (behind.length === 0) return waitedMs;
     if (waitedMs > TIMEOUT_MS) {
-      const detail = `Version ${version} is accepted, but after ${waitedMs} ms not known to ${behind.join(", ")}.`;
+      const detail = `Version ${version} is accepted, but after ${waitedMs} ms not in force on ${behind.join(", ")}.`;
       throw requestError("unavailable", detail, { outcome: "unknown" });
     }
     await delay(clock, POLL_INTERVAL_MS);
--- a/test/contract/log-report.test.ts
+++ b/test/contract/log-report.test.ts
@@ -1,4 +1,4 @@
-/** Collected logs, summed up by time. */
+/** Tests the summary of collected gateway logs and its drawing. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import type { LogEntry } from "../../src/cli/logs/log-entry.ts";
@@ -35,7 +35,7 @@
 describe("summary of logs", () => {
   const summary = summarizeLogs(ENTRIES, INTERVAL_MS);
 
-  it("counts how calls ended, where they ended", () => {
+  it("counts calls by outcome in the interval in which they ended", () => {
     const counts = summary.intervals.map(({ startMs, answered, refused, failed }) => {
       return [startMs, answered, refused, failed];
     });
@@ -45,7 +45,7 @@
     ]);
   });
 
-  it("says where turns lost their time, apart from other calls", () => {
+  it("reports the latency of turns separately from other calls", () => {
     const [first] = summary.intervals;
     expect(first?.turns).toEqual({ medianMs: 200, p90Ms: 300 });
     expect(first?.admissions).toEqual({ medianMs: 10, p90Ms: 10 });
@@ -54,24 +54,24 @@
     expect(summary.intervals[1]?.others).toEqual(undefined);
   });
 
-  it("says how calls were spread over runners", () => {
+  it("reports the distribution of calls over runners", () => {
     const [first, second] = summary.intervals;
     expect([first?.repeated, first?.runners, first?.busiest]).toEqual([1, 2, 1.5]);
     expect([second?.repeated, second?.runners, second?.busiest]).toEqual([0, 1, 1]);
   });
 
-  it("names what gateways came to believe, and nothing of single partitions", () => {
+  it("counts state changes of gateways, but not those of single partitions", () => {
     expect(summary.beliefs).toEqual([
       { startMs: -2_000, belief: "gateway started", count: 2 },
       { startMs: 2_000, belief: "store unreachable", count: 1 },
     ]);
   });
 
-  it("is empty where no call is", () => {
+  it("is empty without calls", () => {
     expect(summarizeLogs(ENTRIES.slice(0, 2), INTERVAL_MS)).toEqual({ intervals: [], beliefs: [] });
   });
 
-  it("is drawn with a curve for each figure, through numbers alone", () => {
+  it("is drawn with one curve per figure and only finite coordinates", () => {
     const svg = summarySvg(summary);
     expect(svg.match(/<polyline/g)?.length).toEqual(8);
     expect(/NaN|Infinity|undefined/.test(svg)).toEqual(false);
--- a/test/contract/log-timeline.test.ts
+++ b/test/contract/log-timeline.test.ts
@@ -1,4 +1,4 @@
-/** The story of a request or a program from collected logs. */
+/** Tests the timeline of a request or a program from collected gateway logs. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { buildTimeline } from "../../src/cli/logs/build-timeline.ts";
@@ -43,7 +43,7 @@
 };
 
 const TEXT = [
-  "a line that is none",
+  "a line without JSON",
   `  12.3 gateway-a ${line("gateway-a", 104, REFUSED)}`,
   line("gateway-b", 50, { msg: "store unreachable", reason: "status 429" }),
   line("gateway-c", 300, { msg: "partition taken over", partition: 9, epoch: 7 }),
@@ -54,8 +54,8 @@
   '{"broken": ',
 ].join("\n");
 
-describe("story from logs", () => {
-  it("tells of a request what was decided where, and what the owner believed before", () => {
+describe("timeline from logs", () => {
+  it("shows the decisions about a request and earlier state changes of its owner", () => {
     const timeline = buildTimeline(parseLog(TEXT), "r1");
     expect(timeline.map(({ time, node, text }) => `${time - START} ${node} ${text}`)).toEqual([
       '50 gateway-b (store unreachable {"reason":"status 429"})',
@@ -65,7 +65,7 @@
     ]);
   });
 
-  it("tells of a program all its requests, and where its partition went meanwhile", () => {
+  it("shows all requests of a program and the takeovers of its partition meanwhile", () => {
     const timeline = buildTimeline(parseLog(TEXT), "p").slice(4);
     expect(timeline.map(({ time, text }) => `${time - START} ${text}`)).toEqual([
       '300 (partition taken over {"partition":9,"epoch":7})',
@@ -80,7 +80,7 @@
     ]);
   });
 
-  it("tells why a request of a tenant beyond its limit was refused, and what its owner believed", () => {
+  it("shows why a request beyond its tenant's limit was refused, and state changes of the limit's owner", () => {
     const limited = {
       msg: "call failed",
       request: "r9",
@@ -101,7 +101,7 @@
     ]);
   });
 
-  it("tells how long a call waited for a place, behind whom, and why one had none", () => {
+  it("shows how long a call waited for a place, behind which tenant, and why it was refused one", () => {
     const placed = {
       ...ANSWERED,
       request: "r7",
@@ -143,7 +143,7 @@
     ]);
   });
 
-  it("tells nothing of what no line names", () => {
+  it("is empty for an identifier that no line contains", () => {
     expect(buildTimeline(parseLog(TEXT), "r3")).toEqual([]);
   });
 });
