--- a/src/messages/rpc-messages.ts
+++ b/src/messages/rpc-messages.ts
@@ -222,8 +222,8 @@
 }
 
 /**
- * Asks whether a node holds a replica of a shard. With `adopt`, the node also reads the table for a recovered generation of
- * the shard.
+ * Asks whether a node holds a replica of a shard. With `adopt`, the node first starts its replica of a recovered shard, if
+ * the table lists it among the shard's replicas.
  */
 export interface ShardPresenceRequest {
   readonly shard: number;
