--- a/src/cli/commands/cluster-commands.ts
+++ b/src/cli/commands/cluster-commands.ts
@@ -26,22 +26,22 @@
     const views = await Promise.all(
       cluster.nodes.map((node) => client.ask("readCluster", {}, node.address).catch(() => undefined)),
     );
-    const led = views.flatMap((view) => view?.shards.filter((shard) => shard.role === "leader") ?? []);
+    const ledShards = views.flatMap((view) => view?.shards.filter((shard) => shard.role === "leader") ?? []);
     const rows = cluster.nodes.map(({ instance, address, zone, leaving }, index) => [
       instance,
       address,
       zone,
       nodeState(leaving, views[index]),
       String(views[index]?.configurationVersion ?? "-"),
-      String(led.filter((shard) => shard.leader === instance).length),
+      String(ledShards.filter((shard) => shard.leader === instance).length),
     ]);
     const text = [
       formatTable(["NODE", "ADDRESS", "ZONE", "STATE", "CONFIGURATION", "SHARDS LED"], rows),
-      `\n${led.length} of ${cluster.shardCount} shards have a leader; ${programCount(led)} programs.`,
+      `\n${ledShards.length} of ${cluster.shardCount} shards have a leader; ${programCount(ledShards)} programs.`,
       `${cluster.runners.filter((runner) => runner.home).length} of ${cluster.runners.length} runners have a home.`,
     ];
-    this.print({ ...cluster, shards: led }, text.join("\n"));
-    return led.length === cluster.shardCount ? EXIT_CODES.done : EXIT_CODES.unavailable;
+    this.print({ ...cluster, shards: ledShards }, text.join("\n"));
+    return ledShards.length === cluster.shardCount ? EXIT_CODES.done : EXIT_CODES.unavailable;
   }
 }
 
@@ -65,14 +65,17 @@
   static override paths = [["shard", "recover"]];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: "Starts shards anew from the object store, after all their replicas were lost",
+    description: "Recovers shards from the object store after all their replicas were lost",
     details: `
       What was committed after the last write to the object store is lost. Refused while a replica answers. Make sure
-      that the replicas are gone and not only out of reach: two copies of a shard would part its programs' histories.
+      that the replicas are gone and not only unreachable: with two copies of a shard, the histories of its programs
+      would diverge.
     `,
   });
   shards = Option.Rest({ name: "SHARD" });
-  all = Option.Boolean("--all", false, { description: "Tries every shard, and passes over those that live" });
+  all = Option.Boolean("--all", false, {
+    description: "Tries every shard and skips those with a replica that answers",
+  });
 
   protected override async operate(client: OperatorClient): Promise<number> {
     const { shardCount } = await client.cluster();
@@ -87,7 +90,9 @@
         if (!this.all || problemOfError(error).kind !== "shard-alive") throw error;
       }
     }
-    const rows = recovered.map((one) => [one.shard, one.generation, one.programs, one.lastIndex].map(String));
+    const rows = recovered.map((result) =>
+      [result.shard, result.generation, result.programs, result.lastIndex].map(String),
+    );
     this.print(recovered, formatTable(["SHARD", "GENERATION", "PROGRAMS", "LAST INDEX"], rows));
     return EXIT_CODES.done;
   }
@@ -171,6 +176,6 @@
   return leaving ? "leaving" : "live";
 }
 
-function programCount(led: readonly ShardView[]): number {
-  return led.reduce((sum, shard) => sum + shard.programs, 0);
+function programCount(ledShards: readonly ShardView[]): number {
+  return ledShards.reduce((sum, shard) => sum + shard.programs, 0);
 }
--- a/src/cli/commands/report-logs-command.ts
+++ b/src/cli/commands/report-logs-command.ts
@@ -5,9 +5,9 @@
 import { formatTable } from "../format-table.ts";
 import { readLogs } from "../logs/read-logs.ts";
 import {
-  type BeliefCount,
   type IntervalSummary,
-  type Spread,
+  type Percentiles,
+  type StateChangeCount,
   summarizeLogs,
 } from "../logs/summarize-logs.ts";
 import { summarySvg } from "../logs/summary-svg.ts";
@@ -33,15 +33,18 @@
   static override paths = [["report"]];
   static override usage = Command.Usage({
     category: "Programs",
-    description:
-      "Sums collected logs of gateways up by time: how calls fared, and where turns lost their time",
+    description: "Summarizes collected gateway logs by time: outcomes of calls and latency of turns",
     details: `
-      Times are the median and what nine in ten calls took at most. OWNER is the wait for the owner of the program,
-      FIRST BYTE the time from there on. BUSIEST is what the busiest runner got, as a multiple of the mean.
+      Times are the median and the 90th percentile. OWNER is the time until the owner of the program has responded,
+      FIRST BYTE the time from then to the first byte. BUSIEST is the number of tries sent to the busiest runner, as a
+      multiple of the mean.
     `,
     examples: [["With a plot", "tulipwheel report --logs a.log --logs b.log --svg day.svg"]],
   });
-  logs = Option.Array("--logs", { required: true, description: "A file of JSON lines; may be given often" });
+  logs = Option.Array("--logs", {
+    required: true,
+    description: "A file of JSON lines; may be given more than once",
+  });
   interval = Option.String("--interval", "2", { description: "Length of an interval, s" });
   svg = Option.String("--svg", { description: "Draws the summary into this file" });
 
@@ -57,12 +60,12 @@
     if (summary.intervals.length === 0) {
       throw requestError(
         "not-found",
-        "No line of these logs is that of a call. Collect those of all gateways.",
+        "These logs contain no line about a call. Collect the logs of all gateways.",
       );
     }
     if (this.svg !== undefined) await writeFile(this.svg, summarySvg(summary));
     const table = formatTable(HEADER, summary.intervals.map(rowOf));
-    this.print(summary, `${table}\n\n${summary.beliefs.map(lineOf).join("\n")}`);
+    this.print(summary, `${table}\n\n${summary.beliefs.map(stateChangeText).join("\n")}`);
     return EXIT_CODES.done;
   }
 }
@@ -70,7 +73,7 @@
 function rowOf(interval: IntervalSummary): string[] {
   const { startMs, answered, refused, failed, turns, admissions, firstBytes, others } = interval;
   const counts = [startMs / MS_PER_S, answered, refused, failed].map(String);
-  const times = [turns, admissions, firstBytes, others].map(spreadText);
+  const times = [turns, admissions, firstBytes, others].map(percentilesText);
   return [
     ...counts,
     ...times,
@@ -80,10 +83,10 @@
   ];
 }
 
-function spreadText(spread: Spread | undefined): string {
-  return spread ? `${Math.round(spread.medianMs)} / ${Math.round(spread.p90Ms)}` : "-";
+function percentilesText(percentiles: Percentiles | undefined): string {
+  return percentiles ? `${Math.round(percentiles.medianMs)} / ${Math.round(percentiles.p90Ms)}` : "-";
 }
 
-function lineOf({ startMs, belief, count }: BeliefCount): string {
+function stateChangeText({ startMs, belief, count }: StateChangeCount): string {
   return `${(startMs / MS_PER_S).toFixed(0)} s: ${belief}${count > 1 ? ` (${count} times)` : ""}`;
 }
--- a/src/cli/demo/demo-system.ts
+++ b/src/cli/demo/demo-system.ts
@@ -16,10 +16,11 @@
 import { configurationDocumentSchema, keyOfDocument } from "../../settings/templates/template-schema.ts";
 import { OperatorClient } from "../operator-client.ts";
 
-/** Ports of the demo; 0 takes free ones. */
+/** Ports of the demo; 0 selects free ports. */
 export interface DemoPorts {
-  /** Where callers reach the first node. */
+  /** Port of the first node for callers' requests. */
   readonly callers: number;
+  /** Port of the first node for other processes; the following nodes use the next numbers. */
   readonly firstNode: number;
 }
 
@@ -28,13 +29,16 @@
 const SLOTS = 8;
 const KV_TOKENS = 60_000;
 const READY_TIMEOUT_MS = 10_000;
-const POLL_MS = 20;
+const POLL_INTERVAL_MS = 20;
 const TEMPLATE_FILES = [
   "../../../examples/magnolia/templates.yaml",
   "../../../examples/rateora/templates.yaml",
 ];
 
-/** A whole system in one process on loopback: stand-ins, and three nodes in three zones. */
+/**
+ * A complete system in one process on loopback: stand-ins for the platform and the back ends, and three nodes in three
+ * zones.
+ */
 export class DemoSystem {
   readonly service = new ServiceModel();
   readonly engines = new Map<string, EngineStandin>();
@@ -55,49 +59,49 @@
     return this.#platform;
   }
 
-  /** Where callers reach the system: its first node. */
+  /** Address for callers' requests: that of the first node. */
   get address(): string {
     return this.nodes[0].callersAddress;
   }
 
-  /** Starts everything and applies the example templates. */
+  /** Starts all parts and applies the example templates. */
   static async start(ports: DemoPorts, logLevel: string): Promise<DemoSystem> {
     const table = tableStandin();
     const objects = objectStandin();
-    const list = machineListStandin();
+    const machineList = machineListStandin();
     const platform = {
       table: await table.listen(`${LOOPBACK}:0`),
       objects: await objects.listen(`${LOOPBACK}:0`),
-      machineList: await list.standin.listen(`${LOOPBACK}:0`),
+      machineList: await machineList.standin.listen(`${LOOPBACK}:0`),
     };
     const system = new DemoSystem(platform, ports, logLevel);
-    system.#standins.push(table, objects, list.standin);
-    const put = (machine: Machine) => list.model.put(machine, performance.now());
-    await system.#startBackEnds(put);
+    system.#standins.push(table, objects, machineList.standin);
+    const addMachine = (machine: Machine) => machineList.model.put(machine, performance.now());
+    await system.#startBackEnds(addMachine);
     system.nodes.push(...(await Promise.all(ZONES.map((zone, index) => system.#startNode(zone, index)))));
-    await system.#untilReady();
+    await system.#waitUntilReady();
     await system.#applyTemplates();
     return system;
   }
 
-  /** Ends a node as if its machine had failed. */
+  /** Stops a node abruptly, as if its machine had failed. */
   async killNode(index: number): Promise<void> {
     await this.nodes[index].kill();
   }
 
-  /** Ends an engine as if its machine had failed; its streams break. */
+  /** Stops an engine abruptly, as if its machine had failed; its streams are interrupted. */
   async killEngine(name: string): Promise<void> {
     await this.engines.get(name)?.close();
   }
 
-  /** Ends everything. */
+  /** Stops all parts. */
   async stop(): Promise<void> {
     await Promise.all(this.nodes.map((node) => node.kill()));
     for (const engine of this.engines.values()) await engine.close();
     await Promise.all(this.#standins.map((standin) => standin.close()));
   }
 
-  async #startBackEnds(put: (machine: Machine) => void): Promise<void> {
+  async #startBackEnds(addMachine: (machine: Machine) => void): Promise<void> {
     const hash = await loadTextHash();
     for (const [index, pool] of ["agent-llm", "agent-llm", "agent-llm", "lm-pool", "lm-pool"].entries()) {
       const name = `${pool}-${index + 1}`;
@@ -108,8 +112,8 @@
       this.engines.set(name, engine);
       const address = await engine.listen(`${LOOPBACK}:0`);
       const zone = ZONES[index % ZONES.length];
-      put(
-        machine({
+      addMachine(
+        createMachine({
           name,
           kind: "runner",
           pool,
@@ -124,7 +128,9 @@
     const service = serviceStandin(this.service);
     this.#standins.push(service);
     const address = await service.listen(`${LOOPBACK}:0`);
-    put(machine({ name: "pay-api-1", kind: "service", pool: "pay-api", zone: ZONES[0], address }));
+    addMachine(
+      createMachine({ name: "pay-api-1", kind: "service", pool: "pay-api", zone: ZONES[0], address }),
+    );
   }
 
   #startNode(zone: string, index: number): Promise<RunningNode> {
@@ -143,11 +149,11 @@
     );
   }
 
-  async #untilReady(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const deadline = performance.now() + READY_TIMEOUT_MS;
     while (!this.nodes.every((node) => node.daemon.ready)) {
       if (performance.now() > deadline) throw new Error("The demo's nodes did not become ready.");
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 
@@ -169,8 +175,8 @@
   }
 }
 
-function machine(
-  known: Partial<Machine> & Pick<Machine, "name" | "kind" | "pool" | "zone" | "address">,
+function createMachine(
+  fields: Partial<Machine> & Pick<Machine, "name" | "kind" | "pool" | "zone" | "address">,
 ): Machine {
-  return { incarnation: "1", state: "live", models: [], slots: 0, kvTokens: 0, ...known };
+  return { incarnation: "1", state: "live", models: [], slots: 0, kvTokens: 0, ...fields };
 }
--- a/src/cli/logs/summarize-logs.ts
+++ b/src/cli/logs/summarize-logs.ts
@@ -1,12 +1,12 @@
-/** Sums collected logs of gateways up by intervals: how calls fared, and where turns lost their time. Pure. */
+/** Summarizes collected gateway logs by interval: outcomes of calls, latency of turns, and state changes. No I/O. */
 import { type CallEntry, isCallEntry } from "./call-entry.ts";
 import type { LogEntry } from "./log-entry.ts";
 
 const FIRST_FAILURE_STATUS = 400;
-/** Statuses that promise that the call has not run. */
-const REFUSALS = [402, 408, 421, 429, 503];
-/** Messages of beliefs that explain a change in the figures. */
-const TELLING = [
+/** HTTP statuses that guarantee that the call has not run. */
+const REFUSAL_STATUSES = [402, 408, 421, 429, 503];
+/** Log messages of state changes that can explain a change in the figures. */
+const STATE_CHANGE_MESSAGES = [
   "gateway started",
   "stops",
   "store unreachable",
@@ -16,50 +16,55 @@
   "runner's entry lapsed in an outage",
 ];
 
-/** Times in ms that half and nine tenths of some calls took at most; undefined when there were none. */
-export interface Spread {
+/** Median and 90th percentile of the durations of a group of calls, in ms; left undefined for an empty group. */
+export interface Percentiles {
   readonly medianMs: number;
   readonly p90Ms: number;
 }
 
-/** What happened in one interval. Calls count where they ended. */
+/** Figures of one interval. A call is counted in the interval in which it ended. */
 export interface IntervalSummary {
-  /** Since the beginning of the logs. */
+  /** Start of the interval, in ms since the first call of the logs ended. */
   readonly startMs: number;
   readonly answered: number;
   readonly refused: number;
-  /** Calls that failed, or whose answer was broken off. */
+  /** Calls that failed or whose answer was interrupted. */
   readonly failed: number;
-  /** Whole time of calls of programs' turns. */
-  readonly turns: Spread | undefined;
-  /** Of these, the time until the owner of the program had answered. */
-  readonly admissions: Spread | undefined;
-  /** Of these, the time from there to the first byte. */
-  readonly firstBytes: Spread | undefined;
-  /** Whole time of all other calls. */
-  readonly others: Spread | undefined;
-  /** Tries beyond the first. */
+  /** Duration from arrival to end of the calls that are turns of programs. */
+  readonly turns: Percentiles | undefined;
+  /** For turns: time until the owner of the program had responded. */
+  readonly admissions: Percentiles | undefined;
+  /** For turns: time from the owner's response to the first byte of the answer. */
+  readonly firstBytes: Percentiles | undefined;
+  /** Duration from arrival to end of all other calls. */
+  readonly others: Percentiles | undefined;
+  /** Number of tries after the first of each call. */
   readonly repeated: number;
-  /** Runners that got calls. */
+  /** Number of runners that received calls. */
   readonly runners: number;
-  /** What the busiest of them got, as a multiple of the mean. */
+  /** Tries sent to the busiest runner, as a multiple of the mean per runner. */
   readonly busiest: number;
 }
 
-/** What gateways came to believe, how often in one interval. */
-export interface BeliefCount {
+/** How often gateways logged one kind of state change in one interval. */
+export interface StateChangeCount {
   readonly startMs: number;
+  /** The log message of the state change. */
   readonly belief: string;
   readonly count: number;
 }
 
-/** See the module's comment. */
+/** The summary of collected logs; empty if the logs contain no call. */
 export interface LogSummary {
   readonly intervals: readonly IntervalSummary[];
-  readonly beliefs: readonly BeliefCount[];
+  readonly beliefs: readonly StateChangeCount[];
 }
 
-/** @param intervalMs length of an interval, in ms */
+/**
+ * Summarizes log entries.
+ *
+ * @param intervalMs length of an interval, in ms
+ */
 export function summarizeLogs(entries: readonly LogEntry[], intervalMs: number): LogSummary {
   const calls = entries.filter(isCallEntry);
   if (calls.length === 0) return { intervals: [], beliefs: [] };
@@ -68,26 +73,26 @@
   const byStart = groupBy(calls, startOf);
   const starts = [...byStart.keys()].sort((left, right) => left - right);
   const intervals = starts.map((startMs) => summarize(startMs, byStart.get(startMs) ?? []));
-  return { intervals, beliefs: countBeliefs(entries, startOf) };
+  return { intervals, beliefs: countStateChanges(entries, startOf) };
 }
 
 function summarize(startMs: number, calls: readonly CallEntry[]): IntervalSummary {
   const turns = calls.filter((call) => call.admission !== undefined);
   const others = calls.filter((call) => call.admission === undefined);
-  const refused = calls.filter(({ status }) => REFUSALS.includes(status)).length;
+  const refused = calls.filter(({ status }) => REFUSAL_STATUSES.includes(status)).length;
   const answered = calls.filter(({ status }) => status > 0 && status < FIRST_FAILURE_STATUS).length;
   const tries = calls.flatMap((call) => call.tries ?? []);
-  const counts = [...groupBy(tries, (one) => one.runner).values()].map((group) => group.length);
+  const counts = [...groupBy(tries, (attempt) => attempt.runner).values()].map((group) => group.length);
   const mean = tries.length / Math.max(1, counts.length);
   return {
     startMs,
     answered,
     refused,
     failed: calls.length - answered - refused,
-    turns: spreadOf(turns.map((call) => call.elapsedMs)),
-    admissions: spreadOf(turns.map((call) => call.admission?.elapsedMs ?? 0)),
-    firstBytes: spreadOf(turns.flatMap(firstByteAfterAdmission)),
-    others: spreadOf(others.map((call) => call.elapsedMs)),
+    turns: percentilesOf(turns.map((call) => call.elapsedMs)),
+    admissions: percentilesOf(turns.map((call) => call.admission?.elapsedMs ?? 0)),
+    firstBytes: percentilesOf(turns.flatMap(firstByteAfterAdmission)),
+    others: percentilesOf(others.map((call) => call.elapsedMs)),
     repeated: calls.reduce((sum, call) => sum + Math.max(0, (call.tries?.length ?? 0) - 1), 0),
     runners: counts.length,
     busiest: counts.length === 0 ? 0 : Math.max(...counts) / mean,
@@ -98,26 +103,29 @@
   return firstByteMs === undefined ? [] : [firstByteMs - (admission?.elapsedMs ?? 0)];
 }
 
-function countBeliefs(entries: readonly LogEntry[], startOf: (entry: LogEntry) => number): BeliefCount[] {
-  const telling = entries.filter((entry) => TELLING.includes(entry.msg));
-  const counts: BeliefCount[] = [];
-  for (const [startMs, group] of groupBy(telling, startOf)) {
-    for (const [belief, same] of groupBy(group, (entry) => entry.msg)) {
-      counts.push({ startMs, belief, count: same.length });
+function countStateChanges(
+  entries: readonly LogEntry[],
+  startOf: (entry: LogEntry) => number,
+): StateChangeCount[] {
+  const stateChanges = entries.filter((entry) => STATE_CHANGE_MESSAGES.includes(entry.msg));
+  const counts: StateChangeCount[] = [];
+  for (const [startMs, group] of groupBy(stateChanges, startOf)) {
+    for (const [belief, entriesOfMessage] of groupBy(group, (entry) => entry.msg)) {
+      counts.push({ startMs, belief, count: entriesOfMessage.length });
     }
   }
   return counts.sort((left, right) => left.startMs - right.startMs);
 }
 
-function spreadOf(timesMs: readonly number[]): Spread | undefined {
+function percentilesOf(timesMs: readonly number[]): Percentiles | undefined {
   if (timesMs.length === 0) return undefined;
   const sorted = [...timesMs].sort((left, right) => left - right);
-  return { medianMs: partOf(sorted, 0.5), p90Ms: partOf(sorted, 0.9) };
+  return { medianMs: percentile(sorted, 0.5), p90Ms: percentile(sorted, 0.9) };
 }
 
-/** The least time that at least this part of the calls did not exceed. */
-function partOf(sorted: readonly number[], part: number): number {
-  return sorted[Math.ceil(sorted.length * part) - 1] ?? 0;
+/** Returns the smallest value that at least this fraction of the sorted values does not exceed. */
+function percentile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.ceil(sorted.length * fraction) - 1] ?? 0;
 }
 
 function groupBy<Item, Key>(items: readonly Item[], keyOf: (item: Item) => Key): Map<Key, Item[]> {
--- a/src/settings/parse-yaml.ts
+++ b/src/settings/parse-yaml.ts
@@ -3,15 +3,15 @@
 import type { ErrorKindName } from "../errors/error-kinds.ts";
 import { configurationError } from "../errors/tulipwheel-error.ts";
 
-/** A checked document, with its own text. */
+/** A valid document with its source text. */
 export interface ParsedDocument<Value> {
   readonly value: Value;
   readonly text: string;
 }
 
 /**
- * Parses YAML and checks every document by a schema.
- * Throws a `ConfigurationError` that names file, line and remedy of everything that is wrong.
+ * Parses YAML and validates every document against a schema.
+ * Throws a `ConfigurationError` that lists all errors with file and line, and the remedy.
  */
 export function parseYaml<Schema extends z.ZodType>(
   text: string,
@@ -23,26 +23,26 @@
   const documents = parseAllDocuments(text, { lineCounter, prettyErrors: false });
   if (!Array.isArray(documents) || documents.length === 0)
     throw configurationError(kind, `${file}: is empty.`);
-  const found: string[] = [];
+  const problems: string[] = [];
   const parsed: ParsedDocument<z.infer<Schema>>[] = [];
   for (const document of documents) {
     const lineOf = (offset: number | undefined) => lineCounter.linePos(offset ?? 0).line;
-    for (const error of document.errors) found.push(`${file}:${lineOf(error.pos[0])}: ${error.message}`);
+    for (const error of document.errors) problems.push(`${file}:${lineOf(error.pos[0])}: ${error.message}`);
     if (document.errors.length > 0) continue;
     const checked = schema.safeParse(document.toJS());
     if (checked.success) parsed.push({ value: checked.data, text: document.toString() });
     else {
       for (const issue of checked.error.issues) {
         const line = lineOf(offsetOfPath(document.contents, issue.path));
-        found.push(`${file}:${line}: ${issue.path.join(".") || "document"}: ${issue.message}`);
+        problems.push(`${file}:${line}: ${issue.path.join(".") || "document"}: ${issue.message}`);
       }
     }
   }
-  if (found.length > 0) throw configurationError(kind, `${found.join("\n")}\n`);
+  if (problems.length > 0) throw configurationError(kind, `${problems.join("\n")}\n`);
   return parsed;
 }
 
-/** Where the value at a path begins, or the innermost part of the path that exists. */
+/** Returns the offset of the value at a path, or of its innermost ancestor that exists. */
 function offsetOfPath(root: unknown, path: readonly PropertyKey[]): number | undefined {
   let node = root as YAMLMap | undefined;
   let offset = node?.range?.[0];
--- a/src/settings/templates/resolve-policy.ts
+++ b/src/settings/templates/resolve-policy.ts
@@ -1,7 +1,7 @@
 import type { EffectivePolicy, PolicyLimits } from "../../scheduling/policy/effective-policy.ts";
 import type { TemplateDocument, TenantDocument } from "./template-schema.ts";
 
-/** What holds where neither the template nor the tenant's parameters say anything. */
+/** Limits that apply if neither the template nor the tenant's parameters set them. */
 const DEFAULT_LIMITS: PolicyLimits = {
   turns: 240,
   historyTokens: 440_000,
@@ -13,7 +13,7 @@
 
 const DEFAULT_CACHE_KEEP_MS = 30_000;
 
-/** Lays a tenant's parameters over a template. */
+/** Combines a template with a tenant's parameters; the tenant's values take precedence. */
 export function resolvePolicy(template: TemplateDocument, tenant: TenantDocument): EffectivePolicy {
   return {
     tenant: tenant.tenant,
@@ -22,14 +22,14 @@
     priorityClass: tenant.priorityClass ?? template.priorityClass ?? "standard",
     weight: tenant.weight ?? template.weight ?? 1,
     budget: tenant.budget ?? template.budget ?? { tokens: 0, window: "day" },
-    limits: { ...DEFAULT_LIMITS, ...defined(template.limits), ...defined(tenant.limits) },
+    limits: { ...DEFAULT_LIMITS, ...omitUndefined(template.limits), ...omitUndefined(tenant.limits) },
     services: { ...template.services, ...tenant.services },
     cacheKeepMs: tenant.cacheKeepMs ?? template.cacheKeepMs ?? DEFAULT_CACHE_KEEP_MS,
     deadlineMs: tenant.deadlineMs ?? template.deadlineMs,
   };
 }
 
-function defined(limits: Partial<PolicyLimits> | undefined): Partial<PolicyLimits> {
+function omitUndefined(limits: Partial<PolicyLimits> | undefined): Partial<PolicyLimits> {
   const entries = Object.entries(limits ?? {}).filter(([, value]) => value !== undefined);
   return Object.fromEntries(entries);
 }
