--- a/bench/mutations.ts
+++ b/bench/mutations.ts
@@ -15,9 +15,9 @@
 import { SOAK_MUTATIONS } from "./mutations/soak-mutations.ts";
 import { TENANT_MUTATIONS } from "./mutations/tenant-mutations.ts";
 
-const COPIED = ["src", "platform", "bench", "standins", "test", "package.json", "tsconfig.json"];
+const COPIED_PATHS = ["src", "platform", "bench", "standins", "test", "package.json", "tsconfig.json"];
 const RUN_TIMEOUT_MS = 180_000;
-const TEST_FILE = ".test.ts";
+const TEST_FILE_SUFFIX = ".test.ts";
 
 class MutationsCommand extends Command {
   static override paths = [Command.Default];
@@ -37,14 +37,14 @@
     const queue = all.filter((mutation) => !this.only || mutation.name.includes(this.only));
     const results: string[] = [];
     let missed = 0;
-    const work = async () => {
+    const runQueuedMutations = async () => {
       for (let mutation = queue.shift(); mutation; mutation = queue.shift()) {
         const caught = await tryMutation(mutation, this.runs);
         if (!caught) missed += 1;
-        results.push(`| ${mutation.promise} | ${mutation.name} | ${caught ?? "not caught"} |`);
+        results.push(`| ${mutation.guarantee} | ${mutation.name} | ${caught ?? "not caught"} |`);
       }
     };
-    await Promise.all(Array.from({ length: Number(this.jobs) }, work));
+    await Promise.all(Array.from({ length: Number(this.jobs) }, runQueuedMutations));
     this.context.stdout.write(
       `| promise | deliberate break | caught by |\n|---|---|---|\n${results.sort().join("\n")}\n`,
     );
@@ -56,26 +56,26 @@
 async function tryMutation(mutation: Mutation, runs: string): Promise<string | undefined> {
   const folder = await mkdtemp(join(tmpdir(), "tulipwheel-mutation-"));
   try {
-    for (const name of COPIED) await cp(name, join(folder, name), { recursive: true });
+    for (const name of COPIED_PATHS) await cp(name, join(folder, name), { recursive: true });
     await symlink(resolve("node_modules"), join(folder, "node_modules"));
     for (const edit of mutation.edits) await applyEdit(folder, edit);
-    if (mutation.script.endsWith(TEST_FILE)) return await failedTest(folder, mutation.script);
-    const output = await run(folder, [mutation.script, "--seed", "1", "--runs", runs, ...mutation.args]);
+    if (mutation.script.endsWith(TEST_FILE_SUFFIX)) return await findFailedTest(folder, mutation.script);
+    const output = await runNode(folder, [mutation.script, "--seed", "1", "--runs", runs, ...mutation.args]);
     const lines = output.split("\n");
-    const at = lines.findIndex((line) => line.includes(" BROKEN"));
-    if (at < 0)
+    const brokenLineIndex = lines.findIndex((line) => line.includes(" BROKEN"));
+    if (brokenLineIndex < 0)
       return lines.some((line) => / passed, | broke a promise/.test(line))
         ? undefined
         : "the run did not finish";
-    return `seed ${/seed (\d+)/.exec(lines[at])?.[1]}, \`${mutation.args.join(" ")}\`: ${lines[at + 1].trim()}`;
+    return `seed ${/seed (\d+)/.exec(lines[brokenLineIndex])?.[1]}, \`${mutation.args.join(" ")}\`: ${lines[brokenLineIndex + 1].trim()}`;
   } finally {
     await rm(folder, { recursive: true });
   }
 }
 
 /** Runs a file of tests on a broken copy; returns the name of the first test that failed. */
-async function failedTest(folder: string, script: string): Promise<string | undefined> {
-  const output = await run(folder, ["--test", "--test-force-exit", "--test-reporter=tap", script]);
+async function findFailedTest(folder: string, script: string): Promise<string | undefined> {
+  const output = await runNode(folder, ["--test", "--test-force-exit", "--test-reporter=tap", script]);
   if (!/^# tests /m.test(output)) return "the run did not finish";
   const failed = /^ *not ok \d+ - (.*)$/m.exec(output);
   return failed ? `\`${script}\`: ${failed[1]}` : undefined;
@@ -88,7 +88,7 @@
   await writeFile(path, text.replace(from, to));
 }
 
-function run(folder: string, args: readonly string[]): Promise<string> {
+function runNode(folder: string, args: readonly string[]): Promise<string> {
   return new Promise((resolveOutput) => {
     const options = { cwd: folder, timeout: RUN_TIMEOUT_MS, maxBuffer: 64 * 1024 * 1024 };
     execFile(process.execPath, ["--import", "tsx", ...args], options, (_error, stdout) => {
--- a/bench/mutations/gateway-mutations.ts
+++ b/bench/mutations/gateway-mutations.ts
@@ -5,7 +5,7 @@
 
 export const GATEWAY_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "gateway: a grant leaves before the store knows of it",
     edits: [
       {
@@ -18,7 +18,7 @@
     args: ["--faults", "kill-all"],
   },
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "gateway: what a lost owner had set aside is granted again",
     edits: [
       {
@@ -31,7 +31,7 @@
     args: ["--faults", "kill-all"],
   },
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "gateway: what a turn leaves that the store names as under way is granted at once",
     edits: [
       {
@@ -44,7 +44,7 @@
     args: ["--faults", "kill,messages-lost"],
   },
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "gateway: an owner's writes carry no condition",
     edits: [
       {
@@ -57,7 +57,7 @@
     args: ["--faults", "late-writes,kill-all"],
   },
   {
-    promise: "history",
+    guarantee: "history",
     name: "gateway: turns are looked for in one part of the store",
     edits: [
       {
@@ -70,7 +70,7 @@
     args: ["--faults", "kill"],
   },
   {
-    promise: "history",
+    guarantee: "history",
     name: "gateway: an answer ends before its turn is in the store",
     edits: [
       {
@@ -83,7 +83,7 @@
     args: ["--faults", "kill-all,store-silent"],
   },
   {
-    promise: "history",
+    guarantee: "history",
     name: "gateway: an answer ends after a while although the store does not hold its turn",
     edits: [
       {
@@ -96,7 +96,7 @@
     args: ["--faults", "kill-all,store-parts-silent"],
   },
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "gateway: a peer sends a transaction without its conditions",
     edits: [
       {
@@ -109,7 +109,7 @@
     args: ["--faults", "cut-store,part-peers"],
   },
   {
-    promise: "configuration",
+    guarantee: "configuration",
     name: "gateway: a dropped history is not read anew",
     edits: [
       {
@@ -122,7 +122,7 @@
     args: ["--faults", "history-dropped"],
   },
   {
-    promise: "recovery",
+    guarantee: "recovery",
     name: "gateway: a row whose owner is alive is never taken over",
     edits: [
       {
@@ -135,7 +135,7 @@
     args: ["--faults", "lost-answers,store-silent"],
   },
   {
-    promise: "recovery",
+    guarantee: "recovery",
     name: "gateway: what a relay of the own zone says is passed on as firsthand",
     edits: [
       {
@@ -153,7 +153,7 @@
     args: ["--relays", "--faults", "kill,freeze"],
   },
   {
-    promise: "recovery",
+    guarantee: "recovery",
     name: "gateway: owners that relays name are not named again",
     edits: [
       {
@@ -166,7 +166,7 @@
     args: ["--relays", "--faults", "planned-stop,kill-all"],
   },
   {
-    promise: "recovery",
+    guarantee: "recovery",
     name: "gateway: a status that a relay passes on is dropped while its gateway is heard",
     edits: [
       {
--- a/bench/mutations/mutation.ts
+++ b/bench/mutations/mutation.ts
@@ -9,7 +9,7 @@
 
 /** A deliberate break. */
 export interface Mutation {
-  readonly promise: string;
+  readonly guarantee: string;
   readonly name: string;
   readonly edits: readonly Edit[];
   /** The simulation, the soak or the file of tests that should notice. */
--- a/bench/mutations/node-mutations.ts
+++ b/bench/mutations/node-mutations.ts
@@ -3,7 +3,7 @@
 
 export const NODE_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "call order",
+    guarantee: "call order",
     name: "numbers of calls are ignored",
     edits: [
       {
@@ -26,7 +26,7 @@
     args: ["--faults", "none"],
   },
   {
-    promise: "history",
+    guarantee: "history",
     name: "commit on one replica, the others later",
     edits: [
       {
@@ -44,7 +44,7 @@
     args: ["--faults", "kill-node"],
   },
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "the ledger forgets what it has lent",
     edits: [
       {
@@ -57,7 +57,7 @@
     args: ["--faults", "kill-node", "--budget", "9000"],
   },
   {
-    promise: "engine memory",
+    guarantee: "engine memory",
     name: "nothing is released when a program ends, and no sweep",
     edits: [
       {
@@ -75,7 +75,7 @@
     args: ["--faults", "kill-node,kill-engine"],
   },
   {
-    promise: "whole answers",
+    guarantee: "whole answers",
     name: "pieces that were seen before are not cut off",
     edits: [
       {
@@ -93,7 +93,7 @@
     args: ["--faults", "network-duplicates"],
   },
   {
-    promise: "true refusals",
+    guarantee: "true refusals",
     name: "not-run after a time-out",
     edits: [
       {
@@ -106,7 +106,7 @@
     args: ["--faults", "service-hangs"],
   },
   {
-    promise: "at most once",
+    guarantee: "at most once",
     name: "a new leader sends again what may not be repeated",
     edits: [
       {
@@ -119,7 +119,7 @@
     args: ["--faults", "kill-node,isolate-node,service-hangs"],
   },
   {
-    promise: "leaving back ends",
+    guarantee: "leaving back ends",
     name: "homes do not look at the list",
     edits: [
       {
@@ -137,7 +137,7 @@
     args: ["--faults", "engine-leaves"],
   },
   {
-    promise: "planned stops",
+    guarantee: "planned stops",
     name: "a stop waits for nothing",
     edits: [
       {
@@ -150,7 +150,7 @@
     args: ["--faults", "drain-node"],
   },
   {
-    promise: "configuration",
+    guarantee: "configuration",
     name: "old policies stay in force",
     edits: [
       {
--- a/bench/mutations/place-mutations.ts
+++ b/bench/mutations/place-mutations.ts
@@ -1,13 +1,13 @@
 /** Deliberate breaks of how scarce places are shared out; contract tests on virtual time must notice. */
 import type { Mutation } from "./mutation.ts";
 
-const LOAD = "test/contract/place-load.test.ts";
-const DISPATCHER = "test/contract/place-dispatcher.test.ts";
-const FLEET = "test/contract/places.test.ts";
+const LOAD_TEST = "test/contract/place-load.test.ts";
+const DISPATCHER_TEST = "test/contract/place-dispatcher.test.ts";
+const CLUSTER_TEST = "test/contract/places.test.ts";
 
 export const PLACE_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "places",
+    guarantee: "places",
     name: "places: a lease takes up no place",
     edits: [
       {
@@ -16,11 +16,11 @@
         to: "usage.leases += 0 * sign;",
       },
     ],
-    script: FLEET,
+    script: CLUSTER_TEST,
     args: [],
   },
   {
-    promise: "places",
+    guarantee: "places",
     name: "places: a lease never ends by itself",
     edits: [
       {
@@ -29,11 +29,11 @@
         to: "if (nowMs >= lease.endsAtMs * 1e6) this.#endLease",
       },
     ],
-    script: DISPATCHER,
+    script: DISPATCHER_TEST,
     args: [],
   },
   {
-    promise: "places",
+    guarantee: "places",
     name: "places: what a lost gateway held is not taken back",
     edits: [
       {
@@ -42,11 +42,11 @@
         to: "",
       },
     ],
-    script: FLEET,
+    script: CLUSTER_TEST,
     args: [],
   },
   {
-    promise: "places",
+    guarantee: "places",
     name: "places: a new dispatcher counts nothing of what is out",
     edits: [
       {
@@ -55,11 +55,11 @@
         to: "> 1e9) this.#capacityTracker.recordInitialLoads(nowMs);",
       },
     ],
-    script: DISPATCHER,
+    script: DISPATCHER_TEST,
     args: [],
   },
   {
-    promise: "fair share",
+    guarantee: "fair share",
     name: "places: tenants are served in the order of their calls",
     edits: [
       {
@@ -68,11 +68,11 @@
         to: "const share = this.#shares.get(undefined) ?? this.#addTenant(undefined && tenant);",
       },
     ],
-    script: LOAD,
+    script: LOAD_TEST,
     args: [],
   },
   {
-    promise: "fair share",
+    guarantee: "fair share",
     name: "places: a rank never rises",
     edits: [
       {
@@ -81,11 +81,11 @@
         to: "const AGING_STEP_MS = 50_000;",
       },
     ],
-    script: DISPATCHER,
+    script: DISPATCHER_TEST,
     args: [],
   },
   {
-    promise: "told at once",
+    guarantee: "told at once",
     name: "places: nobody is refused by forecast",
     edits: [
       {
@@ -94,11 +94,11 @@
         to: "return 0 * ahead + timeToFreeMs(0, capacity);",
       },
     ],
-    script: LOAD,
+    script: LOAD_TEST,
     args: [],
   },
   {
-    promise: "a dispatcher's failure",
+    guarantee: "a dispatcher's failure",
     name: "places: a call waits for a dispatcher for ever",
     edits: [
       {
@@ -107,7 +107,7 @@
         to: "if (nowMs < request.overdueAtMs * 1e6) continue;",
       },
     ],
-    script: FLEET,
+    script: CLUSTER_TEST,
     args: [],
   },
 ];
--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -3,7 +3,7 @@
 
 export const RUNNER_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "runners",
+    guarantee: "runners",
     name: "runner: the start of a runner is ignored",
     edits: [
       {
@@ -16,7 +16,7 @@
     args: [],
   },
   {
-    promise: "runners",
+    guarantee: "runners",
     name: "runner: an entry of an earlier start replaces the known one",
     edits: [
       {
@@ -29,7 +29,7 @@
     args: [],
   },
   {
-    promise: "runners",
+    guarantee: "runners",
     name: "runner: the last entry stays in force when another writer has replaced its row",
     edits: [
       {
@@ -42,7 +42,7 @@
     args: [],
   },
   {
-    promise: "runners",
+    guarantee: "runners",
     name: "runner: an entry in an unknown state is used",
     edits: [
       {
@@ -55,7 +55,7 @@
     args: [],
   },
   {
-    promise: "runners",
+    guarantee: "runners",
     name: "runner: gateways use all connections that they may",
     edits: [
       {
@@ -68,7 +68,7 @@
     args: [],
   },
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "row: an account that cannot be read is an empty one",
     edits: [
       {
--- a/bench/mutations/soak-mutations.ts
+++ b/bench/mutations/soak-mutations.ts
@@ -5,7 +5,7 @@
 
 export const SOAK_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "soak: a grant leaves before the store knows of it",
     edits: [
       {
@@ -18,7 +18,7 @@
     args: ["--faults", "storeThenKilled"],
   },
   {
-    promise: "at most once",
+    guarantee: "at most once",
     name: "soak: what may not be repeated is run again",
     edits: [
       {
@@ -31,7 +31,7 @@
     args: ["--faults", "runner"],
   },
   {
-    promise: "true refusals",
+    guarantee: "true refusals",
     name: "soak: a call without an answer is refused as not run",
     edits: [
       {
@@ -44,7 +44,7 @@
     args: ["--faults", "runner"],
   },
   {
-    promise: "whole answers",
+    guarantee: "whole answers",
     name: "soak: an answer is taken whichever request it names",
     edits: [
       {
@@ -57,7 +57,7 @@
     args: ["--faults", "runner"],
   },
   {
-    promise: "history",
+    guarantee: "history",
     name: "soak: an answer ends before its turn is in the store",
     edits: [
       {
--- a/bench/mutations/tenant-mutations.ts
+++ b/bench/mutations/tenant-mutations.ts
@@ -5,7 +5,7 @@
 
 export const TENANT_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: a new owner begins with full buckets",
     edits: [
       {
@@ -18,7 +18,7 @@
     args: ["--tenants", "--faults", "kill,part-peers,freeze"],
   },
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: an owner that is cut off gives out the whole rate",
     edits: [
       {
@@ -31,7 +31,7 @@
     args: ["--tenants", "--faults", "part-peers,kill"],
   },
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: a lowered limit does not reach the owner",
     edits: [
       {
@@ -44,7 +44,7 @@
     args: ["--tenants", "--faults", "history-dropped"],
   },
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: every gateway takes itself for the owner",
     edits: [
       {
@@ -67,7 +67,7 @@
     args: ["--tenants", "--faults", "kill"],
   },
   {
-    promise: "key",
+    guarantee: "key",
     name: "tenants: keys are trusted for ever",
     edits: [
       {
@@ -80,7 +80,7 @@
     args: ["--tenants", "--faults", "cut-off"],
   },
   {
-    promise: "key",
+    guarantee: "key",
     name: "tenants: a store that refuses a wait confirms the configuration",
     edits: [
       {
@@ -93,7 +93,7 @@
     args: ["--tenants", "--faults", "cut-off"],
   },
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: an owner hands over full buckets",
     edits: [
       {
@@ -106,7 +106,7 @@
     args: ["--tenants", "--faults", "planned-stop"],
   },
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: an owner before counts as ended before it was replaced",
     edits: [
       {
