--- a/bench/mutations.ts
+++ b/bench/mutations.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run mutations`: breaks one mechanism at a time in a copy of the sources and looks whether the simulation
- * notices. A break that no seed catches means that the promise is not proved.
+ * `npm run mutations`: breaks one mechanism at a time in a copy of the sources and checks that the simulation, the soak
+ * or a test detects it. A mutation that is not caught means that the guarantee is not tested.
  */
 import { execFile } from "node:child_process";
 import { cp, mkdtemp, readFile, rm, symlink, writeFile } from "node:fs/promises";
@@ -21,9 +21,9 @@
 
 class MutationsCommand extends Command {
   static override paths = [Command.Default];
-  runs = Option.String("--runs", "4", { description: "Seeds that may catch a break" });
-  only = Option.String("--only", { description: "Part of the name of the breaks to run" });
-  jobs = Option.String("--jobs", "6", { description: "Breaks tried at once" });
+  runs = Option.String("--runs", "4", { description: "Number of seeds to run for each mutation" });
+  only = Option.String("--only", { description: "Runs only mutations whose name contains this text" });
+  jobs = Option.String("--jobs", "6", { description: "Number of mutations to run in parallel" });
 
   override async execute(): Promise<number> {
     const all = [
@@ -46,13 +46,13 @@
     };
     await Promise.all(Array.from({ length: Number(this.jobs) }, runQueuedMutations));
     this.context.stdout.write(
-      `| promise | deliberate break | caught by |\n|---|---|---|\n${results.sort().join("\n")}\n`,
+      `| guarantee | mutation | caught by |\n|---|---|---|\n${results.sort().join("\n")}\n`,
     );
     return missed > 0 ? 1 : 0;
   }
 }
 
-/** Runs the simulation on a broken copy; returns the seed and the words that caught it. */
+/** Runs the mutation's script on a mutated copy; returns the seed or test that caught it with its message, if any. */
 async function tryMutation(mutation: Mutation, runs: string): Promise<string | undefined> {
   const folder = await mkdtemp(join(tmpdir(), "tulipwheel-mutation-"));
   try {
@@ -73,7 +73,7 @@
   }
 }
 
-/** Runs a file of tests on a broken copy; returns the name of the first test that failed. */
+/** Runs a test file on a mutated copy; returns the name of the first test that failed. */
 async function findFailedTest(folder: string, script: string): Promise<string | undefined> {
   const output = await runNode(folder, ["--test", "--test-force-exit", "--test-reporter=tap", script]);
   if (!/^# tests /m.test(output)) return "the run did not finish";
@@ -84,7 +84,7 @@
 async function applyEdit(folder: string, { file, from, to }: Edit): Promise<void> {
   const path = join(folder, file);
   const text = await readFile(path, "utf8");
-  if (!text.includes(from)) throw new Error(`${file} no longer holds: ${from}`);
+  if (!text.includes(from)) throw new Error(`${file} no longer contains: ${from}`);
   await writeFile(path, text.replace(from, to));
 }
 
--- a/bench/mutations/gateway-mutations.ts
+++ b/bench/mutations/gateway-mutations.ts
@@ -1,4 +1,4 @@
-/** Deliberate breaks of gateways. */
+/** Mutations of gateways. */
 import type { Mutation } from "./mutation.ts";
 
 const script = "bench/simulate-gateways.ts";
@@ -6,7 +6,7 @@
 export const GATEWAY_MUTATIONS: readonly Mutation[] = [
   {
     guarantee: "budget",
-    name: "gateway: a grant leaves before the store knows of it",
+    name: "gateway: a grant is sent before it is stored",
     edits: [
       {
         file: "src/gateway/partitions/owned-partition.ts",
@@ -19,7 +19,7 @@
   },
   {
     guarantee: "budget",
-    name: "gateway: what a lost owner had set aside is granted again",
+    name: "gateway: tokens reserved by a lost owner are granted again",
     edits: [
       {
         file: "src/coordination/token-account/token-account.ts",
@@ -32,7 +32,7 @@
   },
   {
     guarantee: "budget",
-    name: "gateway: what a turn leaves that the store names as under way is granted at once",
+    name: "gateway: the unused tokens of a turn that the store lists as in progress are granted at once",
     edits: [
       {
         file: "src/coordination/token-account/token-account.ts",
@@ -45,7 +45,7 @@
   },
   {
     guarantee: "budget",
-    name: "gateway: an owner's writes carry no condition",
+    name: "gateway: an owner writes without a condition",
     edits: [
       {
         file: "src/gateway/partitions/partition-writer.ts",
@@ -58,7 +58,7 @@
   },
   {
     guarantee: "history",
-    name: "gateway: turns are looked for in one part of the store",
+    name: "gateway: turns are searched for in one part of the store only",
     edits: [
       {
         file: "src/gateway/partitions/retained-turns.ts",
@@ -71,7 +71,7 @@
   },
   {
     guarantee: "history",
-    name: "gateway: an answer ends before its turn is in the store",
+    name: "gateway: an answer ends before its turn is stored",
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
@@ -84,7 +84,7 @@
   },
   {
     guarantee: "history",
-    name: "gateway: an answer ends after a while although the store does not hold its turn",
+    name: "gateway: an answer ends after a timeout although its turn is not stored",
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
@@ -110,7 +110,7 @@
   },
   {
     guarantee: "configuration",
-    name: "gateway: a dropped history is not read anew",
+    name: "gateway: the table is not read again after its change history was dropped",
     edits: [
       {
         file: "src/gateway/configuration/table-follower.ts",
@@ -136,7 +136,7 @@
   },
   {
     guarantee: "recovery",
-    name: "gateway: what a relay of the own zone says is passed on as firsthand",
+    name: "gateway: liveness reported by a relay of the own zone is forwarded as first-hand",
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
@@ -154,7 +154,7 @@
   },
   {
     guarantee: "recovery",
-    name: "gateway: owners that relays name are not named again",
+    name: "gateway: members known only through relays are not reported again",
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
@@ -167,7 +167,7 @@
   },
   {
     guarantee: "recovery",
-    name: "gateway: a status that a relay passes on is dropped while its gateway is heard",
+    name: "gateway: a relayed status is dropped while direct messages arrive from its gateway's address",
     edits: [
       {
         file: "src/gateway/members/member-view.ts",
--- a/bench/mutations/node-mutations.ts
+++ b/bench/mutations/node-mutations.ts
@@ -1,10 +1,10 @@
-/** Deliberate breaks of nodes. */
+/** Mutations of nodes. */
 import type { Mutation } from "./mutation.ts";
 
 export const NODE_MUTATIONS: readonly Mutation[] = [
   {
     guarantee: "call order",
-    name: "numbers of calls are ignored",
+    name: "call numbers are ignored",
     edits: [
       {
         file: "src/node/calls/call-admission.ts",
@@ -27,7 +27,7 @@
   },
   {
     guarantee: "history",
-    name: "commit on one replica, the others later",
+    name: "an entry commits once a single replica has it",
     edits: [
       {
         file: "src/coordination/shard-group/leadership.ts",
@@ -45,7 +45,7 @@
   },
   {
     guarantee: "budget",
-    name: "the ledger forgets what it has lent",
+    name: "the ledger ignores outstanding loans",
     edits: [
       {
         file: "src/coordination/budget-escrow/budget-ledger.ts",
@@ -58,7 +58,7 @@
   },
   {
     guarantee: "engine memory",
-    name: "nothing is released when a program ends, and no sweep",
+    name: "cache holds are neither released when a program ends nor swept",
     edits: [
       {
         file: "src/node/programs/program-service.ts",
@@ -75,8 +75,8 @@
     args: ["--faults", "kill-node,kill-engine"],
   },
   {
-    guarantee: "whole answers",
-    name: "pieces that were seen before are not cut off",
+    guarantee: "complete answers",
+    name: "duplicate chunks of an answer are not removed",
     edits: [
       {
         file: "src/node/ingress/call-session.ts",
@@ -93,8 +93,8 @@
     args: ["--faults", "network-duplicates"],
   },
   {
-    guarantee: "true refusals",
-    name: "not-run after a time-out",
+    guarantee: "accurate refusals",
+    name: "a call is reported as not run after a timeout",
     edits: [
       {
         file: "src/node/calls/service-call-executor.ts",
@@ -107,7 +107,7 @@
   },
   {
     guarantee: "at most once",
-    name: "a new leader sends again what may not be repeated",
+    name: "a new leader repeats calls that are not repeatable",
     edits: [
       {
         file: "src/node/calls/call-executor.ts",
@@ -119,8 +119,8 @@
     args: ["--faults", "kill-node,isolate-node,service-hangs"],
   },
   {
-    guarantee: "leaving back ends",
-    name: "homes do not look at the list",
+    guarantee: "draining back ends",
+    name: "runner homes ignore the machine list",
     edits: [
       {
         file: "src/node/runners/runner-home.ts",
@@ -137,8 +137,8 @@
     args: ["--faults", "engine-leaves"],
   },
   {
-    guarantee: "planned stops",
-    name: "a stop waits for nothing",
+    guarantee: "planned shutdown",
+    name: "a node stops without waiting for replicas and active calls",
     edits: [
       {
         file: "src/node/node-daemon.ts",
@@ -151,7 +151,7 @@
   },
   {
     guarantee: "configuration",
-    name: "old policies stay in force",
+    name: "old policies stay in effect",
     edits: [
       {
         file: "src/node/configuration/configuration-service.ts",
--- a/bench/mutations/place-mutations.ts
+++ b/bench/mutations/place-mutations.ts
@@ -1,4 +1,4 @@
-/** Deliberate breaks of how scarce places are shared out; contract tests on virtual time must notice. */
+/** Mutations of how scarce places on runners are allocated; contract tests on virtual time must detect them. */
 import type { Mutation } from "./mutation.ts";
 
 const LOAD_TEST = "test/contract/place-load.test.ts";
@@ -8,7 +8,7 @@
 export const PLACE_MUTATIONS: readonly Mutation[] = [
   {
     guarantee: "places",
-    name: "places: a lease takes up no place",
+    name: "places: a lease does not occupy a place",
     edits: [
       {
         file: "src/scheduling/place-queue/lease-table.ts",
@@ -21,7 +21,7 @@
   },
   {
     guarantee: "places",
-    name: "places: a lease never ends by itself",
+    name: "places: a lease never expires",
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
@@ -34,7 +34,7 @@
   },
   {
     guarantee: "places",
-    name: "places: what a lost gateway held is not taken back",
+    name: "places: leases of a lost gateway are not revoked",
     edits: [
       {
         file: "src/gateway/places/place-host.ts",
@@ -47,7 +47,7 @@
   },
   {
     guarantee: "places",
-    name: "places: a new dispatcher counts nothing of what is out",
+    name: "places: a new dispatcher ignores places that are already in use",
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
@@ -60,7 +60,7 @@
   },
   {
     guarantee: "fair share",
-    name: "places: tenants are served in the order of their calls",
+    name: "places: calls are served in arrival order across tenants",
     edits: [
       {
         file: "src/scheduling/place-queue/tenant-shares.ts",
@@ -73,7 +73,7 @@
   },
   {
     guarantee: "fair share",
-    name: "places: a rank never rises",
+    name: "places: the rank of a waiting call never rises",
     edits: [
       {
         file: "src/scheduling/place-queue/aged-rank.ts",
@@ -85,8 +85,8 @@
     args: [],
   },
   {
-    guarantee: "told at once",
-    name: "places: nobody is refused by forecast",
+    guarantee: "early refusal",
+    name: "places: no call is refused because of its predicted wait",
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
@@ -98,8 +98,8 @@
     args: [],
   },
   {
-    guarantee: "a dispatcher's failure",
-    name: "places: a call waits for a dispatcher for ever",
+    guarantee: "dispatcher failure",
+    name: "places: a call waits for a dispatcher without a timeout",
     edits: [
       {
         file: "src/gateway/places/place-client.ts",
--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -1,10 +1,10 @@
-/** Deliberate breaks of what gateways take for a runner, and of what they do with rows that are none. */
+/** Mutations of how gateways read runner rows, and of how they handle rows that are invalid. */
 import type { Mutation } from "./mutation.ts";
 
 export const RUNNER_MUTATIONS: readonly Mutation[] = [
   {
     guarantee: "runners",
-    name: "runner: the start of a runner is ignored",
+    name: "runner: the start time of a runner is ignored",
     edits: [
       {
         file: "platform/runner-row.ts",
@@ -30,7 +30,7 @@
   },
   {
     guarantee: "runners",
-    name: "runner: the last entry stays in force when another writer has replaced its row",
+    name: "runner: the last entry stays in use after another writer has replaced its row",
     edits: [
       {
         file: "src/gateway/runners/runner-watch.ts",
@@ -56,7 +56,7 @@
   },
   {
     guarantee: "runners",
-    name: "runner: gateways use all connections that they may",
+    name: "runner: a gateway ignores its share of a runner's connections",
     edits: [
       {
         file: "src/scheduling/runner-balancing/connection-share.ts",
@@ -69,7 +69,7 @@
   },
   {
     guarantee: "budget",
-    name: "row: an account that cannot be read is an empty one",
+    name: "row: an unreadable account is treated as empty",
     edits: [
       {
         file: "src/gateway/partitions/owned-partition.ts",
--- a/bench/mutations/soak-mutations.ts
+++ b/bench/mutations/soak-mutations.ts
@@ -1,4 +1,4 @@
-/** Deliberate breaks of gateways that the soak must notice, from what callers and runners see. */
+/** Mutations of gateways that the soak must detect from what callers and runners observe. */
 import type { Mutation } from "./mutation.ts";
 
 const script = "test/soak/main.ts";
@@ -6,7 +6,7 @@
 export const SOAK_MUTATIONS: readonly Mutation[] = [
   {
     guarantee: "budget",
-    name: "soak: a grant leaves before the store knows of it",
+    name: "soak: a grant is sent before it is stored",
     edits: [
       {
         file: "src/gateway/partitions/owned-partition.ts",
@@ -19,7 +19,7 @@
   },
   {
     guarantee: "at most once",
-    name: "soak: what may not be repeated is run again",
+    name: "soak: a call that is not repeatable runs again",
     edits: [
       {
         file: "src/gateway/calls/buffered-call.ts",
@@ -31,8 +31,8 @@
     args: ["--faults", "runner"],
   },
   {
-    guarantee: "true refusals",
-    name: "soak: a call without an answer is refused as not run",
+    guarantee: "accurate refusals",
+    name: "soak: a call without an answer is reported as not run",
     edits: [
       {
         file: "src/gateway/calls/buffered-call.ts",
@@ -44,8 +44,8 @@
     args: ["--faults", "runner"],
   },
   {
-    guarantee: "whole answers",
-    name: "soak: an answer is taken whichever request it names",
+    guarantee: "complete answers",
+    name: "soak: an answer is accepted whatever its request id",
     edits: [
       {
         file: "src/gateway/calls/runner-attempt.ts",
@@ -58,7 +58,7 @@
   },
   {
     guarantee: "history",
-    name: "soak: an answer ends before its turn is in the store",
+    name: "soak: an answer ends before its turn is stored",
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
--- a/bench/mutations/tenant-mutations.ts
+++ b/bench/mutations/tenant-mutations.ts
@@ -1,4 +1,4 @@
-/** Deliberate breaks of what gateways keep of tenants' keys and limits. */
+/** Mutations of how gateways enforce tenants' keys and limits. */
 import type { Mutation } from "./mutation.ts";
 
 const script = "bench/simulate-gateways.ts";
@@ -6,7 +6,7 @@
 export const TENANT_MUTATIONS: readonly Mutation[] = [
   {
     guarantee: "limit",
-    name: "tenants: a new owner begins with full buckets",
+    name: "tenants: a new owner starts with full buckets",
     edits: [
       {
         file: "src/gateway/rates/rate-host.ts",
@@ -19,7 +19,7 @@
   },
   {
     guarantee: "limit",
-    name: "tenants: an owner that is cut off gives out the whole rate",
+    name: "tenants: an owner that is partitioned off grants the whole rate",
     edits: [
       {
         file: "src/coordination/request-rate/rate-limiter.ts",
@@ -45,7 +45,7 @@
   },
   {
     guarantee: "limit",
-    name: "tenants: every gateway takes itself for the owner",
+    name: "tenants: every gateway acts as the owner",
     edits: [
       {
         file: "src/gateway/rates/rate-host.ts",
@@ -68,7 +68,7 @@
   },
   {
     guarantee: "key",
-    name: "tenants: keys are trusted for ever",
+    name: "tenants: keys are never revoked when the configuration is stale",
     edits: [
       {
         file: "src/gateway/configuration/routing-watch.ts",
@@ -81,7 +81,7 @@
   },
   {
     guarantee: "key",
-    name: "tenants: a store that refuses a wait confirms the configuration",
+    name: "tenants: a refused wait for changes confirms the configuration as current",
     edits: [
       {
         file: "src/gateway/configuration/table-follower.ts",
@@ -107,7 +107,7 @@
   },
   {
     guarantee: "limit",
-    name: "tenants: an owner before counts as ended before it was replaced",
+    name: "tenants: the previous owner counts as ended before it was replaced",
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
