--- a/bench/build/warm-up-requests.ts
+++ b/bench/build/warm-up-requests.ts
@@ -6,11 +6,11 @@
 
 const OK = 200;
 const READY_TIMEOUT_MS = 20_000;
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 /** Requests of each kind to each gateway, one after the other. */
-const REQUESTS = 12;
+const REQUESTS_PER_GATEWAY = 12;
 /** Time in which heartbeats, digests and claims run beside, in ms. */
-const IDLE_MS = 2_500;
+const IDLE_TIME_MS = 2_500;
 
 /** Sends requests to each of the gateways; returns whether all were served in time. */
 export async function sendWarmUpRequests(callers: readonly string[]): Promise<boolean> {
@@ -19,15 +19,15 @@
   for (const pool of pools) {
     while (!(await isServed(pool, 0))) {
       if (performance.now() > deadlineMs) return false;
-      await wait(POLL_MS);
+      await wait(POLL_INTERVAL_MS);
     }
   }
-  await wait(IDLE_MS);
-  let isWhole = true;
-  for (let index = 1; index <= REQUESTS; index += 1)
-    for (const [place, pool] of pools.entries())
-      isWhole = (await isServed(pool, index * pools.length + place)) && isWhole;
-  return isWhole;
+  await wait(IDLE_TIME_MS);
+  let allServed = true;
+  for (let index = 1; index <= REQUESTS_PER_GATEWAY; index += 1)
+    for (const [poolIndex, pool] of pools.entries())
+      allServed = (await isServed(pool, index * pools.length + poolIndex)) && allServed;
+  return allServed;
 }
 
 async function isServed(pool: Pool, index: number): Promise<boolean> {
--- a/bench/build/write-code-cache.ts
+++ b/bench/build/write-code-cache.ts
@@ -10,7 +10,7 @@
 
 /** Gateways that talk to each other; with more than `DIRECT_MOST`, through relays. */
 const GATEWAYS = 5;
-const DIRECT_MOST = 2;
+const MAX_DIRECT_PEERS = 2;
 
 /** Returns whether all requests were served; nothing is stored otherwise. */
 async function writeCodeCache(): Promise<boolean> {
@@ -35,16 +35,16 @@
       seeds,
       store: backEnds.storeAddress,
       partitions: 4,
-      membership: { directMost: DIRECT_MOST },
+      membership: { directMost: MAX_DIRECT_PEERS },
     };
     writeFileSync(file, JSON.stringify(settings));
     process.env[SETTINGS_VARIABLE] = file;
     script.run();
   }
-  const served = await sendWarmUpRequests(callers);
+  const isServed = await sendWarmUpRequests(callers);
   rmSync(settingsFolder, { recursive: true, force: true });
-  if (served) writeFileSync(BundleScript.cachePath(folder), script.compiledCode());
-  return served;
+  if (isServed) writeFileSync(BundleScript.cachePath(folder), script.compiledCode());
+  return isServed;
 }
 
 void writeCodeCache().then((served) => process.exit(served ? 0 : 1));
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -4,7 +4,7 @@
 import { Cli, Command, Option } from "clipanion";
 import { fitLine, type Line } from "./capacity/fit-line.ts";
 import { HollowCluster } from "./capacity/hollow-cluster.ts";
-import { measureReal, type RealMeasurement } from "./capacity/measure-real.ts";
+import { measureNodeProcesses, type ProcessMeasurement } from "./capacity/measure-node-processes.ts";
 import { plotSvg } from "./capacity/plot-svg.ts";
 
 /** What one size showed; per node and second unless the name says otherwise. */
@@ -36,22 +36,22 @@
   override async execute(): Promise<number> {
     const measurements: Measurement[] = [];
     for (const size of this.sizes.split(",").map(Number)) {
-      const measurement = await measure(size);
+      const measurement = await measureHollowNodes(size);
       measurements.push(measurement);
       this.context.stdout.write(`${describe(measurement)}\n`);
     }
     const fits = {
-      bytes: fit(measurements, ({ bytes }) => bytes),
-      cpuPercent: fit(measurements, ({ cpuPercent }) => cpuPercent),
-      heapMegabytes: fit(measurements, ({ heapMegabytesPerNode }) => heapMegabytesPerNode),
+      bytes: fitByNodes(measurements, ({ bytes }) => bytes),
+      cpuPercent: fitByNodes(measurements, ({ cpuPercent }) => cpuPercent),
+      heapMegabytes: fitByNodes(measurements, ({ heapMegabytesPerNode }) => heapMegabytesPerNode),
     };
     this.#printTarget(fits);
-    const real = await measureReal(Number(this.real));
+    const real = await measureNodeProcesses(Number(this.real));
     this.context.stdout.write(
       `${real.nodes} real processes, per node and second: ${real.bytes.toFixed(0)} B in ${real.messages.toFixed(1)} ` +
         `messages, ${real.cpuPercent.toFixed(2)}% of a core, ${real.residentMegabytes.toFixed(0)} MB resident\n`,
     );
-    if (this.write) await keep(measurements, fits, real);
+    if (this.write) await writeResults(measurements, fits, real);
     return 0;
   }
 
@@ -71,7 +71,7 @@
   }
 }
 
-async function measure(size: number): Promise<Measurement> {
+async function measureHollowNodes(size: number): Promise<Measurement> {
   const cluster = await HollowCluster.start(size);
   await pause(SETTLE_MS);
   cluster.network.reset();
@@ -116,14 +116,14 @@
   );
 }
 
-function fit(measurements: readonly Measurement[], read: (measurement: Measurement) => number): Line {
+function fitByNodes(measurements: readonly Measurement[], read: (measurement: Measurement) => number): Line {
   return fitLine(measurements.map((measurement) => [measurement.nodes, read(measurement)]));
 }
 
-async function keep(
+async function writeResults(
   measurements: readonly Measurement[],
   fits: Record<string, Line>,
-  real: RealMeasurement,
+  real: ProcessMeasurement,
 ): Promise<void> {
   const commit = execFileSync("git", ["rev-parse", "--short", "HEAD"], { encoding: "utf8" }).trim();
   const date = new Date().toISOString();
--- a/bench/capacity/hollow-cluster.ts
+++ b/bench/capacity/hollow-cluster.ts
@@ -17,7 +17,7 @@
 const ZONES = 9;
 /** Runners per node, as at the target: 10,000 runners for 2,100 nodes. */
 const RUNNERS_PER_NODE = 5;
-const REPLICAS = 5;
+const REPLICAS_PER_SHARD = 5;
 const READY_TIMEOUT_MS = 60_000;
 
 /** Requests that the platform got. */
@@ -32,7 +32,7 @@
   readonly platform: PlatformCounts = { table: 0, machineList: 0 };
   readonly nodes: NodeDaemon[] = [];
   readonly table = new TableModel();
-  readonly #list = new MachineListModel({ lagMs: 0, expiryMs: 30_000 });
+  readonly #machineList = new MachineListModel({ lagMs: 0, expiryMs: 30_000 });
 
   /** Starts `size` nodes and waits until every shard has a leader. */
   static async start(size: number): Promise<HollowCluster> {
@@ -40,7 +40,7 @@
     const hash = await loadTextHash();
     for (let runner = 0; runner < size * RUNNERS_PER_NODE; runner++) cluster.#listRunner(runner);
     for (let index = 0; index < size; index++) cluster.#addNode(index, size, hash);
-    await cluster.#untilLed(size * SHARDS_PER_NODE);
+    await cluster.#waitForLeaders(size * SHARDS_PER_NODE);
     return cluster;
   }
 
@@ -50,14 +50,14 @@
   }
 
   /** Shards that have a ready leader. */
-  get ledShards(): number {
+  get shardsWithLeader(): number {
     let led = 0;
     for (const node of this.nodes) for (const replica of node.shards.all()) if (replica.leads) led += 1;
     return led;
   }
 
   #listRunner(index: number): void {
-    this.#list.put(
+    this.#machineList.put(
       {
         name: `runner-${index}`,
         kind: "runner",
@@ -80,18 +80,18 @@
     const address = `10.0.${index >> 8}.${index & 255}:7000`;
     const random = new SeededRandomSource(index + 1);
     const instance = `${name}#${random.token(8)}`;
-    const unused = "10.9.9.9:1";
+    const unusedAddress = "10.9.9.9:1";
     const settings = nodeSettingsSchema.parse({
       name,
       region: "hollow",
       zone,
       address,
-      callers: unused,
-      metrics: unused,
-      platform: { table: unused, objects: unused, machineList: unused },
+      callers: unusedAddress,
+      metrics: unusedAddress,
+      platform: { table: unusedAddress, objects: unusedAddress, machineList: unusedAddress },
       cluster: {
         shards: size * SHARDS_PER_NODE,
-        replicas: REPLICAS,
+        replicas: REPLICAS_PER_SHARD,
         shardsPerFamily: SHARDS_PER_FAMILY,
         firstNodes: size,
       },
@@ -110,7 +110,7 @@
       {
         table: this.#tableClient(),
         objects: objectClient(),
-        machineList: this.#listClient(),
+        machineList: this.#machineListClient(),
         engine: IDLE_ENGINE,
         service: { send: async () => ({ type: "not-sent", detail: "hollow" }) },
       },
@@ -137,24 +137,24 @@
     };
   }
 
-  #listClient() {
+  #machineListClient() {
     return {
       read: async () => {
         this.platform.machineList += 1;
-        return this.#list.read(performance.now());
+        return this.#machineList.read(performance.now());
       },
       report: async (machine: Machine) => {
         this.platform.machineList += 1;
-        this.#list.report(machine, performance.now());
+        this.#machineList.report(machine, performance.now());
       },
     };
   }
 
-  async #untilLed(shards: number): Promise<void> {
+  async #waitForLeaders(shards: number): Promise<void> {
     const deadline = performance.now() + READY_TIMEOUT_MS;
-    while (this.ledShards < shards || !this.nodes.every((node) => node.ready)) {
+    while (this.shardsWithLeader < shards || !this.nodes.every((node) => node.ready)) {
       if (performance.now() > deadline)
-        throw new Error(`Only ${this.ledShards} of ${shards} shards have a leader.`);
+        throw new Error(`Only ${this.shardsWithLeader} of ${shards} shards have a leader.`);
       await new Promise((resolve) => setTimeout(resolve, 100));
     }
   }
--- a/bench/capacity/hollow-network.ts
+++ b/bench/capacity/hollow-network.ts
@@ -9,7 +9,7 @@
 }
 
 /** What a mechanism's messages are called in the results. */
-const MECHANISMS: Readonly<Record<string, string>> = {
+const MECHANISM_BY_MESSAGE_TYPE: Readonly<Record<string, string>> = {
   shard: "shard groups",
   shardHeartbeats: "shard groups",
   shardAcknowledgements: "shard groups",
@@ -21,7 +21,7 @@
 };
 
 /** Bytes of TCP and IP headers that a batch takes along. */
-const PACKET_BYTES = 52;
+const HEADER_BYTES = 52;
 
 /** Connects many hollow nodes within one process; everything is encoded and counted as it would be on the wire. */
 export class HollowNetwork {
@@ -59,19 +59,19 @@
   /** A batch's bytes are shared out among the mechanisms by the size that their messages have alone. */
   #count(messages: readonly Message[], batchBytes: number): void {
     this.batches += 1;
-    const sizes = messages.map((message) => PLAIN.encode(message).length);
+    const sizes = messages.map((message) => PLAIN_ENCODER.encode(message).length);
     const sum = sizes.reduce((total, size) => total + size, 0);
     for (const [index, message] of messages.entries()) {
-      const mechanism = MECHANISMS[message.type] ?? "calls";
+      const mechanism = MECHANISM_BY_MESSAGE_TYPE[message.type] ?? "calls";
       const count = this.byMechanism.get(mechanism) ?? { messages: 0, bytes: 0 };
       count.messages += 1;
-      count.bytes += ((batchBytes + PACKET_BYTES) * sizes[index]) / sum;
+      count.bytes += ((batchBytes + HEADER_BYTES) * sizes[index]) / sum;
       this.byMechanism.set(mechanism, count);
     }
   }
 }
 
-const PLAIN = new Encoder({ useRecords: false });
+const PLAIN_ENCODER = new Encoder({ useRecords: false });
 
 /** The transport of one hollow node; batches as the TCP transport does. */
 export class HollowTransport implements Transport {
--- a/bench/capacity/measure-real.ts
+++ b/bench/capacity/measure-node-processes.ts
@@ -2,7 +2,7 @@
 import { SHARDS_PER_NODE, TARGET_TIMING } from "./hollow-cluster.ts";
 
 /** What idle node processes cost, per node and second. */
-export interface RealMeasurement {
+export interface ProcessMeasurement {
   readonly nodes: number;
   readonly bytes: number;
   readonly messages: number;
@@ -18,7 +18,7 @@
 const PERCENT = 100;
 
 /** Runs real node processes on loopback, with the target's timing and no calls, beside the stand-ins. */
-export async function measureReal(nodes: number): Promise<RealMeasurement> {
+export async function measureNodeProcesses(nodes: number): Promise<ProcessMeasurement> {
   const engines = Array.from({ length: nodes }, (_, index) => ({
     name: `runner-${index}`,
     models: ["model-1"],
@@ -27,9 +27,9 @@
   const cluster = await Cluster.start({ nodes, engines, shards: nodes * SHARDS_PER_NODE, settings: timing });
   try {
     await pause(SETTLE_MS);
-    const before = await totals(cluster);
+    const before = await readTotals(cluster);
     await pause(WINDOW_MS);
-    const after = await totals(cluster);
+    const after = await readTotals(cluster);
     const perNodeAndSecond = MS_PER_SECOND / (nodes * WINDOW_MS);
     return {
       nodes,
@@ -43,19 +43,19 @@
   }
 }
 
-async function totals(cluster: Cluster) {
+async function readTotals(cluster: Cluster) {
   const sum = { bytes: 0, messages: 0, cpuSeconds: 0, residentBytes: 0 };
   for (const node of cluster.nodes) {
     const text = await (await fetch(`http://${node.metrics}/metrics`)).text();
-    sum.bytes += metric(text, "tulipwheel_internal_bytes_sent_total");
-    sum.messages += metric(text, "tulipwheel_internal_messages_sent_total");
-    sum.cpuSeconds += metric(text, "process_cpu_seconds_total");
-    sum.residentBytes += metric(text, "process_resident_memory_bytes");
+    sum.bytes += readMetric(text, "tulipwheel_internal_bytes_sent_total");
+    sum.messages += readMetric(text, "tulipwheel_internal_messages_sent_total");
+    sum.cpuSeconds += readMetric(text, "process_cpu_seconds_total");
+    sum.residentBytes += readMetric(text, "process_resident_memory_bytes");
   }
   return sum;
 }
 
-function metric(text: string, name: string): number {
+function readMetric(text: string, name: string): number {
   return Number(new RegExp(`^${name} (\\S+)`, "m").exec(text)?.[1] ?? Number.NaN);
 }
 
--- a/bench/gateway-cost.ts
+++ b/bench/gateway-cost.ts
@@ -11,7 +11,7 @@
 import { CostCluster } from "./gateway-cost/cost-cluster.ts";
 import { type GatewayCosts, measureCosts } from "./gateway-cost/measure-costs.ts";
 
-const MS_PER_S = 1_000;
+const MS_PER_SECOND = 1_000;
 const INVALID_INPUT = 2;
 
 const { values } = parseArgs({
@@ -49,27 +49,27 @@
   });
   try {
     const costs = await measureCosts(cluster, {
-      durationMs: Number(values.seconds) * MS_PER_S,
+      durationMs: Number(values.seconds) * MS_PER_SECOND,
       turnsPerSecond: Number(values.turns) * gateways,
       callsPerSecond: Number(values.calls) * gateways,
     });
-    for (const cost of costs) process.stdout.write(`${line(String(gateways), cost)}\n`);
+    for (const cost of costs) process.stdout.write(`${formatRow(String(gateways), cost)}\n`);
     const [before, after] = costs;
-    if (before && after) process.stdout.write(`${line("ratio", ratiosOf(before, after))}\n`);
+    if (before && after) process.stdout.write(`${formatRow("ratio", ratiosOf(before, after))}\n`);
   } finally {
     await cluster.stop();
   }
 }
 
-function line(title: string, costs: GatewayCosts): string {
+function formatRow(title: string, costs: GatewayCosts): string {
   const columns = [
     title.padStart(8),
-    costs.wholeMs.toFixed(2).padStart(9),
+    costs.totalMs.toFixed(2).padStart(9),
     costs.startMs.toFixed(2).padStart(9),
-    costs.restMsPerSecond.toFixed(2).padStart(13),
+    costs.idleMsPerSecond.toFixed(2).padStart(13),
     costs.turnMs.toFixed(2).padStart(8),
     costs.callMs.toFixed(2).padStart(8),
-    costs.restWritesPerSecond.toFixed(2).padStart(17),
+    costs.idleWritesPerSecond.toFixed(2).padStart(17),
     costs.turnWrites.toFixed(2).padStart(12),
     String(costs.failed).padStart(7),
     costs.megabytes.toFixed(2).padStart(8),
@@ -80,12 +80,12 @@
 /** Each cost of the later build as a part of the earlier one's. */
 function ratiosOf(before: GatewayCosts, after: GatewayCosts): GatewayCosts {
   return {
-    wholeMs: after.wholeMs / before.wholeMs,
+    totalMs: after.totalMs / before.totalMs,
     startMs: after.startMs / before.startMs,
-    restMsPerSecond: after.restMsPerSecond / before.restMsPerSecond,
+    idleMsPerSecond: after.idleMsPerSecond / before.idleMsPerSecond,
     turnMs: after.turnMs / before.turnMs,
     callMs: after.callMs / before.callMs,
-    restWritesPerSecond: after.restWritesPerSecond / before.restWritesPerSecond,
+    idleWritesPerSecond: after.idleWritesPerSecond / before.idleWritesPerSecond,
     turnWrites: after.turnWrites / before.turnWrites,
     failed: after.failed,
     megabytes: after.megabytes / before.megabytes,
--- a/bench/gateway-cost/cost-cluster.ts
+++ b/bench/gateway-cost/cost-cluster.ts
@@ -33,17 +33,17 @@
 }
 
 /** Part of the runners that serve plain calls. */
-const SERVICE_PART = 0.15;
+const PLAIN_CALL_RUNNER_FRACTION = 0.15;
 /** How often runners write their rows, in ms; as on the users' platform. */
-const RUNNER_HEARTBEAT_MS = 1_200;
+const RUNNER_HEARTBEAT_INTERVAL_MS = 1_200;
 /** How often the platform asks each gateway whether it is ready, in ms. */
-const READINESS_MS = 1_000;
+const READINESS_INTERVAL_MS = 1_000;
 const READY_TIMEOUT_MS = 60_000;
-const POLL_MS = 250;
+const POLL_INTERVAL_MS = 250;
 const NANOSECONDS_PER_MS = 1_000_000;
 const KILOBYTES_PER_MEGABYTE = 1_024;
 /** Events of a turn's answer, as on the users' large deployments. */
-const EVENTS = 9;
+const EVENTS_PER_ANSWER = 9;
 
 /** See the module's comment. */
 export class CostCluster {
@@ -65,15 +65,15 @@
     putSampleConfiguration(this.#store);
     for (let index = 0; index < this.#options.runners; index += 1) await this.#addRunner(index);
     await this.#addGateways(storeAddress);
-    await this.#ready();
-    this.#timers.push(setInterval(() => this.#writeRunners(), RUNNER_HEARTBEAT_MS));
-    this.#timers.push(setInterval(() => this.#checkReadiness(), READINESS_MS));
+    await this.#waitUntilReady();
+    this.#timers.push(setInterval(() => this.#writeRunners(), RUNNER_HEARTBEAT_INTERVAL_MS));
+    this.#timers.push(setInterval(() => this.#checkReadiness(), READINESS_INTERVAL_MS));
   }
 
   /** Processor time that gateways of a bundle have used so far, in ms; a mean. */
   async processorMs(bundle: string): Promise<number> {
     return mean(
-      this.#running(bundle).map(async ({ process }) => {
+      this.#gatewaysOf(bundle).map(async ({ process }) => {
         const text = await readFile(`/proc/${process.pid}/schedstat`, "utf8");
         return Number(text.split(" ")[0]) / NANOSECONDS_PER_MS;
       }),
@@ -83,7 +83,7 @@
   /** System calls by which gateways of a bundle have written so far, to connections, the log and files; a mean. */
   async writes(bundle: string): Promise<number> {
     return mean(
-      this.#running(bundle).map(async ({ process }) => {
+      this.#gatewaysOf(bundle).map(async ({ process }) => {
         const text = await readFile(`/proc/${process.pid}/io`, "utf8");
         return Number(/syscw:\s+(\d+)/.exec(text)?.[1] ?? 0);
       }),
@@ -93,7 +93,7 @@
   /** Resident memory of gateways of a bundle that is not shared with others, in MB; a mean. */
   async megabytes(bundle: string): Promise<number> {
     return mean(
-      this.#running(bundle).map(async ({ process }) => {
+      this.#gatewaysOf(bundle).map(async ({ process }) => {
         const text = await readFile(`/proc/${process.pid}/status`, "utf8");
         return Number(/RssAnon:\s+(\d+)/.exec(text)?.[1] ?? 0) / KILOBYTES_PER_MEGABYTE;
       }),
@@ -105,13 +105,13 @@
     return this.#options.bundles;
   }
 
-  #running(bundle: string): CostGateway[] {
+  #gatewaysOf(bundle: string): CostGateway[] {
     return this.gateways.filter((gateway) => gateway.bundle === bundle);
   }
 
   async stop(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
-    await Promise.all(this.gateways.map(({ process }) => end(process)));
+    await Promise.all(this.gateways.map(({ process }) => stopProcess(process)));
     this.#store.close();
     for (const { standin } of this.#runners) standin.close();
     await rm(this.#folder, { recursive: true, force: true });
@@ -119,9 +119,9 @@
 
   async #addRunner(index: number): Promise<void> {
     const { runners, zones } = this.#options;
-    const service = index < runners * SERVICE_PART ? "api" : "engine";
+    const service = index < runners * PLAIN_CALL_RUNNER_FRACTION ? "api" : "engine";
     const standin = new RunnerStandin(`${service}-${index}`);
-    standin.events = EVENTS;
+    standin.events = EVENTS_PER_ANSWER;
     const address = await standin.listen();
     const row = { service, address, zone: `zone-${index % zones}`, version: "1", slots: 6, state: "ready" };
     this.#runners.push({ standin, row });
@@ -162,13 +162,13 @@
     }
   }
 
-  async #ready(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const deadlineMs = performance.now() + READY_TIMEOUT_MS;
     const [first] = this.gateways;
-    const wanted = Math.ceil(this.gateways.length / this.#options.zones) - 1;
-    while ((await this.#directorySize(first as CostGateway)) < wanted) {
+    const minDirectorySize = Math.ceil(this.gateways.length / this.#options.zones) - 1;
+    while ((await this.#directorySize(first as CostGateway)) < minDirectorySize) {
       if (performance.now() > deadlineMs) throw new Error("The gateways are not ready in time.");
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 
@@ -198,11 +198,11 @@
 }
 
 async function mean(numbers: readonly Promise<number>[]): Promise<number> {
-  const known = await Promise.all(numbers);
-  return known.reduce((sum, one) => sum + one, 0) / known.length;
+  const values = await Promise.all(numbers);
+  return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function end(child: ChildProcess): Promise<void> {
+function stopProcess(child: ChildProcess): Promise<void> {
   return new Promise((resolve) => {
     child.once("exit", () => resolve());
     child.kill("SIGTERM");
--- a/bench/gateway-cost/measure-costs.ts
+++ b/bench/gateway-cost/measure-costs.ts
@@ -17,13 +17,13 @@
 /** Means of one gateway; processor time in ms. */
 export interface GatewayCosts {
   /** The whole run: what is little apart differs less from run to run together. */
-  readonly wholeMs: number;
+  readonly totalMs: number;
   readonly startMs: number;
-  readonly restMsPerSecond: number;
+  readonly idleMsPerSecond: number;
   readonly turnMs: number;
   readonly callMs: number;
   /** System calls that write. */
-  readonly restWritesPerSecond: number;
+  readonly idleWritesPerSecond: number;
   readonly turnWrites: number;
   /** Requests that were not answered with 200. */
   readonly failed: number;
@@ -31,7 +31,7 @@
 }
 
 const OK = 200;
-const MS_PER_S = 1_000;
+const MS_PER_SECOND = 1_000;
 /** Time after the start in which members and partitions settle, in ms; it belongs to the start. */
 const SETTLE_MS = 3_000;
 /** Time for the last requests of a part to end, in ms. */
@@ -41,24 +41,24 @@
 export async function measureCosts(cluster: CostCluster, plan: CostPlan): Promise<GatewayCosts[]> {
   await cluster.start();
   await wait(SETTLE_MS);
-  const starts = await usage(cluster);
-  const rests = await measureRest(cluster, plan.durationMs);
-  const load = new Load(cluster, plan.durationMs, rests);
-  const turns = await load.run(plan.turnsPerSecond, sampleTurn);
-  const calls = await load.run(plan.callsPerSecond, sampleCall);
-  const wholes = await usage(cluster);
-  const sizes = await Promise.all(cluster.bundles.map((bundle) => cluster.megabytes(bundle)));
+  const startUsages = await readUsage(cluster);
+  const idleUsages = await measureIdle(cluster, plan.durationMs);
+  const load = new LoadGenerator(cluster, plan.durationMs, idleUsages);
+  const turnUsages = await load.run(plan.turnsPerSecond, sampleTurn);
+  const callUsages = await load.run(plan.callsPerSecond, sampleCall);
+  const totalUsages = await readUsage(cluster);
+  const megabytes = await Promise.all(cluster.bundles.map((bundle) => cluster.megabytes(bundle)));
   await load.close();
   return cluster.bundles.map((_, index) => ({
-    wholeMs: (wholes[index] as Usage).processorMs,
-    startMs: (starts[index] as Usage).processorMs,
-    restMsPerSecond: (rests[index] as Usage).processorMs,
-    turnMs: (turns[index] as Usage).processorMs,
-    callMs: (calls[index] as Usage).processorMs,
-    restWritesPerSecond: (rests[index] as Usage).writes,
-    turnWrites: (turns[index] as Usage).writes,
+    totalMs: (totalUsages[index] as Usage).processorMs,
+    startMs: (startUsages[index] as Usage).processorMs,
+    idleMsPerSecond: (idleUsages[index] as Usage).processorMs,
+    turnMs: (turnUsages[index] as Usage).processorMs,
+    callMs: (callUsages[index] as Usage).processorMs,
+    idleWritesPerSecond: (idleUsages[index] as Usage).writes,
+    turnWrites: (turnUsages[index] as Usage).writes,
     failed: load.failed,
-    megabytes: sizes[index] as number,
+    megabytes: megabytes[index] as number,
   }));
 }
 
@@ -69,7 +69,7 @@
 }
 
 /** Of a gateway of each bundle, so far. */
-function usage(cluster: CostCluster): Promise<Usage[]> {
+function readUsage(cluster: CostCluster): Promise<Usage[]> {
   return Promise.all(
     cluster.bundles.map(async (bundle) => {
       const [processorMs, writes] = await Promise.all([cluster.processorMs(bundle), cluster.writes(bundle)]);
@@ -79,56 +79,56 @@
 }
 
 /** What came after `before`, less `rest` for each of `seconds`, in `parts` parts. */
-function difference(after: Usage, before: Usage, rest: Usage, seconds: number, parts: number): Usage {
+function averageUsage(after: Usage, before: Usage, idle: Usage, seconds: number, parts: number): Usage {
   return {
-    processorMs: (after.processorMs - before.processorMs - rest.processorMs * seconds) / parts,
-    writes: (after.writes - before.writes - rest.writes * seconds) / parts,
+    processorMs: (after.processorMs - before.processorMs - idle.processorMs * seconds) / parts,
+    writes: (after.writes - before.writes - idle.writes * seconds) / parts,
   };
 }
 
-const NOTHING: Usage = { processorMs: 0, writes: 0 };
+const NO_USAGE: Usage = { processorMs: 0, writes: 0 };
 
 /** A second at rest. */
-async function measureRest(cluster: CostCluster, durationMs: number): Promise<Usage[]> {
-  const before = await usage(cluster);
+async function measureIdle(cluster: CostCluster, durationMs: number): Promise<Usage[]> {
+  const before = await readUsage(cluster);
   await wait(durationMs);
-  const after = await usage(cluster);
-  const seconds = durationMs / MS_PER_S;
-  return after.map((one, index) => difference(one, before[index] as Usage, NOTHING, 0, seconds));
+  const after = await readUsage(cluster);
+  const seconds = durationMs / MS_PER_SECOND;
+  return after.map((one, index) => averageUsage(one, before[index] as Usage, NO_USAGE, 0, seconds));
 }
 
 /** Sends requests at a rate, to the gateways in turn. */
-class Load {
+class LoadGenerator {
   readonly #cluster: CostCluster;
   readonly #durationMs: number;
   /** A second at rest of a gateway of each bundle. */
-  readonly #rests: readonly Usage[];
+  readonly #idleUsages: readonly Usage[];
   readonly #pools: Pool[];
   failed = 0;
 
-  constructor(cluster: CostCluster, durationMs: number, rests: readonly Usage[]) {
+  constructor(cluster: CostCluster, durationMs: number, idleUsages: readonly Usage[]) {
     this.#cluster = cluster;
     this.#durationMs = durationMs;
-    this.#rests = rests;
+    this.#idleUsages = idleUsages;
     this.#pools = cluster.gateways.map(({ callers }) => new Pool(`http://${callers}`, { connections: 4 }));
   }
 
   /** What a request takes beyond what gateways take at rest, of each bundle. */
   async run(perSecond: number, requestOf: (index: number) => SampleRequest): Promise<Usage[]> {
     const startedMs = performance.now();
-    const before = await usage(this.#cluster);
+    const before = await readUsage(this.#cluster);
     let sent = 0;
     while (performance.now() - startedMs < this.#durationMs) {
-      const due = ((performance.now() - startedMs) / MS_PER_S) * perSecond;
-      for (; sent < due; sent += 1) void this.#send(sent, requestOf(sent));
+      const dueRequests = ((performance.now() - startedMs) / MS_PER_SECOND) * perSecond;
+      for (; sent < dueRequests; sent += 1) void this.#send(sent, requestOf(sent));
       await wait(5);
     }
     await wait(DRAIN_MS);
-    const after = await usage(this.#cluster);
-    const elapsedS = (performance.now() - startedMs) / MS_PER_S;
-    const sentEach = sent / this.#pools.length;
+    const after = await readUsage(this.#cluster);
+    const elapsedS = (performance.now() - startedMs) / MS_PER_SECOND;
+    const sentPerGateway = sent / this.#pools.length;
     return after.map((one, index) =>
-      difference(one, before[index] as Usage, this.#rests[index] as Usage, elapsedS, sentEach),
+      averageUsage(one, before[index] as Usage, this.#idleUsages[index] as Usage, elapsedS, sentPerGateway),
     );
   }
 
