--- a/bench/build-gateway.mjs
+++ b/bench/build-gateway.mjs
@@ -1,6 +1,6 @@
 /**
- * Builds what the platform runs, into target/: the gateway as one file, compiled code for it, and the script that starts
- * it. The compiled code is that of gateways that have served some requests; without it a gateway starts more slowly.
+ * Builds the files that the platform runs, into target/: the gateway bundle, its code cache, and the script that starts
+ * it. The code cache comes from gateways that have served some requests; without it a gateway starts more slowly.
  */
 import { spawnSync } from "node:child_process";
 import { rmSync } from "node:fs";
@@ -10,14 +10,14 @@
 
 const SCHEMA_WRITER = "target/write-settings-schema.cjs";
 const CODE_CACHE = "target/gateway-bundle.code-cache";
-/** Longest time for the gateways that warm up, in ms. */
+/** Maximum duration of the warm-up, in ms. */
 const WARM_UP_TIMEOUT_MS = 60_000;
-/** An address found free may be taken when a gateway wants it: the gateways warm up again, at others. */
+/** A free address may be taken by the time a gateway binds it: the warm-up is then repeated with other addresses. */
 const WARM_UP_TRIES = 3;
 
 /**
- * Libraries load these where they can, and go without where they cannot: nothing here speaks HTTP/2, and the native part of
- * cbor-x does not lie beside the bundle, so that each start would look for it in vain.
+ * Excludes modules that libraries load optionally and can work without: HTTP/2 is not used here, and the native part of
+ * cbor-x is not shipped with the bundle, so each start would search for it in vain.
  */
 const withoutOptional = {
   name: "without-optional",
@@ -30,7 +30,7 @@
   },
 };
 
-/** Libraries check themselves with one function of node:assert, which loads a lot to explain failures. */
+/** Replaces node:assert: libraries use only one function of it, but it loads much code to explain failures. */
 const plainAssert = {
   name: "plain-assert",
   setup(build) {
@@ -57,7 +57,7 @@
   });
 }
 
-/** Whether gateways have warmed up, and the code compiled for them is stored. */
+/** Warms up gateways and stores their compiled code; returns whether it succeeded. */
 function writeCodeCache() {
   const { status } = spawnSync(process.execPath, [...runtimeFlags(), "target/write-code-cache.cjs"], {
     stdio: ["ignore", "ignore", "inherit"],
@@ -66,7 +66,7 @@
   return status === 0;
 }
 
-/** The schema of a gateway's settings, as JSON. */
+/** Returns the schema of a gateway's settings, as JSON. */
 async function settingsSchema() {
   await bundle("bench/build/write-settings-schema.ts", SCHEMA_WRITER);
   const { stdout } = spawnSync(process.execPath, [SCHEMA_WRITER], { encoding: "utf8" });
--- a/bench/build/free-address.ts
+++ b/bench/build/free-address.ts
@@ -1,6 +1,6 @@
 import { type AddressInfo, createServer } from "node:net";
 
-/** An address of the loopback, `IP:port`, at which nobody listens at this moment. */
+/** Returns a loopback address, `IP:port`, on which no process listens at this moment. */
 export function freeAddress(): Promise<string> {
   return new Promise((resolve, reject) => {
     const server = createServer();
--- a/bench/build/runtime-flags.d.mts
+++ b/bench/build/runtime-flags.d.mts
@@ -1,2 +1,2 @@
-/** The flags that gateways run with, from deploy/system.toml. */
+/** Returns the Node.js flags of gateways, from deploy/system.toml. */
 export function runtimeFlags(): string[];
--- a/bench/build/runtime-flags.mjs
+++ b/bench/build/runtime-flags.mjs
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 
-/** The flags that gateways run with, from deploy/system.toml: compiled code is only good for the same ones. */
+/** Returns the Node.js flags of gateways, from deploy/system.toml: a code cache is valid only for the same flags. */
 export function runtimeFlags() {
   const [, command] = /^run = "node ([^"]*)"$/m.exec(readFileSync("deploy/system.toml", "utf8")) ?? [];
   return (command ?? "").split(" ").filter((word) => word.startsWith("--"));
--- a/bench/build/warm-up-back-ends.ts
+++ b/bench/build/warm-up-back-ends.ts
@@ -1,4 +1,4 @@
-/** Stand-ins of the store and of runners for gateways that warm up. */
+/** Stand-ins of the store and of runners, used while gateways warm up. */
 
 import { putSampleConfiguration } from "../../standins/platform/put-sample-configuration.ts";
 import { RowStoreStandin } from "../../standins/platform/row-store-standin.ts";
@@ -6,7 +6,7 @@
 
 const RUNNERS = 4;
 
-/** See the module's comment. */
+/** A running store stand-in with the rows of a few runner stand-ins. */
 export class WarmUpBackEnds {
   readonly storeAddress: string;
 
@@ -14,7 +14,7 @@
     this.storeAddress = storeAddress;
   }
 
-  /** Starts everything. */
+  /** Starts the store and the runners. */
   static async start(): Promise<WarmUpBackEnds> {
     const store = new RowStoreStandin();
     const address = await store.listen();
--- a/bench/build/warm-up-requests.ts
+++ b/bench/build/warm-up-requests.ts
@@ -1,4 +1,4 @@
-/** Requests of callers for gateways that warm up: turns of programs and plain calls. */
+/** Sends callers' requests to gateways that warm up: turns of programs and plain calls. */
 import { setTimeout as wait } from "node:timers/promises";
 import { Pool } from "undici";
 import { sampleCall } from "../../standins/platform/sample-call.ts";
@@ -7,12 +7,12 @@
 const OK = 200;
 const READY_TIMEOUT_MS = 20_000;
 const POLL_INTERVAL_MS = 100;
-/** Requests of each kind to each gateway, one after the other. */
+/** Number of requests of each kind to each gateway, sent sequentially. */
 const REQUESTS_PER_GATEWAY = 12;
-/** Time in which heartbeats, digests and claims run beside, in ms. */
+/** Idle time, in ms, in which heartbeats, digests and claims run and are compiled too. */
 const IDLE_TIME_MS = 2_500;
 
-/** Sends requests to each of the gateways; returns whether all were served in time. */
+/** Sends requests to each gateway; returns whether all were served in time. */
 export async function sendWarmUpRequests(callers: readonly string[]): Promise<boolean> {
   const deadlineMs = performance.now() + READY_TIMEOUT_MS;
   const pools = callers.map((address) => new Pool(`http://${address}`, { connections: 2 }));
@@ -37,7 +37,7 @@
       await answer.body.dump();
       if (answer.statusCode !== OK) return false;
     } catch {
-      // Not listening yet; the caller asks again, and gives up in time.
+      // The gateway does not listen yet: the caller retries until its deadline.
       return false;
     }
   }
--- a/bench/build/write-code-cache.ts
+++ b/bench/build/write-code-cache.ts
@@ -1,4 +1,4 @@
-/** Lets gateways of the bundle serve some requests in this process, and stores the code that was compiled for it. */
+/** Runs gateways of the bundle in this process, sends them some requests, and stores the code that V8 compiled. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { dirname, join } from "node:path";
@@ -8,11 +8,11 @@
 import { WarmUpBackEnds } from "./warm-up-back-ends.ts";
 import { sendWarmUpRequests } from "./warm-up-requests.ts";
 
-/** Gateways that talk to each other; with more than `DIRECT_MOST`, through relays. */
+/** Number of gateways in the cluster; above `MAX_DIRECT_PEERS` they communicate through relays. */
 const GATEWAYS = 5;
 const MAX_DIRECT_PEERS = 2;
 
-/** Returns whether all requests were served; nothing is stored otherwise. */
+/** Returns whether all requests were served; if not, no code is stored. */
 async function writeCodeCache(): Promise<boolean> {
   const folder = dirname(process.argv[1] as string);
   const settingsFolder = mkdtempSync(join(tmpdir(), "tulipwheel-build-"));
--- a/bench/build/write-settings-schema.ts
+++ b/bench/build/write-settings-schema.ts
@@ -1,4 +1,4 @@
-/** Writes the JSON Schema of a gateway's settings to standard output, without what is only for readers. */
+/** Writes the JSON Schema of a gateway's settings to standard output, without descriptions. */
 import * as z from "zod";
 import { gatewaySettingsSchema } from "../../src/gateway/gateway-settings.ts";
 
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,4 +1,4 @@
-/** `npm run capacity`: measures what coordination costs by number of nodes, and extrapolates to the target. */
+/** `npm run capacity`: measures the cost of coordination by number of nodes, and extrapolates it to the target size. */
 import { execFileSync } from "node:child_process";
 import { mkdir, writeFile } from "node:fs/promises";
 import { Cli, Command, Option } from "clipanion";
@@ -7,7 +7,7 @@
 import { measureNodeProcesses, type ProcessMeasurement } from "./capacity/measure-node-processes.ts";
 import { plotSvg } from "./capacity/plot-svg.ts";
 
-/** What one size showed; per node and second unless the name says otherwise. */
+/** Results for one cluster size; per node and second unless the name says otherwise. */
 interface Measurement {
   readonly nodes: number;
   readonly bytesByMechanism: Record<string, number>;
@@ -28,9 +28,9 @@
 class CapacityCommand extends Command {
   static override paths = [Command.Default];
   sizes = Option.String("--sizes", "25,50,100,200,400", { description: "Numbers of hollow nodes" });
-  real = Option.String("--real", "6", { description: "Number of real node processes measured beside" });
+  real = Option.String("--real", "6", { description: "Number of node processes to measure for comparison" });
   write = Option.Boolean("--write", false, {
-    description: "Keeps the results in bench/results and the plot in docs",
+    description: "Writes the results to bench/results and the plot to docs",
   });
 
   override async execute(): Promise<number> {
--- a/bench/capacity/fit-line.ts
+++ b/bench/capacity/fit-line.ts
@@ -1,14 +1,14 @@
-/** A line through measured points, by least squares. */
+/** A line fitted to measured points by least squares. */
 export interface Line {
   readonly slope: number;
   readonly intercept: number;
-  /** Root of the mean squared distance of the points from the line, in the unit of y. */
+  /** Root mean square distance of the points from the line, in the unit of y. */
   readonly residual: number;
-  /** The line's value. */
+  /** The value of the line at `x`. */
   at(x: number): number;
 }
 
-/** Fits a line; needs two points with different x. */
+/** Fits a line; needs at least two points with different x. */
 export function fitLine(points: readonly (readonly [number, number])[]): Line {
   const count = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / count;
--- a/bench/capacity/hollow-cluster.ts
+++ b/bench/capacity/hollow-cluster.ts
@@ -20,13 +20,13 @@
 const REPLICAS_PER_SHARD = 5;
 const READY_TIMEOUT_MS = 60_000;
 
-/** Requests that the platform got. */
+/** Number of requests that the platform received, by service. */
 export interface PlatformCounts {
   table: number;
   machineList: number;
 }
 
-/** Many hollow nodes in this process: the real daemons, without calls, over a counting network. */
+/** Many hollow nodes in this process: the real daemons, without calls, over a network that counts traffic. */
 export class HollowCluster {
   readonly network = new HollowNetwork();
   readonly platform: PlatformCounts = { table: 0, machineList: 0 };
@@ -44,12 +44,12 @@
     return cluster;
   }
 
-  /** Ends all nodes. */
+  /** Stops all nodes at once. */
   stop(): void {
     for (const node of this.nodes) node.halt();
   }
 
-  /** Shards that have a ready leader. */
+  /** Number of shards that have a ready leader. */
   get shardsWithLeader(): number {
     let led = 0;
     for (const node of this.nodes) for (const replica of node.shards.all()) if (replica.leads) led += 1;
@@ -160,7 +160,7 @@
   }
 }
 
-/** The timing that the target's budget is reckoned with; docs/CAPACITY.md says what it costs in failover. */
+/** The timing on which the target's budget is based; docs/CAPACITY.md describes its effect on failover time. */
 export const TARGET_TIMING = {
   tickMs: 250,
   shardGroup: { electionTimeoutMs: 4_000, heartbeatIntervalMs: 1_000 },
--- a/bench/capacity/hollow-network.ts
+++ b/bench/capacity/hollow-network.ts
@@ -8,7 +8,7 @@
   bytes: number;
 }
 
-/** What a mechanism's messages are called in the results. */
+/** The mechanism under which the results count each type of message. */
 const MECHANISM_BY_MESSAGE_TYPE: Readonly<Record<string, string>> = {
   shard: "shard groups",
   shardHeartbeats: "shard groups",
@@ -20,10 +20,10 @@
   rpcResponse: "requests",
 };
 
-/** Bytes of TCP and IP headers that a batch takes along. */
+/** Bytes of TCP and IP headers added to each batch. */
 const HEADER_BYTES = 52;
 
-/** Connects many hollow nodes within one process; everything is encoded and counted as it would be on the wire. */
+/** Connects many hollow nodes within one process; messages are encoded and counted as they would be on the wire. */
 export class HollowNetwork {
   readonly byMechanism = new Map<string, TrafficCount>();
   batches = 0;
@@ -36,7 +36,7 @@
     return transport;
   }
 
-  /** Starts counting anew. */
+  /** Resets all counts. */
   reset(): void {
     this.byMechanism.clear();
     this.batches = 0;
@@ -56,7 +56,7 @@
     });
   }
 
-  /** A batch's bytes are shared out among the mechanisms by the size that their messages have alone. */
+  /** Splits the bytes of a batch among the mechanisms in proportion to the size of each message encoded alone. */
   #count(messages: readonly Message[], batchBytes: number): void {
     this.batches += 1;
     const sizes = messages.map((message) => PLAIN_ENCODER.encode(message).length);
@@ -73,7 +73,7 @@
 
 const PLAIN_ENCODER = new Encoder({ useRecords: false });
 
-/** The transport of one hollow node; batches as the TCP transport does. */
+/** The transport of one hollow node; batches messages as the TCP transport does. */
 export class HollowTransport implements Transport {
   readonly self: Sender;
   configurationVersion = 0;
@@ -126,7 +126,7 @@
   }
 }
 
-/** As the TCP transport has it: one coder per connection and direction. */
+/** Returns the coder of a connection and direction; as in the TCP transport, each has its own. */
 function coderFor(coders: Map<string, Encoder>, address: string): Encoder {
   const coder = coders.get(address) ?? new Encoder({ sequential: true, structures: [] });
   coders.set(address, coder);
--- a/bench/capacity/measure-node-processes.ts
+++ b/bench/capacity/measure-node-processes.ts
@@ -1,13 +1,13 @@
 import { Cluster, pause } from "../../test/process/support/cluster.ts";
 import { SHARDS_PER_NODE, TARGET_TIMING } from "./hollow-cluster.ts";
 
-/** What idle node processes cost, per node and second. */
+/** Cost of idle node processes; traffic and processor time are per node and second. */
 export interface ProcessMeasurement {
   readonly nodes: number;
   readonly bytes: number;
   readonly messages: number;
   readonly cpuPercent: number;
-  /** Whole resident memory of a process, Node.js itself included. */
+  /** Total resident memory of a process, including Node.js itself. */
   readonly residentMegabytes: number;
 }
 
@@ -17,7 +17,7 @@
 const BYTES_PER_MEGABYTE = 1_048_576;
 const PERCENT = 100;
 
-/** Runs real node processes on loopback, with the target's timing and no calls, beside the stand-ins. */
+/** Runs node processes on loopback with the stand-ins, with the target's timing and without calls. */
 export async function measureNodeProcesses(nodes: number): Promise<ProcessMeasurement> {
   const engines = Array.from({ length: nodes }, (_, index) => ({
     name: `runner-${index}`,
--- a/bench/gateway-cost.ts
+++ b/bench/gateway-cost.ts
@@ -1,9 +1,10 @@
 /**
- * What a gateway's process costs among many: `npm run gateway-cost -- [--sizes 40,100] [--seconds 10] [--profile FOLDER]`.
- * Starts that many real processes of the bundle (`npm run build:gateway`) on the loopback, before stand-ins of the store
- * and of runners in this process, and reports processor time by part: a start, a second at rest, a turn, a plain call.
- * With `--check BUNDLE` every other gateway runs an earlier build, and the costs of both and their ratios are said: beside
- * each other both meet the same load of the machine. With `--profile` one gateway writes a CPU profile into a folder.
+ * `npm run gateway-cost -- [--sizes 40,100] [--seconds 10] [--profile FOLDER]`: measures the cost of one gateway process
+ * in a cluster of each size. Starts processes of the bundle (`npm run build:gateway`) on loopback, with stand-ins of the
+ * store and of runners in this process, and reports processor time by phase: start, an idle second, a turn, a plain call.
+ * With `--check BUNDLE` every other gateway runs an earlier build, and the costs of both builds and their ratios are
+ * printed: run side by side, both see the same load on the machine. With `--profile` one gateway writes a CPU profile to
+ * a folder.
  */
 import { existsSync } from "node:fs";
 import { parseArgs } from "node:util";
@@ -77,7 +78,7 @@
   return columns.join(" ");
 }
 
-/** Each cost of the later build as a part of the earlier one's. */
+/** Returns each cost of the later build divided by that of the earlier build. */
 function ratiosOf(before: GatewayCosts, after: GatewayCosts): GatewayCosts {
   return {
     totalMs: after.totalMs / before.totalMs,
--- a/bench/gateway-cost/cost-cluster.ts
+++ b/bench/gateway-cost/cost-cluster.ts
@@ -1,4 +1,4 @@
-/** Real gateways as separate processes before stand-ins of the store and of runners, and what they cost the machine. */
+/** Gateways in separate processes, with stand-ins of the store and of runners, and the resources the gateways use. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtemp, readFile, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
@@ -11,20 +11,20 @@
 import { SAMPLE_ROUTES } from "../../standins/platform/sample-routes.ts";
 import { TestAddresses } from "../../test/process/support/test-addresses.ts";
 
-/** What a cluster consists of. */
+/** Size and programs of a CostCluster. */
 export interface CostClusterOptions {
   readonly gateways: number;
   readonly zones: number;
   readonly runners: number;
-  /** The programs that gateways run, in turn: several are compared beside each other, under the same load. */
+  /** Bundles, assigned to gateways round-robin, so that several are compared side by side under the same load. */
   readonly bundles: readonly string[];
-  /** Flags of the runtime. */
+  /** Node.js flags of the gateways. */
   readonly flags: readonly string[];
-  /** Where one gateway writes a CPU profile; none when undefined. */
+  /** Folder to which one gateway writes a CPU profile; none when undefined. */
   readonly profileFolder: string | undefined;
 }
 
-/** One gateway's process. */
+/** A gateway process and its addresses. */
 export interface CostGateway {
   readonly bundle: string;
   readonly callers: string;
@@ -32,20 +32,20 @@
   readonly process: ChildProcess;
 }
 
-/** Part of the runners that serve plain calls. */
+/** Fraction of the runners that serve plain calls. */
 const PLAIN_CALL_RUNNER_FRACTION = 0.15;
-/** How often runners write their rows, in ms; as on the users' platform. */
+/** Interval at which runners write their rows, in ms; as on the users' platform. */
 const RUNNER_HEARTBEAT_INTERVAL_MS = 1_200;
-/** How often the platform asks each gateway whether it is ready, in ms. */
+/** Interval at which the platform checks the readiness of each gateway, in ms. */
 const READINESS_INTERVAL_MS = 1_000;
 const READY_TIMEOUT_MS = 60_000;
 const POLL_INTERVAL_MS = 250;
 const NANOSECONDS_PER_MS = 1_000_000;
 const KILOBYTES_PER_MEGABYTE = 1_024;
-/** Events of a turn's answer, as on the users' large deployments. */
+/** Number of events in the answer of a turn, as in the users' large deployments. */
 const EVENTS_PER_ANSWER = 9;
 
-/** See the module's comment. */
+/** Starts and stops the gateways and stand-ins, and reads the gateways' resource usage from /proc. */
 export class CostCluster {
   readonly gateways: CostGateway[] = [];
   readonly #options: CostClusterOptions;
@@ -58,7 +58,7 @@
     this.#options = options;
   }
 
-  /** Starts everything, and waits until the directory of each gateway is full. */
+  /** Starts all processes and stand-ins, and waits until the first gateway's directory lists the gateways of its zone. */
   async start(): Promise<void> {
     const storeAddress = await this.#store.listen();
     this.#folder = await mkdtemp(join(tmpdir(), "tulipwheel-cost-"));
@@ -70,7 +70,7 @@
     this.#timers.push(setInterval(() => this.#checkReadiness(), READINESS_INTERVAL_MS));
   }
 
-  /** Processor time that gateways of a bundle have used so far, in ms; a mean. */
+  /** Mean processor time that the gateways of a bundle have used so far, in ms. */
   async processorMs(bundle: string): Promise<number> {
     return mean(
       this.#gatewaysOf(bundle).map(async ({ process }) => {
@@ -80,7 +80,7 @@
     );
   }
 
-  /** System calls by which gateways of a bundle have written so far, to connections, the log and files; a mean. */
+  /** Mean number of write system calls by the gateways of a bundle so far, to connections, the log and files. */
   async writes(bundle: string): Promise<number> {
     return mean(
       this.#gatewaysOf(bundle).map(async ({ process }) => {
@@ -90,7 +90,7 @@
     );
   }
 
-  /** Resident memory of gateways of a bundle that is not shared with others, in MB; a mean. */
+  /** Mean resident memory of the gateways of a bundle that is not shared with other processes, in MB. */
   async megabytes(bundle: string): Promise<number> {
     return mean(
       this.#gatewaysOf(bundle).map(async ({ process }) => {
@@ -100,7 +100,7 @@
     );
   }
 
-  /** The programs that are compared. */
+  /** The bundles that are compared. */
   get bundles(): readonly string[] {
     return this.#options.bundles;
   }
@@ -149,7 +149,7 @@
         directory: directory as string,
       } as CostGateway);
     }
-    // No other variable of this process: certificates that one names, for instance, are read at each start.
+    // Pass no other environment variables: certificate files named by one, for example, would be read at each start.
     for (const [index, file] of files.entries()) {
       const isProfiled = profileFolder !== undefined && index === gateways - 1;
       const profile = isProfiled ? ["--cpu-prof", `--cpu-prof-dir=${profileFolder}`] : [];
@@ -167,7 +167,7 @@
     const [first] = this.gateways;
     const minDirectorySize = Math.ceil(this.gateways.length / this.#options.zones) - 1;
     while ((await this.#directorySize(first as CostGateway)) < minDirectorySize) {
-      if (performance.now() > deadlineMs) throw new Error("The gateways are not ready in time.");
+      if (performance.now() > deadlineMs) throw new Error("The gateways were not ready in time.");
       await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
--- a/bench/gateway-cost/measure-costs.ts
+++ b/bench/gateway-cost/measure-costs.ts
@@ -1,4 +1,4 @@
-/** Measures the parts of a gateway's processor time one after the other: start, rest, turns, plain calls. */
+/** Measures a gateway's processor time in consecutive phases: start, idle, turns, plain calls. */
 import { setTimeout as wait } from "node:timers/promises";
 import { Pool } from "undici";
 import { sampleCall } from "../../standins/platform/sample-call.ts";
@@ -6,38 +6,38 @@
 import { sampleTurn } from "../../standins/platform/sample-turn.ts";
 import type { CostCluster } from "./cost-cluster.ts";
 
-/** What is measured, and for how long. */
+/** Duration and request rates of a measurement. */
 export interface CostPlan {
-  /** Length of each part, in ms. */
+  /** Length of each phase, in ms. */
   readonly durationMs: number;
   readonly turnsPerSecond: number;
   readonly callsPerSecond: number;
 }
 
-/** Means of one gateway; processor time in ms. */
+/** Mean costs of one gateway; processor time in ms. */
 export interface GatewayCosts {
-  /** The whole run: what is little apart differs less from run to run together. */
+  /** The whole run: the total varies less between runs than its small parts do. */
   readonly totalMs: number;
   readonly startMs: number;
   readonly idleMsPerSecond: number;
   readonly turnMs: number;
   readonly callMs: number;
-  /** System calls that write. */
+  /** Write system calls. */
   readonly idleWritesPerSecond: number;
   readonly turnWrites: number;
-  /** Requests that were not answered with 200. */
+  /** Number of requests that were not answered with status 200. */
   readonly failed: number;
   readonly megabytes: number;
 }
 
 const OK = 200;
 const MS_PER_SECOND = 1_000;
-/** Time after the start in which members and partitions settle, in ms; it belongs to the start. */
+/** Time after the start for membership and partitions to settle, in ms; counted as part of the start. */
 const SETTLE_MS = 3_000;
-/** Time for the last requests of a part to end, in ms. */
+/** Time for the last requests of a phase to complete, in ms. */
 const DRAIN_MS = 500;
 
-/** See the module's comment. Returns the costs of each bundle, in the order of the cluster's. */
+/** Starts the cluster and runs all phases. Returns the costs of each bundle, in the order of the cluster's bundles. */
 export async function measureCosts(cluster: CostCluster, plan: CostPlan): Promise<GatewayCosts[]> {
   await cluster.start();
   await wait(SETTLE_MS);
@@ -62,13 +62,13 @@
   }));
 }
 
-/** What a gateway has used so far, or uses a second, or for a request. */
+/** Resource usage of a gateway: so far, per second or per request. */
 interface Usage {
   readonly processorMs: number;
   readonly writes: number;
 }
 
-/** Of a gateway of each bundle, so far. */
+/** Reads the mean usage so far of the gateways of each bundle. */
 function readUsage(cluster: CostCluster): Promise<Usage[]> {
   return Promise.all(
     cluster.bundles.map(async (bundle) => {
@@ -78,7 +78,7 @@
   );
 }
 
-/** What came after `before`, less `rest` for each of `seconds`, in `parts` parts. */
+/** Returns the usage between `before` and `after`, less `idle` for each of `seconds`, divided by `parts`. */
 function averageUsage(after: Usage, before: Usage, idle: Usage, seconds: number, parts: number): Usage {
   return {
     processorMs: (after.processorMs - before.processorMs - idle.processorMs * seconds) / parts,
@@ -88,7 +88,7 @@
 
 const NO_USAGE: Usage = { processorMs: 0, writes: 0 };
 
-/** A second at rest. */
+/** Measures the usage per idle second, for each bundle. */
 async function measureIdle(cluster: CostCluster, durationMs: number): Promise<Usage[]> {
   const before = await readUsage(cluster);
   await wait(durationMs);
@@ -97,11 +97,11 @@
   return after.map((one, index) => averageUsage(one, before[index] as Usage, NO_USAGE, 0, seconds));
 }
 
-/** Sends requests at a rate, to the gateways in turn. */
+/** Sends requests at a fixed rate, to the gateways round-robin. */
 class LoadGenerator {
   readonly #cluster: CostCluster;
   readonly #durationMs: number;
-  /** A second at rest of a gateway of each bundle. */
+  /** Usage per idle second of a gateway of each bundle. */
   readonly #idleUsages: readonly Usage[];
   readonly #pools: Pool[];
   failed = 0;
@@ -113,7 +113,7 @@
     this.#pools = cluster.gateways.map(({ callers }) => new Pool(`http://${callers}`, { connections: 4 }));
   }
 
-  /** What a request takes beyond what gateways take at rest, of each bundle. */
+  /** Sends requests for the phase's duration. Returns the usage per request beyond idle usage, for each bundle. */
   async run(perSecond: number, requestOf: (index: number) => SampleRequest): Promise<Usage[]> {
     const startedMs = performance.now();
     const before = await readUsage(this.#cluster);
