--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -55,7 +55,7 @@
     );
     if (this.compare) this.context.stdout.write(`${compare(rows)}\n`);
     else for (const row of rows) this.context.stdout.write(`${describe(row)}\n`);
-    if (this.write) await keep(`${scenario.name}-${this.load}`, rows);
+    if (this.write) await writeResults(`${scenario.name}-${this.load}`, rows);
     return 0;
   }
 
@@ -65,16 +65,16 @@
       const options = { scenario, policy, seed: index + 1, load: Number(this.load), durationMs };
       return figuresOf(runExperiment(options, hash));
     });
-    const of = (read: (one: Figures) => number) => interval(figures.map(read));
+    const intervalOf = (read: (one: Figures) => number) => interval(figures.map(read));
     return {
-      p50Seconds: of((one) => one.p50Seconds),
-      p95Seconds: of((one) => one.p95Seconds),
-      stretch: of((one) => one.stretch),
-      wastedPercent: of((one) => one.wastedPercent),
-      missedPercent: of((one) => one.missedPercent),
-      unfinished: of((one) => one.unfinished),
-      refusedPercent: of((one) => one.refusedPercent),
-      worthPercent: of((one) => one.worthPercent),
+      p50Seconds: intervalOf((one) => one.p50Seconds),
+      p95Seconds: intervalOf((one) => one.p95Seconds),
+      stretch: intervalOf((one) => one.stretch),
+      wastedPercent: intervalOf((one) => one.wastedPercent),
+      missedPercent: intervalOf((one) => one.missedPercent),
+      unfinished: intervalOf((one) => one.unfinished),
+      refusedPercent: intervalOf((one) => one.refusedPercent),
+      worthPercent: intervalOf((one) => one.worthPercent),
     };
   }
 }
@@ -151,7 +151,7 @@
   return formatTable(["POLICY", ...COLUMNS.map(([header]) => header)], cells);
 }
 
-async function keep(name: string, rows: readonly object[]): Promise<void> {
+async function writeResults(name: string, rows: readonly object[]): Promise<void> {
   const commit = execFileSync("git", ["rev-parse", "--short", "HEAD"], { encoding: "utf8" }).trim();
   await mkdir("bench/results", { recursive: true });
   const content = JSON.stringify({ commit, date: new Date().toISOString(), rows }, null, 2);
--- a/bench/experiment/emulated-runner.ts
+++ b/bench/experiment/emulated-runner.ts
@@ -5,7 +5,7 @@
 import type { SlotRequest } from "../../src/scheduling/queue/slot-request.ts";
 import type { RunnerView } from "../../src/scheduling/runner-selection/runner-view.ts";
 import { EngineModel } from "../../standins/engine/engine-model.ts";
-import type { EngineFigures } from "./engine-figures.ts";
+import type { EngineParameters } from "./engine-parameters.ts";
 import type { EventQueue } from "./event-queue.ts";
 
 /** A call that wants to run. */
@@ -29,7 +29,7 @@
   readonly #calls = new Map<string, EmulatedCall>();
   #stepping = false;
 
-  constructor(name: string, figures: EngineFigures, time: EventQueue, hash: TextHash) {
+  constructor(name: string, figures: EngineParameters, time: EventQueue, hash: TextHash) {
     this.name = name;
     this.slots = figures.slots;
     this.#time = time;
--- a/bench/experiment/engine-figures.ts
+++ b/bench/experiment/engine-parameters.ts
@@ -1,5 +1,5 @@
 /** Sizes and speeds of an emulated engine. */
-export interface EngineFigures {
+export interface EngineParameters {
   /** Sequences in a batch. */
   readonly slots: number;
   /** Tokens of key-value memory. */
@@ -15,7 +15,7 @@
 }
 
 /** An engine that reads 10,000 prompt tokens a second; 12 ms for a step of a full batch. */
-export const SLOW_ENGINE: EngineFigures = {
+export const SLOW_ENGINE: EngineParameters = {
   slots: 16,
   kvTokens: 60_000,
   stepMs: 10,
--- a/bench/experiment/policies.ts
+++ b/bench/experiment/policies.ts
@@ -9,7 +9,7 @@
 import type { EmulatedRunner } from "./emulated-runner.ts";
 
 /** What a policy is asked. */
-export interface PlacementQuestion {
+export interface PlacementRequest {
   readonly promptTokens: number;
   /** Where the program's last turn ran, and how much it left there. */
   readonly cached: readonly CachedPrefix[];
@@ -25,7 +25,7 @@
   /** Whether a program may begin now; all may where this is left out. */
   admits?(runners: readonly EmulatedRunner[]): boolean;
   /** Chooses a runner. */
-  place(question: PlacementQuestion): EmulatedRunner;
+  place(question: PlacementRequest): EmulatedRunner;
   /** What the queue may know of a call; baselines serve in the order of arrival. */
   describe(request: SlotRequest): SlotRequest;
 }
@@ -53,7 +53,7 @@
   },
   {
     name: "prefix-affinity",
-    place: ({ runners, cached }) => holderOf(runners, cached) ?? leastOutstanding(runners),
+    place: ({ runners, cached }) => findCacheHolder(runners, cached) ?? leastOutstanding(runners),
     describe: firstComeFirstServed,
   },
   {
@@ -72,26 +72,26 @@
     },
     describe: (request) => request,
   },
-  { name: "gateway", place: placeByBoard, describe: firstComeFirstServed },
+  { name: "gateway", place: placeByRunnerBalancer, describe: firstComeFirstServed },
   {
     name: "gateway-admission",
     admits: (runners) => occupancy(runners) < ADMISSION_OCCUPANCY,
-    place: placeByBoard,
+    place: placeByRunnerBalancer,
     describe: firstComeFirstServed,
   },
 ];
 
 /** The choice that gateways make, with the load of all runners known. */
-function placeByBoard({ runners, cached, random }: PlacementQuestion): EmulatedRunner {
-  const board = new RunnerBalancer();
+function placeByRunnerBalancer({ runners, cached, random }: PlacementRequest): EmulatedRunner {
+  const balancer = new RunnerBalancer();
   const entry = { startedAtMs: undefined, pool: "p", address: "", zone: "z", state: "ready" } as const;
   for (const { name, slots } of runners)
-    board.upsert({ ...entry, id: name as RunnerId, name: name as RunnerName, slots });
+    balancer.upsert({ ...entry, id: name as RunnerId, name: name as RunnerName, slots });
   const inFlight = runners.map(({ name, outstanding }) => [name as RunnerId, outstanding] as const);
-  board.recordReport("all", { inFlight, failing: [] }, 0);
+  balancer.recordReport("all", { inFlight, failing: [] }, 0);
   const preferred = cached[0]?.runner as RunnerId | undefined;
   const choice = { pool: "p", zone: "z", excluded: new Set<RunnerId>(), preferred, nowMs: 0 };
-  const chosen = board.choose({ ...choice, sample: random.unit() });
+  const chosen = balancer.choose({ ...choice, sample: random.unit() });
   return runners.find(({ name }) => name === chosen?.id) ?? (runners[0] as EmulatedRunner);
 }
 
@@ -105,7 +105,7 @@
   return runners.reduce((best, runner) => (runner.outstanding < best.outstanding ? runner : best));
 }
 
-function holderOf(
+function findCacheHolder(
   runners: readonly EmulatedRunner[],
   cached: readonly CachedPrefix[],
 ): EmulatedRunner | undefined {
--- a/bench/experiment/run-experiment.ts
+++ b/bench/experiment/run-experiment.ts
@@ -4,7 +4,7 @@
 import type { CachedPrefix } from "../../src/scheduling/runner-selection/runner-view.ts";
 import { CHARACTERS_PER_TOKEN } from "../../standins/engine/prefix-cache.ts";
 import { EmulatedRunner } from "./emulated-runner.ts";
-import type { EngineFigures } from "./engine-figures.ts";
+import type { EngineParameters } from "./engine-parameters.ts";
 import { EventQueue } from "./event-queue.ts";
 import type { Policy } from "./policies.ts";
 import type { ProgramPlan, Scenario, TurnPlan } from "./scenarios.ts";
@@ -47,7 +47,7 @@
 }
 
 /** A program under way. */
-interface Running {
+interface RunningProgram {
   readonly id: string;
   readonly plan: ProgramPlan;
   readonly messages: ChatMessage[];
@@ -58,7 +58,7 @@
   cached: CachedPrefix[];
 }
 
-const WARM_UP_PART = 0.15;
+const WARM_UP_FRACTION = 0.15;
 const DRAIN_MS = 600_000;
 const PLANS_FOR_DEMAND = 400;
 
@@ -71,7 +71,7 @@
   readonly #options: ExperimentOptions;
   readonly #time = new EventQueue();
   readonly #random: SeededRandomSource;
-  readonly #placement: SeededRandomSource;
+  readonly #placementRandom: SeededRandomSource;
   readonly #runners: EmulatedRunner[];
   readonly #outcomes: ProgramOutcome[] = [];
   #nextProgram = 0;
@@ -86,7 +86,7 @@
   constructor(options: ExperimentOptions, hash: TextHash) {
     this.#options = options;
     this.#random = new SeededRandomSource(options.seed);
-    this.#placement = new SeededRandomSource(options.seed + 1_000_003);
+    this.#placementRandom = new SeededRandomSource(options.seed + 1_000_003);
     const names = Array.from({ length: options.scenario.runners }, (_, index) => `runner-${index}`);
     this.#runners = names.map((name) => new EmulatedRunner(name, options.scenario.engine, this.#time, hash));
   }
@@ -94,7 +94,7 @@
   run(): ExperimentResult {
     const { scenario, load, durationMs, seed } = this.#options;
     const meanGapMs = meanDemandMs(scenario, seed) / scenario.runners / load;
-    this.#arrive(meanGapMs);
+    this.#scheduleArrival(meanGapMs);
     this.#time.run(durationMs + DRAIN_MS);
     return {
       programs: this.#outcomes,
@@ -108,19 +108,19 @@
   }
 
   /** Programs arrive at random, whatever becomes of those before. */
-  #arrive(meanGapMs: number): void {
+  #scheduleArrival(meanGapMs: number): void {
     const gapMs = -Math.log(1 - this.#random.unit()) * meanGapMs;
     this.#time.after(gapMs, () => {
       if (this.#time.nowMs > this.#options.durationMs) return;
       const plan = this.#options.scenario.draw(this.#random);
-      const counted = this.#time.nowMs > this.#options.durationMs * WARM_UP_PART;
+      const counted = this.#time.nowMs > this.#options.durationMs * WARM_UP_FRACTION;
       if (counted) this.#started += 1;
       if (this.#options.policy.admits?.(this.#runners) ?? true) {
         this.#start(plan, undefined, (latencyMs) => {
           if (counted) this.#record(plan, latencyMs);
         });
       } else if (counted) this.#refuse(plan);
-      this.#arrive(meanGapMs);
+      this.#scheduleArrival(meanGapMs);
     });
   }
 
@@ -133,15 +133,15 @@
   #record(plan: ProgramPlan, latencyMs: number): void {
     const missedDeadline = plan.deadlineMs !== undefined && latencyMs > plan.deadlineMs;
     const boundMs = criticalPathMs(plan, this.#options.scenario.engine);
-    const earned = earnedBy(plan, latencyMs, boundMs);
+    const earned = earnedValue(plan, latencyMs, boundMs);
     const owed = plan.worth?.inAim ?? 0;
     this.#outcomes.push({ kind: plan.kind, latencyMs, boundMs, missedDeadline, earned, owed });
   }
 
-  #start(plan: ProgramPlan, parent: Running | undefined, onEnd: (latencyMs: number) => void): void {
+  #start(plan: ProgramPlan, parent: RunningProgram | undefined, onEnd: (latencyMs: number) => void): void {
     this.#nextProgram += 1;
     const shared = { role: "system", content: textOf(`${plan.beginning} rules`, plan.sharedTokens) };
-    const program: Running = {
+    const program: RunningProgram = {
       id: `program-${this.#nextProgram}`,
       plan,
       messages: parent ? [...parent.messages] : [shared],
@@ -150,10 +150,10 @@
       attainedMs: 0,
       cached: parent ? parent.cached : [],
     };
-    this.#turn(program, 0, () => onEnd(this.#time.nowMs - program.startMs));
+    this.#runTurn(program, 0, () => onEnd(this.#time.nowMs - program.startMs));
   }
 
-  #turn(program: Running, index: number, onEnd: () => void): void {
+  #runTurn(program: RunningProgram, index: number, onEnd: () => void): void {
     const plan = program.plan.turns[index];
     if (!plan) return onEnd();
     this.#nextCall += 1;
@@ -165,7 +165,7 @@
       promptTokens,
       cached: program.cached,
       runners: this.#runners,
-      random: this.#placement,
+      random: this.#placementRandom,
       callIndex: this.#nextCall,
     });
     const request = this.#options.policy.describe({
@@ -199,23 +199,23 @@
     });
   }
 
-  #afterTurn(program: Running, plan: TurnPlan, index: number, onEnd: () => void): void {
+  #afterTurn(program: RunningProgram, plan: TurnPlan, index: number, onEnd: () => void): void {
     const next = () => {
       const last = index === program.plan.turns.length - 1;
       if (last) onEnd();
-      else this.#time.after(plan.pauseMs, () => this.#turn(program, index + 1, onEnd));
+      else this.#time.after(plan.pauseMs, () => this.#runTurn(program, index + 1, onEnd));
     };
-    let left = plan.children.length;
-    if (left === 0) return next();
+    let remainingChildren = plan.children.length;
+    if (remainingChildren === 0) return next();
     for (const child of plan.children) {
       this.#start(child, program, () => {
-        left -= 1;
-        if (left === 0) next();
+        remainingChildren -= 1;
+        if (remainingChildren === 0) next();
       });
     }
   }
 
-  #slackMs({ plan, startMs }: Running): number | undefined {
+  #slackMs({ plan, startMs }: RunningProgram): number | undefined {
     return plan.deadlineMs === undefined ? undefined : plan.deadlineMs - (this.#time.nowMs - startMs);
   }
 }
@@ -230,7 +230,7 @@
 }
 
 /** Engine time that a program needs when nothing that can be cached is prefilled again. */
-function demandMs(plan: ProgramPlan, engine: EngineFigures): number {
+function demandMs(plan: ProgramPlan, engine: EngineParameters): number {
   const stepMs = engine.stepMs + engine.stepMsPerSequence * engine.slots;
   let sum = 0;
   for (const { newTokens, outputTokens, children } of plan.turns) {
@@ -247,7 +247,7 @@
 }
 
 /** Time of a program that has all engines to itself. */
-function criticalPathMs({ turns }: ProgramPlan, engine: EngineFigures): number {
+function criticalPathMs({ turns }: ProgramPlan, engine: EngineParameters): number {
   const stepMs = engine.stepMs + engine.stepMsPerSequence;
   let sum = 0;
   for (const [index, { newTokens, outputTokens, pauseMs, children }] of turns.entries()) {
@@ -259,7 +259,7 @@
 }
 
 /** What a program earned: all in its time, less within twice that, and nothing later. */
-function earnedBy({ worth }: ProgramPlan, latencyMs: number, boundMs: number): number {
+function earnedValue({ worth }: ProgramPlan, latencyMs: number, boundMs: number): number {
   if (!worth) return 0;
   const aimMs = worth.aim.times * boundMs + worth.aim.addedMs;
   if (latencyMs <= aimMs) return worth.inAim;
--- a/bench/experiment/scenarios.ts
+++ b/bench/experiment/scenarios.ts
@@ -1,7 +1,7 @@
 /** The users' workloads: programs as chains of turns with pauses for tools, and sub-agents that fork the history. */
 import type { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import type { PriorityClass } from "../../src/scheduling/policy/effective-policy.ts";
-import { type EngineFigures, SLOW_ENGINE } from "./engine-figures.ts";
+import { type EngineParameters, SLOW_ENGINE } from "./engine-parameters.ts";
 
 /** One turn of a program. */
 export interface TurnPlan {
@@ -44,7 +44,7 @@
 export interface Scenario {
   readonly name: string;
   readonly runners: number;
-  readonly engine: EngineFigures;
+  readonly engine: EngineParameters;
   /** Draws the next program. */
   draw(random: SeededRandomSource): ProgramPlan;
 }
--- a/bench/heartbeats.ts
+++ b/bench/heartbeats.ts
@@ -7,8 +7,8 @@
 import { FLEET_RUNNERS, MemberFleet } from "./simulation/gateways/member-fleet.ts";
 
 const SETTLE_MS = 8_000;
-const MEASURED_MS = 10_000;
-const MS_PER_S = 1_000;
+const MEASUREMENT_MS = 10_000;
+const MS_PER_SECOND = 1_000;
 const DIRECT_MOST = 24;
 
 const { values } = parseArgs({
@@ -27,9 +27,9 @@
   fleet.messages = 0;
   fleet.weighs = true;
   const before = process.cpuUsage();
-  await fleet.time.runUntil(SETTLE_MS + MEASURED_MS);
+  await fleet.time.runUntil(SETTLE_MS + MEASUREMENT_MS);
   const used = process.cpuUsage(before);
-  const seconds = MEASURED_MS / MS_PER_S;
+  const seconds = MEASUREMENT_MS / MS_PER_SECOND;
   const bytes = fleet.members.map(({ name }) => (fleet.bytes.get(name) ?? 0) / seconds);
   bytes.sort((left, right) => left - right);
   const columns = [
@@ -37,7 +37,7 @@
     (fleet.messages / size / seconds).toFixed(1).padStart(15),
     String(Math.round(bytes[Math.floor(size / 2)] ?? 0)).padStart(25),
     String(Math.round(bytes.at(-1) ?? 0)).padStart(15),
-    ((used.user + used.system) / MS_PER_S / size / seconds).toFixed(2).padStart(20),
+    ((used.user + used.system) / MS_PER_SECOND / size / seconds).toFixed(2).padStart(20),
   ];
   process.stdout.write(`${columns.join(" ")}\n`);
 }
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -55,7 +55,7 @@
       for (const callers of this.concurrency.split(",").map(Number)) {
         await this.#compare(callers, bare.address, node);
       }
-      await this.#memory(cluster, node);
+      await this.#measureMemory(cluster, node);
     } finally {
       await cluster.stop();
     }
@@ -63,8 +63,8 @@
   }
 
   async #compare(callers: number, engine: string, node: string): Promise<void> {
-    const bare = await drive(callers, Number(this.seconds), async () => askEngine(engine));
-    const through = await drive(callers, Number(this.seconds), async () => programOf(node));
+    const bare = await runLoad(callers, Number(this.seconds), async () => askEngine(engine));
+    const through = await runLoad(callers, Number(this.seconds), async () => openProgram(node));
     this.context.stdout.write(
       `${callers} callers\n  bare engine   ${describe(bare)}\n  through a node ${describe(through)}\n`,
     );
@@ -79,7 +79,7 @@
   }
 
   /** Heap of the nodes before and after opening programs that then do nothing. */
-  async #memory(cluster: Cluster, node: string): Promise<void> {
+  async #measureMemory(cluster: Cluster, node: string): Promise<void> {
     const programs = 3_000;
     const before = await heapBytes(cluster);
     const caller = new Caller(node);
@@ -94,7 +94,7 @@
   }
 }
 
-async function drive(callers: number, seconds: number, start: () => Promise<Ask>): Promise<Sample> {
+async function runLoad(callers: number, seconds: number, start: () => Promise<Ask>): Promise<Sample> {
   const sample: Sample = {
     firstTokenMs: buildHistogram({ highestTrackableValue: 60_000_000 }),
     tokens: 0,
@@ -105,7 +105,7 @@
   const random = new SeededRandomSource(callers);
   const startMs = performance.now();
   const endMs = startMs + seconds * MS_PER_SECOND;
-  const work = async () => {
+  const runCaller = async () => {
     let ask = await start();
     for (let turn = 1; performance.now() < endMs; turn++) {
       try {
@@ -120,7 +120,7 @@
       if (turn % 20 === 0) ask = await start();
     }
   };
-  await Promise.all(Array.from({ length: callers }, work));
+  await Promise.all(Array.from({ length: callers }, runCaller));
   sample.elapsedMs = performance.now() - startMs;
   return sample;
 }
@@ -144,7 +144,7 @@
   };
 }
 
-async function programOf(address: string): Promise<Ask> {
+async function openProgram(address: string): Promise<Ask> {
   const program = await new Caller(address).open("question");
   const headers = { "tulipwheel-program": program, "tulipwheel-tenant": "magnolia" };
   return () => {
--- a/bench/shrink-site.ts
+++ b/bench/shrink-site.ts
@@ -5,12 +5,12 @@
 import { readFileSync } from "node:fs";
 import { shrinkSite } from "./site/shrink-site.ts";
 
-const WRONG_USE = 2;
+const INVALID_INPUT = 2;
 
 const [path, by] = process.argv.slice(2);
 const factor = Number(by);
 if (path === undefined || !(factor >= 1)) {
   process.stderr.write("usage: shrink-site SITE.toml FACTOR, the factor a number of 1 or more\n");
-  process.exit(WRONG_USE);
+  process.exit(INVALID_INPUT);
 }
 process.stdout.write(shrinkSite(readFileSync(path, "utf8"), factor));
--- a/bench/site/shrink-site.ts
+++ b/bench/site/shrink-site.ts
@@ -19,24 +19,24 @@
 }
 
 function shrinkLine(line: string, factor: number): string {
-  if (MACHINE.test(line)) return fewer(line, "count|spare", factor);
+  if (MACHINE.test(line)) return divideCounts(line, "count|spare", factor);
   if (SERVICE.test(line))
-    return line.replace(/servers = \[[^\]]*\]/, (servers) => fewer(servers, "count", factor));
-  if (TRAFFIC.test(line)) return slower(fewer(line, "clients", factor), factor);
+    return line.replace(/servers = \[[^\]]*\]/, (servers) => divideCounts(servers, "count", factor));
+  if (TRAFFIC.test(line)) return divideRate(divideCounts(line, "clients", factor), factor);
   if (STORE_RATE.test(line))
     return line.replace(/= ([\d.]+)/, (_, rate) => `= ${(Number(rate) / factor).toFixed(1)}`);
   return line;
 }
 
 /** Divides counts, and leaves one of each. */
-function fewer(line: string, names: string, factor: number): string {
+function divideCounts(line: string, names: string, factor: number): string {
   const counts = new RegExp(`\\b(${names}) = (\\d+)`, "g");
   return line.replace(counts, (_, name, count) => {
     return `${name} = ${Math.max(1, Math.round(Number(count) / factor))}`;
   });
 }
 
-function slower(line: string, factor: number): string {
+function divideRate(line: string, factor: number): string {
   return line.replace(
     /\bper_s = ([\d.]+)/,
     (_, rate) => `per_s = ${(Number(rate) / factor).toPrecision(RATE_DIGITS)}`,
--- a/bench/write-error-page.ts
+++ b/bench/write-error-page.ts
@@ -2,7 +2,7 @@
 import { writeFile } from "node:fs/promises";
 import { ERROR_KINDS } from "../src/errors/error-kinds.ts";
 
-const HEAD = `# Errors
+const PAGE_HEADER = `# Errors
 
 Written by \`npm run docs:errors\` from \`src/errors/error-kinds.ts\`; a test compares the two.
 
@@ -23,4 +23,4 @@
   ([kind, { status, outcome, title, remedy }]) =>
     `| \`${kind}\` | ${status} | ${outcome} | ${title} | ${remedy} |`,
 );
-await writeFile("docs/ERRORS.md", `${HEAD}${rows.join("\n")}\n`);
+await writeFile("docs/ERRORS.md", `${PAGE_HEADER}${rows.join("\n")}\n`);
