--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -17,29 +17,29 @@
 /** Two-sided 95% quantile of the normal distribution. */
 const NORMAL_95 = 1.96;
 
-/** The figures of one run that are compared. */
+/** The metrics of one run that are compared. */
 interface Figures {
   readonly p50Seconds: number;
   readonly p95Seconds: number;
-  /** Median of latency over the critical path. */
+  /** Median ratio of latency to the critical path. */
   readonly stretch: number;
   readonly wastedPercent: number;
   readonly missedPercent: number;
   readonly unfinished: number;
   readonly refusedPercent: number;
-  /** What programs earned, of what they were worth; 0 where that is not counted. */
+  /** Earned value as a percentage of the maximum value of the programs; 0 where value is not counted. */
   readonly worthPercent: number;
 }
 
 class ExperimentCommand extends Command {
   static override paths = [Command.Default];
   scenario = Option.String({ name: "SCENARIO" });
-  load = Option.String("--load", "0.8", { description: "Part of the capacity that is asked for" });
+  load = Option.String("--load", "0.8", { description: "Demand as a fraction of the capacity" });
   seeds = Option.String("--seeds", "10", { description: "Number of seeds" });
   minutes = Option.String("--minutes", "4", { description: "Virtual minutes in which programs arrive" });
   policy = Option.Array("--policy", [], { description: "Policies to compare; all by default" });
   compare = Option.Boolean("--compare", false, { description: "Prints the policies side by side" });
-  write = Option.Boolean("--write", false, { description: "Keeps the results in bench/results" });
+  write = Option.Boolean("--write", false, { description: "Writes the results to bench/results" });
 
   override async execute(): Promise<number> {
     const scenario =
@@ -79,7 +79,7 @@
   }
 }
 
-/** A mean with half the width of its 95% interval. */
+/** A mean with half the width of its 95% confidence interval. */
 interface Interval {
   readonly mean: number;
   readonly half: number;
@@ -139,7 +139,7 @@
   ["UNFINISHED", "unfinished", 0],
 ];
 
-/** The policies side by side. */
+/** Formats a table that compares the policies side by side. */
 function compare(rows: readonly ({ readonly policy: string } & Record<keyof Figures, Interval>)[]): string {
   const cells = rows.map((row) => {
     const figures = COLUMNS.map(([, figure, digits]) => {
--- a/bench/experiment/emulated-runner.ts
+++ b/bench/experiment/emulated-runner.ts
@@ -8,22 +8,22 @@
 import type { EngineParameters } from "./engine-parameters.ts";
 import type { EventQueue } from "./event-queue.ts";
 
-/** A call that wants to run. */
+/** A call that is submitted to a runner. */
 export interface EmulatedCall {
   readonly request: SlotRequest;
   readonly messages: readonly ChatMessage[];
   readonly onDone: (result: Extract<GenerateResult, { type: "completed" }>, serviceMs: number) => void;
 }
 
-/** Slots are the limit here; memory is the engine's own, with eviction. */
+/** High enough that only slots limit the queue: the engine manages its own memory, with eviction. */
 const QUEUE_KV_TOKENS = 10_000_000;
 
-/** An engine and its home, on virtual time: the product's queue before the stand-in's engine. */
+/** An engine and its home node, on virtual time: the product's queue in front of the stand-in engine. */
 export class EmulatedRunner {
   readonly name: string;
   readonly engine: EngineModel;
   readonly #time: EventQueue;
-  /** Sequences in a batch. */
+  /** Maximum number of sequences in a batch. */
   readonly slots: number;
   readonly #queue: RunnerQueue;
   readonly #calls = new Map<string, EmulatedCall>();
@@ -37,12 +37,12 @@
     this.engine = new EngineModel({ name, models: ["m"], maxWaiting: 1_000, ...figures }, hash);
   }
 
-  /** Calls that wait or run. */
+  /** Number of calls that are queued or running. */
   get outstanding(): number {
     return this.#queue.active + this.#queue.queued;
   }
 
-  /** What a leader would know of the runner. */
+  /** Returns what a leader would know about the runner. */
   view(): RunnerView {
     return {
       runner: this.name,
@@ -57,7 +57,7 @@
     };
   }
 
-  /** Takes a call in. */
+  /** Queues a call and starts it when a slot is free. */
   submit(call: EmulatedCall): void {
     this.#calls.set(call.request.call, call);
     this.#queue.offer(call.request, this.#time.nowMs);
--- a/bench/experiment/engine-parameters.ts
+++ b/bench/experiment/engine-parameters.ts
@@ -1,20 +1,20 @@
 /** Sizes and speeds of an emulated engine. */
 export interface EngineParameters {
-  /** Sequences in a batch. */
+  /** Maximum number of sequences in a batch. */
   readonly slots: number;
-  /** Tokens of key-value memory. */
+  /** Capacity of the key-value cache, in tokens. */
   readonly kvTokens: number;
-  /** Time of a step, in ms. */
+  /** Base duration of a step, in ms. */
   readonly stepMs: number;
-  /** What each sequence of the batch adds to it, in ms. */
+  /** Time that each sequence of the batch adds to a step, in ms. */
   readonly stepMsPerSequence: number;
-  /** Prompt tokens worked on in a step. */
+  /** Maximum number of prompt tokens that are prefilled in a step. */
   readonly prefillTokensPerStep: number;
-  /** What each of them adds to the step, in ms. */
+  /** Time that each prefilled token adds to a step, in ms. */
   readonly prefillMsPerToken: number;
 }
 
-/** An engine that reads 10,000 prompt tokens a second; 12 ms for a step of a full batch. */
+/** An engine that prefills 10,000 prompt tokens per second; a step of a full batch takes 12 ms. */
 export const SLOW_ENGINE: EngineParameters = {
   slots: 16,
   kvTokens: 60_000,
--- a/bench/experiment/event-queue.ts
+++ b/bench/experiment/event-queue.ts
@@ -4,13 +4,13 @@
   readonly action: () => void;
 }
 
-/** Virtual time for emulations: events run in order of time, and of scheduling among equals. A binary heap. */
+/** Virtual time for emulations: a binary heap that runs events by time, and events of equal time as scheduled. */
 export class EventQueue {
   readonly #heap: Event[] = [];
   #nowMs = 0;
   #order = 0;
 
-  /** The virtual time. */
+  /** The current virtual time. */
   get nowMs(): number {
     return this.#nowMs;
   }
--- a/bench/experiment/policies.ts
+++ b/bench/experiment/policies.ts
@@ -1,4 +1,4 @@
-/** Policies that are compared: ours, and baselines. Each sees only what a scheduler can know. */
+/** The compared policies: those of this project, and baselines. Each sees only what a scheduler can know. */
 import type { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import type { RunnerId } from "../../src/scheduling/ids/runner-id.ts";
 import type { RunnerName } from "../../src/scheduling/ids/runner-name.ts";
@@ -8,25 +8,25 @@
 import type { CachedPrefix } from "../../src/scheduling/runner-selection/runner-view.ts";
 import type { EmulatedRunner } from "./emulated-runner.ts";
 
-/** What a policy is asked. */
+/** Input of a placement decision. */
 export interface PlacementRequest {
   readonly promptTokens: number;
-  /** Where the program's last turn ran, and how much it left there. */
+  /** The runner of the program's last turn, and the number of tokens cached there. */
   readonly cached: readonly CachedPrefix[];
   readonly runners: readonly EmulatedRunner[];
   readonly random: SeededRandomSource;
-  /** Counts the calls so far. */
+  /** Number of calls so far. */
   readonly callIndex: number;
 }
 
 /** How calls are placed and ordered. */
 export interface Policy {
   readonly name: string;
-  /** Whether a program may begin now; all may where this is left out. */
+  /** Whether a program may start now; if undefined, every program may. */
   admits?(runners: readonly EmulatedRunner[]): boolean;
   /** Chooses a runner. */
   place(question: PlacementRequest): EmulatedRunner;
-  /** What the queue may know of a call; baselines serve in the order of arrival. */
+  /** Returns the request as the queue sees it; baselines serve in arrival order. */
   describe(request: SlotRequest): SlotRequest;
 }
 
@@ -36,7 +36,7 @@
 }
 
 const RANDOM_CANDIDATES = 2;
-/** Part of all places from which on no program may begin. */
+/** Fraction of all slots in use from which no program may start. */
 const ADMISSION_OCCUPANCY = 1;
 
 /** All policies by name. */
@@ -81,7 +81,7 @@
   },
 ];
 
-/** The choice that gateways make, with the load of all runners known. */
+/** Chooses as gateways do, with the load of all runners known. */
 function placeByRunnerBalancer({ runners, cached, random }: PlacementRequest): EmulatedRunner {
   const balancer = new RunnerBalancer();
   const entry = { startedAtMs: undefined, pool: "p", address: "", zone: "z", state: "ready" } as const;
@@ -95,7 +95,7 @@
   return runners.find(({ name }) => name === chosen?.id) ?? (runners[0] as EmulatedRunner);
 }
 
-/** Calls that wait or run, as a part of all places. */
+/** Queued and running calls as a fraction of all slots. */
 function occupancy(runners: readonly EmulatedRunner[]): number {
   const outstanding = runners.reduce((sum, runner) => sum + runner.outstanding, 0);
   return outstanding / runners.reduce((sum, { slots }) => sum + slots, 0);
--- a/bench/experiment/run-experiment.ts
+++ b/bench/experiment/run-experiment.ts
@@ -9,27 +9,27 @@
 import type { Policy } from "./policies.ts";
 import type { ProgramPlan, Scenario, TurnPlan } from "./scenarios.ts";
 
-/** One program's outcome. */
+/** The outcome of one program. */
 export interface ProgramOutcome {
   readonly kind: string;
   readonly latencyMs: number;
-  /** Latency with an empty system: the critical path. */
+  /** Latency in an otherwise empty system: the length of the critical path. */
   readonly boundMs: number;
   readonly missedDeadline: boolean;
-  /** What it earned, of what it was worth; both 0 where that is not counted. */
+  /** Value earned, and the maximum it could earn (`owed`); both 0 where value is not counted. */
   readonly earned: number;
   readonly owed: number;
 }
 
-/** What one run showed. */
+/** The results of one run. */
 export interface ExperimentResult {
   readonly programs: readonly ProgramOutcome[];
   readonly promptTokens: number;
-  /** Prompt tokens prefilled again although this program, or the shared beginning, had had them prefilled. */
+  /** Prompt tokens prefilled again although the program, or its shared beginning, had prefilled them before. */
   readonly wastedTokens: number;
-  /** Programs that had not ended when the run did. */
+  /** Programs that had not ended when the run ended. */
   readonly unfinished: number;
-  /** Programs that were refused at their first turn, and what these earned of what they were worth. */
+  /** Programs refused at their first turn, the value they earned and the maximum they could have earned. */
   readonly refused: number;
   readonly refusedEarned: number;
   readonly refusedOwed: number;
@@ -40,19 +40,19 @@
   readonly scenario: Scenario;
   readonly policy: Policy;
   readonly seed: number;
-  /** Part of the engines' capacity that the programs ask for. */
+  /** Demand of the programs as a fraction of the engines' capacity. */
   readonly load: number;
   /** Virtual time in which programs arrive, in ms. */
   readonly durationMs: number;
 }
 
-/** A program under way. */
+/** A program in progress. */
 interface RunningProgram {
   readonly id: string;
   readonly plan: ProgramPlan;
   readonly messages: ChatMessage[];
   readonly startMs: number;
-  /** Tokens of the prompt that were prefilled for the program or its beginning before. */
+  /** Prompt tokens that were already prefilled for the program or its beginning. */
   knownTokens: number;
   attainedMs: number;
   cached: CachedPrefix[];
@@ -107,7 +107,7 @@
     };
   }
 
-  /** Programs arrive at random, whatever becomes of those before. */
+  /** Schedules the next arrival at random, independently of how earlier programs end (open loop). */
   #scheduleArrival(meanGapMs: number): void {
     const gapMs = -Math.log(1 - this.#random.unit()) * meanGapMs;
     this.#time.after(gapMs, () => {
@@ -220,7 +220,7 @@
   }
 }
 
-/** A text of about that many tokens that begins with `head`. */
+/** Returns a text of about `tokens` tokens that ends with `head`. */
 function textOf(head: string, tokens: number): string {
   return `${"x".repeat(Math.max(0, tokens * CHARACTERS_PER_TOKEN - head.length))}${head}`;
 }
@@ -229,7 +229,7 @@
   return messages.reduce((sum, { content }) => sum + Math.ceil(content.length / CHARACTERS_PER_TOKEN), 0);
 }
 
-/** Engine time that a program needs when nothing that can be cached is prefilled again. */
+/** Engine time that a program needs if no cacheable token is prefilled again. */
 function demandMs(plan: ProgramPlan, engine: EngineParameters): number {
   const stepMs = engine.stepMs + engine.stepMsPerSequence * engine.slots;
   let sum = 0;
@@ -246,7 +246,7 @@
   return plans.reduce((sum, plan) => sum + demandMs(plan, scenario.engine), 0) / plans.length;
 }
 
-/** Time of a program that has all engines to itself. */
+/** Duration of a program that has all engines to itself. */
 function criticalPathMs({ turns }: ProgramPlan, engine: EngineParameters): number {
   const stepMs = engine.stepMs + engine.stepMsPerSequence;
   let sum = 0;
@@ -258,7 +258,7 @@
   return sum;
 }
 
-/** What a program earned: all in its time, less within twice that, and nothing later. */
+/** Value that a program earned: `inAim` within its target time, `late` within twice that, nothing later. */
 function earnedValue({ worth }: ProgramPlan, latencyMs: number, boundMs: number): number {
   if (!worth) return 0;
   const aimMs = worth.aim.times * boundMs + worth.aim.addedMs;
--- a/bench/experiment/scenarios.ts
+++ b/bench/experiment/scenarios.ts
@@ -10,37 +10,37 @@
   readonly outputTokens: number;
   /** Pause for a tool after the turn, in ms. */
   readonly pauseMs: number;
-  /** Sub-agents that run after the turn, each on a fork of the history; the program goes on when all have ended. */
+  /** Sub-agents that run after the turn, each on a fork of the history; the program continues when all have ended. */
   readonly children: readonly ProgramPlan[];
 }
 
-/** A program, as only the emulation knows it ahead of time. */
+/** The whole course of a program, which only the emulation knows in advance. */
 export interface ProgramPlan {
   readonly kind: string;
   readonly tenant: string;
   readonly priorityClass: PriorityClass;
   readonly weight: number;
-  /** Tokens of a beginning that all programs of the kind share. */
+  /** Tokens of the shared beginning of the prompt. */
   readonly sharedTokens: number;
-  /** Programs with the same one share their beginning. */
+  /** Identifies the beginning: programs with the same value share it. */
   readonly beginning: string;
   /** Time until the deadline from the start, in ms. */
   readonly deadlineMs: number | undefined;
-  /** What the program earns; undefined where it is not counted. */
+  /** The value that the program can earn; undefined where value is not counted. */
   readonly worth: ProgramWorth | undefined;
   readonly turns: readonly TurnPlan[];
 }
 
-/** What a program earns: in time, within twice its time, and refused at its first turn. */
+/** Value of a program that ends within its target time, within twice that, or is refused at its first turn. */
 export interface ProgramWorth {
-  /** Its time, as a multiple of the critical path, and what is added to that, in ms. */
+  /** Target time: a multiple of the critical path, plus a constant in ms. */
   readonly aim: { readonly times: number; readonly addedMs: number };
   readonly inAim: number;
   readonly late: number;
   readonly refused: number;
 }
 
-/** A workload. */
+/** A workload and the runners that serve it. */
 export interface Scenario {
   readonly name: string;
   readonly runners: number;
@@ -53,7 +53,7 @@
 const TOOL_SPREAD = 1.2;
 const LONGEST_TOOL_MS = 30_000;
 
-/** Magnolia: pay runs with branching exceptions before a cutoff, beside bookkeepers' questions. */
+/** Magnolia: pay runs with branching exceptions before a cutoff, mixed with bookkeepers' questions. */
 export const MAGNOLIA: Scenario = {
   name: "magnolia",
   runners: 8,
@@ -61,7 +61,7 @@
   draw: (random) => (random.unit() < 0.25 ? payRun(random) : question(random)),
 };
 
-/** Rateora: checkouts with a shopper waiting, beside chats about rescheduling. */
+/** Rateora: checkouts with a shopper waiting, mixed with chats about rescheduling. */
 export const RATEORA: Scenario = {
   name: "rateora",
   runners: 10,
@@ -161,7 +161,7 @@
   };
 }
 
-/** Log-normal, by Box and Muller. */
+/** Draws a log-normal pause with the Box-Muller transform. */
 function toolPauseMs(random: SeededRandomSource): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random.unit())) * Math.cos(2 * Math.PI * random.unit());
   return Math.min(LONGEST_TOOL_MS, TOOL_MEDIAN_MS * Math.exp(TOOL_SPREAD * normal));
--- a/bench/experiment/workload-settings.ts
+++ b/bench/experiment/workload-settings.ts
@@ -1,4 +1,4 @@
-/** Workloads from a settings file: kinds of programs, engines, and what programs earn. */
+/** Loads workloads from a settings file: kinds of programs, engines, and the value of programs. */
 import * as z from "zod";
 import type { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import { loadSettings } from "../../src/settings/load-settings.ts";
@@ -43,10 +43,10 @@
 type ProgramKind = z.infer<typeof programSchema>;
 type Spread = z.infer<typeof spreadSchema>;
 
-/** Spread of drawn numbers, relative to their mean. */
+/** Standard deviation of the logarithm of drawn numbers. */
 const RELATIVE_SPREAD = 0.5;
 
-/** Reads a workload. Throws a configuration error that names line and remedy of what is wrong. */
+/** Reads a workload. Throws a configuration error that names the invalid line and a remedy. */
 export async function loadWorkload(file: string): Promise<Scenario> {
   const { name, runners, engine, programs } = await loadSettings(file, [], workloadSchema);
   return { name, runners, engine, draw: (random) => drawProgram(programs, random) };
@@ -87,7 +87,7 @@
   };
 }
 
-/** Log-normal around the mean, from 1 to the bound. */
+/** Draws a log-normal number with the given mean, clamped to the range from 1 to the bound. */
 function drawSpread({ mean, most }: Spread, random: SeededRandomSource): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random.unit())) * Math.cos(2 * Math.PI * random.unit());
   const drawn = mean * Math.exp(RELATIVE_SPREAD * normal - RELATIVE_SPREAD ** 2 / 2);
--- a/bench/heartbeats.ts
+++ b/bench/heartbeats.ts
@@ -1,6 +1,6 @@
 /**
- * What heartbeats and digests cost by the number of gateways: `npm run heartbeats -- [--sizes 12,24,48] [--zones 9]`.
- * Gateways are hollow, many to this process, on virtual time; each has one request in flight.
+ * `npm run heartbeats -- [--sizes 12,24,48] [--zones 9]`: measures the cost of heartbeats and digests by the number of
+ * gateways. All gateways are hollow and run in this process on virtual time; each has one request in flight.
  */
 import { parseArgs } from "node:util";
 import { loadTextHash } from "../src/runtime/text-hash.ts";
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run load`: what a node adds to the bare stand-in engine, in one run on one machine: first-token latency
- * and streamed tokens a second, closed loop. Processes are separate; everything is on loopback.
+ * `npm run load`: measures what a node adds to the bare stand-in engine, in one run on one machine: first-token latency
+ * and streamed tokens per second, closed loop. Processes are separate; all traffic is on loopback.
  */
 import { Cli, Command, Option } from "clipanion";
 import { build as buildHistogram, type Histogram } from "hdr-histogram-js";
@@ -11,13 +11,13 @@
 
 const SLOTS = 256;
 const TOKENS = 40;
-/** Longest pause between two calls of one caller, in ms; without it all callers fall into step with the engine. */
+/** Maximum pause between two calls of a caller, in ms; without it all callers synchronize with the engine's steps. */
 const MAX_PAUSE_MS = 60;
 const MODEL = "agent-llm";
 const MICROSECONDS_PER_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
-/** What one level of concurrency showed. */
+/** Results for one level of concurrency. */
 interface Sample {
   readonly firstTokenMs: Histogram;
   tokens: number;
@@ -26,14 +26,14 @@
   elapsedMs: number;
 }
 
-/** Asks for one streamed answer and reports when its first text came. */
+/** Requests one streamed answer and returns the time to its first text. */
 type Ask = () => Promise<{ firstMs: number; tokens: number }>;
 
 class LoadCommand extends Command {
   static override paths = [Command.Default];
   seconds = Option.String("--seconds", "6", { description: "Length of each measurement" });
   step = Option.String("--step", "10", {
-    description: "Time of an engine's step, ms; latency is seen in such steps",
+    description: "Duration of an engine step, ms; latency is a multiple of it",
   });
   concurrency = Option.String("--concurrency", "1,32,128", { description: "Numbers of callers" });
 
@@ -50,7 +50,7 @@
     try {
       await cluster.operate("template", "apply", "examples/magnolia/templates.yaml");
       const { callers: node } = cluster.nodes[0];
-      // An engine of its own: requests past the scheduler would carry tokens that the scheduler's engine must refuse.
+      // A separate engine: requests past the scheduler carry fencing tokens that the scheduler's engine must refuse.
       const bare = await cluster.startBareEngine(engine);
       for (const callers of this.concurrency.split(",").map(Number)) {
         await this.#compare(callers, bare.address, node);
@@ -78,7 +78,7 @@
     );
   }
 
-  /** Heap of the nodes before and after opening programs that then do nothing. */
+  /** Compares the heap of the nodes before and after opening programs that then stay idle. */
   async #measureMemory(cluster: Cluster, node: string): Promise<void> {
     const programs = 3_000;
     const before = await heapBytes(cluster);
@@ -155,7 +155,7 @@
   };
 }
 
-/** Streams an answer and counts its pieces by a mark that each has. */
+/** Streams an answer and counts its chunks by a marker text that each contains. */
 async function stream(url: string, headers: Record<string, string>, body: object, mark: string) {
   const startMs = performance.now();
   const response = await fetch(url, { method: "POST", headers, body: JSON.stringify(body) });
--- a/bench/shrink-site.ts
+++ b/bench/shrink-site.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run --silent shrink-site -- SITE.toml FACTOR > small.toml`: a smaller copy of a site of the users' bench, for
- * trials that play in a minute. Put the site's wire.json beside it. What copies show are trials, never scores.
+ * `npm run --silent shrink-site -- SITE.toml FACTOR > small.toml`: writes a smaller copy of a site of the users' bench,
+ * for trials that run in a minute. Put the site's wire.json beside it. Results of copies are trials, never scores.
  */
 import { readFileSync } from "node:fs";
 import { shrinkSite } from "./site/shrink-site.ts";
--- a/bench/site/shrink-site.ts
+++ b/bench/site/shrink-site.ts
@@ -1,18 +1,18 @@
 /**
- * A smaller copy of a site file of the users' bench: machines, runners, traffic, clients and the store's rates divided
- * by a factor; faults, days and seeds stay. The file is changed line by line, in the layout that the users' files have.
+ * Makes a smaller copy of a site file of the users' bench: divides machines, runners, traffic, clients and the store's
+ * rates by a factor, and keeps faults, days and seeds. Edits line by line and relies on the layout of users' files.
  */
 
-/** Days in small that the users' bench brings along; they have machines of their own. */
+/** Small variants of days in the users' bench; they define machines of their own. */
 const SMALL_DAY = /^small = /;
 const MACHINE = /^ {2}\{ class = "\w+", cpu_share/;
 const SERVICE = /^ {2}\{ name = .*servers = \[/;
 const TRAFFIC = /^ {2}\{ zone = .*per_s = /;
 const STORE_RATE = /^(writes_per_s|reads_per_s) = /;
-/** Digits of a rate of requests. */
+/** Significant digits of a request rate. */
 const RATE_DIGITS = 3;
 
-/** See the module's comment. @param factor how many times smaller the copy is, 1 or more */
+/** Returns a smaller copy of a site file. @param factor how many times smaller the copy is, 1 or more */
 export function shrinkSite(site: string, factor: number): string {
   const lines = site.split("\n").filter((line) => !SMALL_DAY.test(line));
   return lines.map((line) => shrinkLine(line, factor)).join("\n");
@@ -28,7 +28,7 @@
   return line;
 }
 
-/** Divides counts, and leaves one of each. */
+/** Divides counts by the factor, to at least 1. */
 function divideCounts(line: string, names: string, factor: number): string {
   const counts = new RegExp(`\\b(${names}) = (\\d+)`, "g");
   return line.replace(counts, (_, name, count) => {
--- a/bench/write-error-page.ts
+++ b/bench/write-error-page.ts
@@ -1,4 +1,4 @@
-/** `npm run docs:errors`: writes docs/ERRORS.md from the table of kinds. */
+/** `npm run docs:errors`: writes docs/ERRORS.md from the table of error kinds. */
 import { writeFile } from "node:fs/promises";
 import { ERROR_KINDS } from "../src/errors/error-kinds.ts";
 
--- a/test/contract/experiment.test.ts
+++ b/test/contract/experiment.test.ts
@@ -9,7 +9,7 @@
 const DURATION_MS = 20_000;
 
 describe("event queue", () => {
-  it("runs events by time, and by scheduling among equals", () => {
+  it("runs events by time, and events of equal time in scheduling order", () => {
     const queue = new EventQueue();
     const ran: string[] = [];
     for (const [delayMs, name] of [
@@ -38,11 +38,11 @@
     return runExperiment({ scenario: MAGNOLIA, policy, seed: 1, load, durationMs: DURATION_MS }, hash);
   };
 
-  it("give the same figures for the same seed", () => {
+  it("give the same results for the same seed", () => {
     expect(run("tulipwheel")).toEqual(run("tulipwheel"));
   });
 
-  it("give every policy the same programs, and end them all", () => {
+  it("give every policy the same programs, and complete them all", () => {
     const results = POLICIES.map(({ name }) => run(name));
     const kinds = results.map(({ programs }) => programs.map(({ kind }) => kind).sort());
     for (const result of results) expect(result.unfinished).toEqual(0);
@@ -50,7 +50,7 @@
     expect(kinds[3]).toEqual(kinds[0]);
   });
 
-  it("count less waste where calls go to the runner that holds the prefix", () => {
+  it("count fewer wasted tokens when calls go to the runner that caches the prefix", () => {
     expect(run("tulipwheel").wastedTokens < run("least-outstanding").wastedTokens / 2).toEqual(true);
   });
 
--- a/test/contract/shrink-site.test.ts
+++ b/test/contract/shrink-site.test.ts
@@ -35,11 +35,11 @@
 at = 12.0`;
 
 describe("smaller copies of site files", () => {
-  it("divide machines, runners, traffic and the store's rates, and leave one of each and the days", () => {
+  it("divide machines, runners, traffic and the store's rates, keep at least one of each, and keep the days", () => {
     expect(shrinkSite(SITE, 5)).toEqual(FIFTH);
   });
 
-  it("are the same but for the days in small where the factor is one", () => {
+  it("differ only in the removed small days when the factor is one", () => {
     const whole = SITE.replace("small = { shrink = 12.0 }\n", "").replace("3200.0", "3200.0");
     expect(shrinkSite(SITE, 1)).toEqual(whole);
   });
--- a/test/contract/workload-settings.test.ts
+++ b/test/contract/workload-settings.test.ts
@@ -1,4 +1,4 @@
-/** Workloads of the emulator from settings files, and what programs earn in it. */
+/** Workloads from settings files, and the value that programs earn in experiments. */
 import { mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -31,7 +31,7 @@
     expect(new Set(checkouts.map(({ beginning }) => beginning)).size).toEqual(8);
   });
 
-  it("are refused with the line of what is wrong", async () => {
+  it("are rejected with the number of the invalid line", async () => {
     const folder = await mkdtemp(join(tmpdir(), "tulipwheel-workload-"));
     const file = join(folder, "workload.yaml");
     await writeFile(file, "name: w\nrunners: none\nprograms: []\n");
@@ -40,7 +40,7 @@
   });
 });
 
-describe("what programs earn", () => {
+describe("the value that programs earn", () => {
   const turn = { newTokens: 100, outputTokens: 40, pauseMs: 0, children: [] };
   const aim = { times: 1.4, addedMs: 200 };
   const plan: ProgramPlan = {
@@ -75,15 +75,15 @@
     return { earned: earned / owed, refused: result.refused };
   }
 
-  it("is all of it while there is room", async () => {
+  it("is the maximum while there is free capacity", async () => {
     expect(await shareOf(0.1, true)).toEqual({ earned: 1, refused: 0 });
   });
 
-  it("is little when they come too fast", async () => {
+  it("is low when programs arrive faster than the capacity allows", async () => {
     expect((await shareOf(4, true)).earned < 0.3).toEqual(true);
   });
 
-  it("is what a refusal costs when none may begin", async () => {
+  it("is the value of a refusal when no program may start", async () => {
     const { earned, refused } = await shareOf(0.5, false);
     expect([earned, refused > 10]).toEqual([-0.3, true]);
   });
