--- a/bench/build/write-code-cache.ts
+++ b/bench/build/write-code-cache.ts
@@ -1,4 +1,4 @@
-/** Lets gateways of the bundle serve some requests in this process, and stores the code that was compiled for it. */
+/** Runs gateways of the bundle in this process, sends them some requests, and stores the code that V8 compiled. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { dirname, join } from "node:path";
@@ -8,11 +8,11 @@
 import { WarmUpBackEnds } from "./warm-up-back-ends.ts";
 import { sendWarmUpRequests } from "./warm-up-requests.ts";
 
-/** Gateways that talk to each other; with more than `DIRECT_MOST`, through relays. */
+/** Number of gateways in the cluster; above `MAX_DIRECT_PEERS` they communicate through relays. */
 const GATEWAYS = 5;
-const DIRECT_MOST = 2;
+const MAX_DIRECT_PEERS = 2;
 
-/** Returns whether all requests were served; nothing is stored otherwise. */
+/** Returns whether all requests were served; if not, no code is stored. */
 async function writeCodeCache(): Promise<boolean> {
   const folder = dirname(process.argv[1] as string);
   const settingsFolder = mkdtempSync(join(tmpdir(), "tulipwheel-build-"));
@@ -35,16 +35,16 @@
       seeds,
       store: backEnds.storeAddress,
       partitions: 4,
-      membership: { directMost: DIRECT_MOST },
+      membership: { directMost: MAX_DIRECT_PEERS },
     };
     writeFileSync(file, JSON.stringify(settings));
     process.env[SETTINGS_VARIABLE] = file;
     script.run();
   }
-  const served = await sendWarmUpRequests(callers);
+  const isServed = await sendWarmUpRequests(callers);
   rmSync(settingsFolder, { recursive: true, force: true });
-  if (served) writeFileSync(BundleScript.cachePath(folder), script.compiledCode());
-  return served;
+  if (isServed) writeFileSync(BundleScript.cachePath(folder), script.compiledCode());
+  return isServed;
 }
 
 void writeCodeCache().then((served) => process.exit(served ? 0 : 1));
--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -17,29 +17,29 @@
 /** Two-sided 95% quantile of the normal distribution. */
 const NORMAL_95 = 1.96;
 
-/** The figures of one run that are compared. */
+/** The metrics of one run that are compared. */
 interface Figures {
   readonly p50Seconds: number;
   readonly p95Seconds: number;
-  /** Median of latency over the critical path. */
+  /** Median ratio of latency to the critical path. */
   readonly stretch: number;
   readonly wastedPercent: number;
   readonly missedPercent: number;
   readonly unfinished: number;
   readonly refusedPercent: number;
-  /** What programs earned, of what they were worth; 0 where that is not counted. */
+  /** Earned value as a percentage of the maximum value of the programs; 0 where value is not counted. */
   readonly worthPercent: number;
 }
 
 class ExperimentCommand extends Command {
   static override paths = [Command.Default];
   scenario = Option.String({ name: "SCENARIO" });
-  load = Option.String("--load", "0.8", { description: "Part of the capacity that is asked for" });
+  load = Option.String("--load", "0.8", { description: "Demand as a fraction of the capacity" });
   seeds = Option.String("--seeds", "10", { description: "Number of seeds" });
   minutes = Option.String("--minutes", "4", { description: "Virtual minutes in which programs arrive" });
   policy = Option.Array("--policy", [], { description: "Policies to compare; all by default" });
   compare = Option.Boolean("--compare", false, { description: "Prints the policies side by side" });
-  write = Option.Boolean("--write", false, { description: "Keeps the results in bench/results" });
+  write = Option.Boolean("--write", false, { description: "Writes the results to bench/results" });
 
   override async execute(): Promise<number> {
     const scenario =
@@ -55,7 +55,7 @@
     );
     if (this.compare) this.context.stdout.write(`${compare(rows)}\n`);
     else for (const row of rows) this.context.stdout.write(`${describe(row)}\n`);
-    if (this.write) await keep(`${scenario.name}-${this.load}`, rows);
+    if (this.write) await writeResults(`${scenario.name}-${this.load}`, rows);
     return 0;
   }
 
@@ -65,21 +65,21 @@
       const options = { scenario, policy, seed: index + 1, load: Number(this.load), durationMs };
       return figuresOf(runExperiment(options, hash));
     });
-    const of = (read: (one: Figures) => number) => interval(figures.map(read));
+    const intervalOf = (read: (one: Figures) => number) => interval(figures.map(read));
     return {
-      p50Seconds: of((one) => one.p50Seconds),
-      p95Seconds: of((one) => one.p95Seconds),
-      stretch: of((one) => one.stretch),
-      wastedPercent: of((one) => one.wastedPercent),
-      missedPercent: of((one) => one.missedPercent),
-      unfinished: of((one) => one.unfinished),
-      refusedPercent: of((one) => one.refusedPercent),
-      worthPercent: of((one) => one.worthPercent),
+      p50Seconds: intervalOf((one) => one.p50Seconds),
+      p95Seconds: intervalOf((one) => one.p95Seconds),
+      stretch: intervalOf((one) => one.stretch),
+      wastedPercent: intervalOf((one) => one.wastedPercent),
+      missedPercent: intervalOf((one) => one.missedPercent),
+      unfinished: intervalOf((one) => one.unfinished),
+      refusedPercent: intervalOf((one) => one.refusedPercent),
+      worthPercent: intervalOf((one) => one.worthPercent),
     };
   }
 }
 
-/** A mean with half the width of its 95% interval. */
+/** A mean with half the width of its 95% confidence interval. */
 interface Interval {
   readonly mean: number;
   readonly half: number;
@@ -139,7 +139,7 @@
   ["UNFINISHED", "unfinished", 0],
 ];
 
-/** The policies side by side. */
+/** Formats a table that compares the policies side by side. */
 function compare(rows: readonly ({ readonly policy: string } & Record<keyof Figures, Interval>)[]): string {
   const cells = rows.map((row) => {
     const figures = COLUMNS.map(([, figure, digits]) => {
@@ -151,7 +151,7 @@
   return formatTable(["POLICY", ...COLUMNS.map(([header]) => header)], cells);
 }
 
-async function keep(name: string, rows: readonly object[]): Promise<void> {
+async function writeResults(name: string, rows: readonly object[]): Promise<void> {
   const commit = execFileSync("git", ["rev-parse", "--short", "HEAD"], { encoding: "utf8" }).trim();
   await mkdir("bench/results", { recursive: true });
   const content = JSON.stringify({ commit, date: new Date().toISOString(), rows }, null, 2);
--- a/bench/experiment/run-experiment.ts
+++ b/bench/experiment/run-experiment.ts
@@ -4,32 +4,32 @@
 import type { CachedPrefix } from "../../src/scheduling/runner-selection/runner-view.ts";
 import { CHARACTERS_PER_TOKEN } from "../../standins/engine/prefix-cache.ts";
 import { EmulatedRunner } from "./emulated-runner.ts";
-import type { EngineFigures } from "./engine-figures.ts";
+import type { EngineParameters } from "./engine-parameters.ts";
 import { EventQueue } from "./event-queue.ts";
 import type { Policy } from "./policies.ts";
 import type { ProgramPlan, Scenario, TurnPlan } from "./scenarios.ts";
 
-/** One program's outcome. */
+/** The outcome of one program. */
 export interface ProgramOutcome {
   readonly kind: string;
   readonly latencyMs: number;
-  /** Latency with an empty system: the critical path. */
+  /** Latency in an otherwise empty system: the length of the critical path. */
   readonly boundMs: number;
   readonly missedDeadline: boolean;
-  /** What it earned, of what it was worth; both 0 where that is not counted. */
+  /** Value earned, and the maximum it could earn (`owed`); both 0 where value is not counted. */
   readonly earned: number;
   readonly owed: number;
 }
 
-/** What one run showed. */
+/** The results of one run. */
 export interface ExperimentResult {
   readonly programs: readonly ProgramOutcome[];
   readonly promptTokens: number;
-  /** Prompt tokens prefilled again although this program, or the shared beginning, had had them prefilled. */
+  /** Prompt tokens prefilled again although the program, or its shared beginning, had prefilled them before. */
   readonly wastedTokens: number;
-  /** Programs that had not ended when the run did. */
+  /** Programs that had not ended when the run ended. */
   readonly unfinished: number;
-  /** Programs that were refused at their first turn, and what these earned of what they were worth. */
+  /** Programs refused at their first turn, the value they earned and the maximum they could have earned. */
   readonly refused: number;
   readonly refusedEarned: number;
   readonly refusedOwed: number;
@@ -40,25 +40,25 @@
   readonly scenario: Scenario;
   readonly policy: Policy;
   readonly seed: number;
-  /** Part of the engines' capacity that the programs ask for. */
+  /** Demand of the programs as a fraction of the engines' capacity. */
   readonly load: number;
   /** Virtual time in which programs arrive, in ms. */
   readonly durationMs: number;
 }
 
-/** A program under way. */
-interface Running {
+/** A program in progress. */
+interface RunningProgram {
   readonly id: string;
   readonly plan: ProgramPlan;
   readonly messages: ChatMessage[];
   readonly startMs: number;
-  /** Tokens of the prompt that were prefilled for the program or its beginning before. */
+  /** Prompt tokens that were already prefilled for the program or its beginning. */
   knownTokens: number;
   attainedMs: number;
   cached: CachedPrefix[];
 }
 
-const WARM_UP_PART = 0.15;
+const WARM_UP_FRACTION = 0.15;
 const DRAIN_MS = 600_000;
 const PLANS_FOR_DEMAND = 400;
 
@@ -71,7 +71,7 @@
   readonly #options: ExperimentOptions;
   readonly #time = new EventQueue();
   readonly #random: SeededRandomSource;
-  readonly #placement: SeededRandomSource;
+  readonly #placementRandom: SeededRandomSource;
   readonly #runners: EmulatedRunner[];
   readonly #outcomes: ProgramOutcome[] = [];
   #nextProgram = 0;
@@ -86,7 +86,7 @@
   constructor(options: ExperimentOptions, hash: TextHash) {
     this.#options = options;
     this.#random = new SeededRandomSource(options.seed);
-    this.#placement = new SeededRandomSource(options.seed + 1_000_003);
+    this.#placementRandom = new SeededRandomSource(options.seed + 1_000_003);
     const names = Array.from({ length: options.scenario.runners }, (_, index) => `runner-${index}`);
     this.#runners = names.map((name) => new EmulatedRunner(name, options.scenario.engine, this.#time, hash));
   }
@@ -94,7 +94,7 @@
   run(): ExperimentResult {
     const { scenario, load, durationMs, seed } = this.#options;
     const meanGapMs = meanDemandMs(scenario, seed) / scenario.runners / load;
-    this.#arrive(meanGapMs);
+    this.#scheduleArrival(meanGapMs);
     this.#time.run(durationMs + DRAIN_MS);
     return {
       programs: this.#outcomes,
@@ -107,20 +107,20 @@
     };
   }
 
-  /** Programs arrive at random, whatever becomes of those before. */
-  #arrive(meanGapMs: number): void {
+  /** Schedules the next arrival at random, independently of how earlier programs end (open loop). */
+  #scheduleArrival(meanGapMs: number): void {
     const gapMs = -Math.log(1 - this.#random.unit()) * meanGapMs;
     this.#time.after(gapMs, () => {
       if (this.#time.nowMs > this.#options.durationMs) return;
       const plan = this.#options.scenario.draw(this.#random);
-      const counted = this.#time.nowMs > this.#options.durationMs * WARM_UP_PART;
+      const counted = this.#time.nowMs > this.#options.durationMs * WARM_UP_FRACTION;
       if (counted) this.#started += 1;
       if (this.#options.policy.admits?.(this.#runners) ?? true) {
         this.#start(plan, undefined, (latencyMs) => {
           if (counted) this.#record(plan, latencyMs);
         });
       } else if (counted) this.#refuse(plan);
-      this.#arrive(meanGapMs);
+      this.#scheduleArrival(meanGapMs);
     });
   }
 
@@ -133,15 +133,15 @@
   #record(plan: ProgramPlan, latencyMs: number): void {
     const missedDeadline = plan.deadlineMs !== undefined && latencyMs > plan.deadlineMs;
     const boundMs = criticalPathMs(plan, this.#options.scenario.engine);
-    const earned = earnedBy(plan, latencyMs, boundMs);
+    const earned = earnedValue(plan, latencyMs, boundMs);
     const owed = plan.worth?.inAim ?? 0;
     this.#outcomes.push({ kind: plan.kind, latencyMs, boundMs, missedDeadline, earned, owed });
   }
 
-  #start(plan: ProgramPlan, parent: Running | undefined, onEnd: (latencyMs: number) => void): void {
+  #start(plan: ProgramPlan, parent: RunningProgram | undefined, onEnd: (latencyMs: number) => void): void {
     this.#nextProgram += 1;
     const shared = { role: "system", content: textOf(`${plan.beginning} rules`, plan.sharedTokens) };
-    const program: Running = {
+    const program: RunningProgram = {
       id: `program-${this.#nextProgram}`,
       plan,
       messages: parent ? [...parent.messages] : [shared],
@@ -150,10 +150,10 @@
       attainedMs: 0,
       cached: parent ? parent.cached : [],
     };
-    this.#turn(program, 0, () => onEnd(this.#time.nowMs - program.startMs));
+    this.#runTurn(program, 0, () => onEnd(this.#time.nowMs - program.startMs));
   }
 
-  #turn(program: Running, index: number, onEnd: () => void): void {
+  #runTurn(program: RunningProgram, index: number, onEnd: () => void): void {
     const plan = program.plan.turns[index];
     if (!plan) return onEnd();
     this.#nextCall += 1;
@@ -165,7 +165,7 @@
       promptTokens,
       cached: program.cached,
       runners: this.#runners,
-      random: this.#placement,
+      random: this.#placementRandom,
       callIndex: this.#nextCall,
     });
     const request = this.#options.policy.describe({
@@ -199,28 +199,28 @@
     });
   }
 
-  #afterTurn(program: Running, plan: TurnPlan, index: number, onEnd: () => void): void {
+  #afterTurn(program: RunningProgram, plan: TurnPlan, index: number, onEnd: () => void): void {
     const next = () => {
       const last = index === program.plan.turns.length - 1;
       if (last) onEnd();
-      else this.#time.after(plan.pauseMs, () => this.#turn(program, index + 1, onEnd));
+      else this.#time.after(plan.pauseMs, () => this.#runTurn(program, index + 1, onEnd));
     };
-    let left = plan.children.length;
-    if (left === 0) return next();
+    let remainingChildren = plan.children.length;
+    if (remainingChildren === 0) return next();
     for (const child of plan.children) {
       this.#start(child, program, () => {
-        left -= 1;
-        if (left === 0) next();
+        remainingChildren -= 1;
+        if (remainingChildren === 0) next();
       });
     }
   }
 
-  #slackMs({ plan, startMs }: Running): number | undefined {
+  #slackMs({ plan, startMs }: RunningProgram): number | undefined {
     return plan.deadlineMs === undefined ? undefined : plan.deadlineMs - (this.#time.nowMs - startMs);
   }
 }
 
-/** A text of about that many tokens that begins with `head`. */
+/** Returns a text of about `tokens` tokens that ends with `head`. */
 function textOf(head: string, tokens: number): string {
   return `${"x".repeat(Math.max(0, tokens * CHARACTERS_PER_TOKEN - head.length))}${head}`;
 }
@@ -229,8 +229,8 @@
   return messages.reduce((sum, { content }) => sum + Math.ceil(content.length / CHARACTERS_PER_TOKEN), 0);
 }
 
-/** Engine time that a program needs when nothing that can be cached is prefilled again. */
-function demandMs(plan: ProgramPlan, engine: EngineFigures): number {
+/** Engine time that a program needs if no cacheable token is prefilled again. */
+function demandMs(plan: ProgramPlan, engine: EngineParameters): number {
   const stepMs = engine.stepMs + engine.stepMsPerSequence * engine.slots;
   let sum = 0;
   for (const { newTokens, outputTokens, children } of plan.turns) {
@@ -246,8 +246,8 @@
   return plans.reduce((sum, plan) => sum + demandMs(plan, scenario.engine), 0) / plans.length;
 }
 
-/** Time of a program that has all engines to itself. */
-function criticalPathMs({ turns }: ProgramPlan, engine: EngineFigures): number {
+/** Duration of a program that has all engines to itself. */
+function criticalPathMs({ turns }: ProgramPlan, engine: EngineParameters): number {
   const stepMs = engine.stepMs + engine.stepMsPerSequence;
   let sum = 0;
   for (const [index, { newTokens, outputTokens, pauseMs, children }] of turns.entries()) {
@@ -258,8 +258,8 @@
   return sum;
 }
 
-/** What a program earned: all in its time, less within twice that, and nothing later. */
-function earnedBy({ worth }: ProgramPlan, latencyMs: number, boundMs: number): number {
+/** Value that a program earned: `inAim` within its target time, `late` within twice that, nothing later. */
+function earnedValue({ worth }: ProgramPlan, latencyMs: number, boundMs: number): number {
   if (!worth) return 0;
   const aimMs = worth.aim.times * boundMs + worth.aim.addedMs;
   if (latencyMs <= aimMs) return worth.inAim;
--- a/bench/gateway-cost.ts
+++ b/bench/gateway-cost.ts
@@ -1,9 +1,10 @@
 /**
- * What a gateway's process costs among many: `npm run gateway-cost -- [--sizes 40,100] [--seconds 10] [--profile FOLDER]`.
- * Starts that many real processes of the bundle (`npm run build:gateway`) on the loopback, before stand-ins of the store
- * and of runners in this process, and reports processor time by part: a start, a second at rest, a turn, a plain call.
- * With `--check BUNDLE` every other gateway runs an earlier build, and the costs of both and their ratios are said: beside
- * each other both meet the same load of the machine. With `--profile` one gateway writes a CPU profile into a folder.
+ * `npm run gateway-cost -- [--sizes 40,100] [--seconds 10] [--profile FOLDER]`: measures the cost of one gateway process
+ * in a cluster of each size. Starts processes of the bundle (`npm run build:gateway`) on loopback, with stand-ins of the
+ * store and of runners in this process, and reports processor time by phase: start, an idle second, a turn, a plain call.
+ * With `--check BUNDLE` every other gateway runs an earlier build, and the costs of both builds and their ratios are
+ * printed: run side by side, both see the same load on the machine. With `--profile` one gateway writes a CPU profile to
+ * a folder.
  */
 import { existsSync } from "node:fs";
 import { parseArgs } from "node:util";
@@ -11,7 +12,7 @@
 import { CostCluster } from "./gateway-cost/cost-cluster.ts";
 import { type GatewayCosts, measureCosts } from "./gateway-cost/measure-costs.ts";
 
-const MS_PER_S = 1_000;
+const MS_PER_SECOND = 1_000;
 const INVALID_INPUT = 2;
 
 const { values } = parseArgs({
@@ -49,27 +50,27 @@
   });
   try {
     const costs = await measureCosts(cluster, {
-      durationMs: Number(values.seconds) * MS_PER_S,
+      durationMs: Number(values.seconds) * MS_PER_SECOND,
       turnsPerSecond: Number(values.turns) * gateways,
       callsPerSecond: Number(values.calls) * gateways,
     });
-    for (const cost of costs) process.stdout.write(`${line(String(gateways), cost)}\n`);
+    for (const cost of costs) process.stdout.write(`${formatRow(String(gateways), cost)}\n`);
     const [before, after] = costs;
-    if (before && after) process.stdout.write(`${line("ratio", ratiosOf(before, after))}\n`);
+    if (before && after) process.stdout.write(`${formatRow("ratio", ratiosOf(before, after))}\n`);
   } finally {
     await cluster.stop();
   }
 }
 
-function line(title: string, costs: GatewayCosts): string {
+function formatRow(title: string, costs: GatewayCosts): string {
   const columns = [
     title.padStart(8),
-    costs.wholeMs.toFixed(2).padStart(9),
+    costs.totalMs.toFixed(2).padStart(9),
     costs.startMs.toFixed(2).padStart(9),
-    costs.restMsPerSecond.toFixed(2).padStart(13),
+    costs.idleMsPerSecond.toFixed(2).padStart(13),
     costs.turnMs.toFixed(2).padStart(8),
     costs.callMs.toFixed(2).padStart(8),
-    costs.restWritesPerSecond.toFixed(2).padStart(17),
+    costs.idleWritesPerSecond.toFixed(2).padStart(17),
     costs.turnWrites.toFixed(2).padStart(12),
     String(costs.failed).padStart(7),
     costs.megabytes.toFixed(2).padStart(8),
@@ -77,15 +78,15 @@
   return columns.join(" ");
 }
 
-/** Each cost of the later build as a part of the earlier one's. */
+/** Returns each cost of the later build divided by that of the earlier build. */
 function ratiosOf(before: GatewayCosts, after: GatewayCosts): GatewayCosts {
   return {
-    wholeMs: after.wholeMs / before.wholeMs,
+    totalMs: after.totalMs / before.totalMs,
     startMs: after.startMs / before.startMs,
-    restMsPerSecond: after.restMsPerSecond / before.restMsPerSecond,
+    idleMsPerSecond: after.idleMsPerSecond / before.idleMsPerSecond,
     turnMs: after.turnMs / before.turnMs,
     callMs: after.callMs / before.callMs,
-    restWritesPerSecond: after.restWritesPerSecond / before.restWritesPerSecond,
+    idleWritesPerSecond: after.idleWritesPerSecond / before.idleWritesPerSecond,
     turnWrites: after.turnWrites / before.turnWrites,
     failed: after.failed,
     megabytes: after.megabytes / before.megabytes,
--- a/bench/mutations.ts
+++ b/bench/mutations.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run mutations`: breaks one mechanism at a time in a copy of the sources and looks whether the simulation
- * notices. A break that no seed catches means that the promise is not proved.
+ * `npm run mutations`: breaks one mechanism at a time in a copy of the sources and checks that the simulation, the soak
+ * or a test detects it. A mutation that is not caught means that the guarantee is not tested.
  */
 import { execFile } from "node:child_process";
 import { cp, mkdtemp, readFile, rm, symlink, writeFile } from "node:fs/promises";
@@ -15,15 +15,15 @@
 import { SOAK_MUTATIONS } from "./mutations/soak-mutations.ts";
 import { TENANT_MUTATIONS } from "./mutations/tenant-mutations.ts";
 
-const COPIED = ["src", "platform", "bench", "standins", "test", "package.json", "tsconfig.json"];
+const COPIED_PATHS = ["src", "platform", "bench", "standins", "test", "package.json", "tsconfig.json"];
 const RUN_TIMEOUT_MS = 180_000;
-const TEST_FILE = ".test.ts";
+const TEST_FILE_SUFFIX = ".test.ts";
 
 class MutationsCommand extends Command {
   static override paths = [Command.Default];
-  runs = Option.String("--runs", "4", { description: "Seeds that may catch a break" });
-  only = Option.String("--only", { description: "Part of the name of the breaks to run" });
-  jobs = Option.String("--jobs", "6", { description: "Breaks tried at once" });
+  runs = Option.String("--runs", "4", { description: "Number of seeds to run for each mutation" });
+  only = Option.String("--only", { description: "Runs only mutations whose name contains this text" });
+  jobs = Option.String("--jobs", "6", { description: "Number of mutations to run in parallel" });
 
   override async execute(): Promise<number> {
     const all = [
@@ -37,45 +37,45 @@
     const queue = all.filter((mutation) => !this.only || mutation.name.includes(this.only));
     const results: string[] = [];
     let missed = 0;
-    const work = async () => {
+    const runQueuedMutations = async () => {
       for (let mutation = queue.shift(); mutation; mutation = queue.shift()) {
         const caught = await tryMutation(mutation, this.runs);
         if (!caught) missed += 1;
-        results.push(`| ${mutation.promise} | ${mutation.name} | ${caught ?? "not caught"} |`);
+        results.push(`| ${mutation.guarantee} | ${mutation.name} | ${caught ?? "not caught"} |`);
       }
     };
-    await Promise.all(Array.from({ length: Number(this.jobs) }, work));
+    await Promise.all(Array.from({ length: Number(this.jobs) }, runQueuedMutations));
     this.context.stdout.write(
-      `| promise | deliberate break | caught by |\n|---|---|---|\n${results.sort().join("\n")}\n`,
+      `| guarantee | mutation | caught by |\n|---|---|---|\n${results.sort().join("\n")}\n`,
     );
     return missed > 0 ? 1 : 0;
   }
 }
 
-/** Runs the simulation on a broken copy; returns the seed and the words that caught it. */
+/** Runs the mutation's script on a mutated copy; returns the seed or test that caught it with its message, if any. */
 async function tryMutation(mutation: Mutation, runs: string): Promise<string | undefined> {
   const folder = await mkdtemp(join(tmpdir(), "tulipwheel-mutation-"));
   try {
-    for (const name of COPIED) await cp(name, join(folder, name), { recursive: true });
+    for (const name of COPIED_PATHS) await cp(name, join(folder, name), { recursive: true });
     await symlink(resolve("node_modules"), join(folder, "node_modules"));
     for (const edit of mutation.edits) await applyEdit(folder, edit);
-    if (mutation.script.endsWith(TEST_FILE)) return await failedTest(folder, mutation.script);
-    const output = await run(folder, [mutation.script, "--seed", "1", "--runs", runs, ...mutation.args]);
+    if (mutation.script.endsWith(TEST_FILE_SUFFIX)) return await findFailedTest(folder, mutation.script);
+    const output = await runNode(folder, [mutation.script, "--seed", "1", "--runs", runs, ...mutation.args]);
     const lines = output.split("\n");
-    const at = lines.findIndex((line) => line.includes(" BROKEN"));
-    if (at < 0)
+    const brokenLineIndex = lines.findIndex((line) => line.includes(" BROKEN"));
+    if (brokenLineIndex < 0)
       return lines.some((line) => / passed, | broke a promise/.test(line))
         ? undefined
         : "the run did not finish";
-    return `seed ${/seed (\d+)/.exec(lines[at])?.[1]}, \`${mutation.args.join(" ")}\`: ${lines[at + 1].trim()}`;
+    return `seed ${/seed (\d+)/.exec(lines[brokenLineIndex])?.[1]}, \`${mutation.args.join(" ")}\`: ${lines[brokenLineIndex + 1].trim()}`;
   } finally {
     await rm(folder, { recursive: true });
   }
 }
 
-/** Runs a file of tests on a broken copy; returns the name of the first test that failed. */
-async function failedTest(folder: string, script: string): Promise<string | undefined> {
-  const output = await run(folder, ["--test", "--test-force-exit", "--test-reporter=tap", script]);
+/** Runs a test file on a mutated copy; returns the name of the first test that failed. */
+async function findFailedTest(folder: string, script: string): Promise<string | undefined> {
+  const output = await runNode(folder, ["--test", "--test-force-exit", "--test-reporter=tap", script]);
   if (!/^# tests /m.test(output)) return "the run did not finish";
   const failed = /^ *not ok \d+ - (.*)$/m.exec(output);
   return failed ? `\`${script}\`: ${failed[1]}` : undefined;
@@ -84,11 +84,11 @@
 async function applyEdit(folder: string, { file, from, to }: Edit): Promise<void> {
   const path = join(folder, file);
   const text = await readFile(path, "utf8");
-  if (!text.includes(from)) throw new Error(`${file} no longer holds: ${from}`);
+  if (!text.includes(from)) throw new Error(`${file} no longer contains: ${from}`);
   await writeFile(path, text.replace(from, to));
 }
 
-function run(folder: string, args: readonly string[]): Promise<string> {
+function runNode(folder: string, args: readonly string[]): Promise<string> {
   return new Promise((resolveOutput) => {
     const options = { cwd: folder, timeout: RUN_TIMEOUT_MS, maxBuffer: 64 * 1024 * 1024 };
     execFile(process.execPath, ["--import", "tsx", ...args], options, (_error, stdout) => {
--- a/bench/mutations/gateway-mutations.ts
+++ b/bench/mutations/gateway-mutations.ts
@@ -1,12 +1,12 @@
-/** Deliberate breaks of gateways. */
+/** Mutations of gateways. */
 import type { Mutation } from "./mutation.ts";
 
 const script = "bench/simulate-gateways.ts";
 
 export const GATEWAY_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "budget",
-    name: "gateway: a grant leaves before the store knows of it",
+    guarantee: "budget",
+    name: "gateway: a grant is sent before it is stored",
     edits: [
       {
         file: "src/gateway/partitions/owned-partition.ts",
@@ -18,8 +18,8 @@
     args: ["--faults", "kill-all"],
   },
   {
-    promise: "budget",
-    name: "gateway: what a lost owner had set aside is granted again",
+    guarantee: "budget",
+    name: "gateway: tokens reserved by a lost owner are granted again",
     edits: [
       {
         file: "src/coordination/token-account/token-account.ts",
@@ -31,8 +31,8 @@
     args: ["--faults", "kill-all"],
   },
   {
-    promise: "budget",
-    name: "gateway: what a turn leaves that the store names as under way is granted at once",
+    guarantee: "budget",
+    name: "gateway: the unused tokens of a turn that the store lists as in progress are granted at once",
     edits: [
       {
         file: "src/coordination/token-account/token-account.ts",
@@ -44,8 +44,8 @@
     args: ["--faults", "kill,messages-lost"],
   },
   {
-    promise: "budget",
-    name: "gateway: an owner's writes carry no condition",
+    guarantee: "budget",
+    name: "gateway: an owner writes without a condition",
     edits: [
       {
         file: "src/gateway/partitions/partition-writer.ts",
@@ -57,8 +57,8 @@
     args: ["--faults", "late-writes,kill-all"],
   },
   {
-    promise: "history",
-    name: "gateway: turns are looked for in one part of the store",
+    guarantee: "history",
+    name: "gateway: turns are searched for in one part of the store only",
     edits: [
       {
         file: "src/gateway/partitions/retained-turns.ts",
@@ -70,8 +70,8 @@
     args: ["--faults", "kill"],
   },
   {
-    promise: "history",
-    name: "gateway: an answer ends before its turn is in the store",
+    guarantee: "history",
+    name: "gateway: an answer ends before its turn is stored",
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
@@ -83,8 +83,8 @@
     args: ["--faults", "kill-all,store-silent"],
   },
   {
-    promise: "history",
-    name: "gateway: an answer ends after a while although the store does not hold its turn",
+    guarantee: "history",
+    name: "gateway: an answer ends after a timeout although its turn is not stored",
     edits: [
       {
         file: "src/gateway/partitions/partition-client.ts",
@@ -96,7 +96,7 @@
     args: ["--faults", "kill-all,store-parts-silent"],
   },
   {
-    promise: "budget",
+    guarantee: "budget",
     name: "gateway: a peer sends a transaction without its conditions",
     edits: [
       {
@@ -109,8 +109,8 @@
     args: ["--faults", "cut-store,part-peers"],
   },
   {
-    promise: "configuration",
-    name: "gateway: a dropped history is not read anew",
+    guarantee: "configuration",
+    name: "gateway: the table is not read again after its change history was dropped",
     edits: [
       {
         file: "src/gateway/configuration/table-follower.ts",
@@ -122,7 +122,7 @@
     args: ["--faults", "history-dropped"],
   },
   {
-    promise: "recovery",
+    guarantee: "recovery",
     name: "gateway: a row whose owner is alive is never taken over",
     edits: [
       {
@@ -135,8 +135,8 @@
     args: ["--faults", "lost-answers,store-silent"],
   },
   {
-    promise: "recovery",
-    name: "gateway: what a relay of the own zone says is passed on as firsthand",
+    guarantee: "recovery",
+    name: "gateway: liveness reported by a relay of the own zone is forwarded as first-hand",
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
@@ -153,8 +153,8 @@
     args: ["--relays", "--faults", "kill,freeze"],
   },
   {
-    promise: "recovery",
-    name: "gateway: owners that relays name are not named again",
+    guarantee: "recovery",
+    name: "gateway: members known only through relays are not reported again",
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
@@ -166,8 +166,8 @@
     args: ["--relays", "--faults", "planned-stop,kill-all"],
   },
   {
-    promise: "recovery",
-    name: "gateway: a status that a relay passes on is dropped while its gateway is heard",
+    guarantee: "recovery",
+    name: "gateway: a relayed status is dropped while direct messages arrive from its gateway's address",
     edits: [
       {
         file: "src/gateway/members/member-view.ts",
--- a/bench/mutations/place-mutations.ts
+++ b/bench/mutations/place-mutations.ts
@@ -1,14 +1,14 @@
-/** Deliberate breaks of how scarce places are shared out; contract tests on virtual time must notice. */
+/** Mutations of how scarce places on runners are allocated; contract tests on virtual time must detect them. */
 import type { Mutation } from "./mutation.ts";
 
-const LOAD = "test/contract/place-load.test.ts";
-const DISPATCHER = "test/contract/place-dispatcher.test.ts";
-const FLEET = "test/contract/places.test.ts";
+const LOAD_TEST = "test/contract/place-load.test.ts";
+const DISPATCHER_TEST = "test/contract/place-dispatcher.test.ts";
+const CLUSTER_TEST = "test/contract/places.test.ts";
 
 export const PLACE_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "places",
-    name: "places: a lease takes up no place",
+    guarantee: "places",
+    name: "places: a lease does not occupy a place",
     edits: [
       {
         file: "src/scheduling/place-queue/lease-table.ts",
@@ -16,12 +16,12 @@
         to: "usage.leases += 0 * sign;",
       },
     ],
-    script: FLEET,
+    script: CLUSTER_TEST,
     args: [],
   },
   {
-    promise: "places",
-    name: "places: a lease never ends by itself",
+    guarantee: "places",
+    name: "places: a lease never expires",
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
@@ -29,12 +29,12 @@
         to: "if (nowMs >= lease.endsAtMs * 1e6) this.#endLease",
       },
     ],
-    script: DISPATCHER,
+    script: DISPATCHER_TEST,
     args: [],
   },
   {
-    promise: "places",
-    name: "places: what a lost gateway held is not taken back",
+    guarantee: "places",
+    name: "places: leases of a lost gateway are not revoked",
     edits: [
       {
         file: "src/gateway/places/place-host.ts",
@@ -42,12 +42,12 @@
         to: "",
       },
     ],
-    script: FLEET,
+    script: CLUSTER_TEST,
     args: [],
   },
   {
-    promise: "places",
-    name: "places: a new dispatcher counts nothing of what is out",
+    guarantee: "places",
+    name: "places: a new dispatcher ignores places that are already in use",
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
@@ -55,12 +55,12 @@
         to: "> 1e9) this.#capacityTracker.recordInitialLoads(nowMs);",
       },
     ],
-    script: DISPATCHER,
+    script: DISPATCHER_TEST,
     args: [],
   },
   {
-    promise: "fair share",
-    name: "places: tenants are served in the order of their calls",
+    guarantee: "fair share",
+    name: "places: calls are served in arrival order across tenants",
     edits: [
       {
         file: "src/scheduling/place-queue/tenant-shares.ts",
@@ -68,12 +68,12 @@
         to: "const share = this.#shares.get(undefined) ?? this.#addTenant(undefined && tenant);",
       },
     ],
-    script: LOAD,
+    script: LOAD_TEST,
     args: [],
   },
   {
-    promise: "fair share",
-    name: "places: a rank never rises",
+    guarantee: "fair share",
+    name: "places: the rank of a waiting call never rises",
     edits: [
       {
         file: "src/scheduling/place-queue/aged-rank.ts",
@@ -81,12 +81,12 @@
         to: "const AGING_STEP_MS = 50_000;",
       },
     ],
-    script: DISPATCHER,
+    script: DISPATCHER_TEST,
     args: [],
   },
   {
-    promise: "told at once",
-    name: "places: nobody is refused by forecast",
+    guarantee: "early refusal",
+    name: "places: no call is refused because of its predicted wait",
     edits: [
       {
         file: "src/scheduling/place-queue/place-dispatcher.ts",
@@ -94,12 +94,12 @@
         to: "return 0 * ahead + timeToFreeMs(0, capacity);",
       },
     ],
-    script: LOAD,
+    script: LOAD_TEST,
     args: [],
   },
   {
-    promise: "a dispatcher's failure",
-    name: "places: a call waits for a dispatcher for ever",
+    guarantee: "dispatcher failure",
+    name: "places: a call waits for a dispatcher without a timeout",
     edits: [
       {
         file: "src/gateway/places/place-client.ts",
@@ -107,7 +107,7 @@
         to: "if (nowMs < request.overdueAtMs * 1e6) continue;",
       },
     ],
-    script: FLEET,
+    script: CLUSTER_TEST,
     args: [],
   },
 ];
--- a/bench/mutations/runner-mutations.ts
+++ b/bench/mutations/runner-mutations.ts
@@ -1,10 +1,10 @@
-/** Deliberate breaks of what gateways take for a runner, and of what they do with rows that are none. */
+/** Mutations of how gateways read runner rows, and of how they handle rows that are invalid. */
 import type { Mutation } from "./mutation.ts";
 
 export const RUNNER_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "runners",
-    name: "runner: the start of a runner is ignored",
+    guarantee: "runners",
+    name: "runner: the start time of a runner is ignored",
     edits: [
       {
         file: "platform/runner-row.ts",
@@ -16,7 +16,7 @@
     args: [],
   },
   {
-    promise: "runners",
+    guarantee: "runners",
     name: "runner: an entry of an earlier start replaces the known one",
     edits: [
       {
@@ -29,8 +29,8 @@
     args: [],
   },
   {
-    promise: "runners",
-    name: "runner: the last entry stays in force when another writer has replaced its row",
+    guarantee: "runners",
+    name: "runner: the last entry stays in use after another writer has replaced its row",
     edits: [
       {
         file: "src/gateway/runners/runner-watch.ts",
@@ -42,7 +42,7 @@
     args: [],
   },
   {
-    promise: "runners",
+    guarantee: "runners",
     name: "runner: an entry in an unknown state is used",
     edits: [
       {
@@ -55,8 +55,8 @@
     args: [],
   },
   {
-    promise: "runners",
-    name: "runner: gateways use all connections that they may",
+    guarantee: "runners",
+    name: "runner: a gateway ignores its share of a runner's connections",
     edits: [
       {
         file: "src/scheduling/runner-balancing/connection-share.ts",
@@ -68,8 +68,8 @@
     args: [],
   },
   {
-    promise: "budget",
-    name: "row: an account that cannot be read is an empty one",
+    guarantee: "budget",
+    name: "row: an unreadable account is treated as empty",
     edits: [
       {
         file: "src/gateway/partitions/owned-partition.ts",
--- a/bench/mutations/tenant-mutations.ts
+++ b/bench/mutations/tenant-mutations.ts
@@ -1,12 +1,12 @@
-/** Deliberate breaks of what gateways keep of tenants' keys and limits. */
+/** Mutations of how gateways enforce tenants' keys and limits. */
 import type { Mutation } from "./mutation.ts";
 
 const script = "bench/simulate-gateways.ts";
 
 export const TENANT_MUTATIONS: readonly Mutation[] = [
   {
-    promise: "limit",
-    name: "tenants: a new owner begins with full buckets",
+    guarantee: "limit",
+    name: "tenants: a new owner starts with full buckets",
     edits: [
       {
         file: "src/gateway/rates/rate-host.ts",
@@ -18,8 +18,8 @@
     args: ["--tenants", "--faults", "kill,part-peers,freeze"],
   },
   {
-    promise: "limit",
-    name: "tenants: an owner that is cut off gives out the whole rate",
+    guarantee: "limit",
+    name: "tenants: an owner that is partitioned off grants the whole rate",
     edits: [
       {
         file: "src/coordination/request-rate/rate-limiter.ts",
@@ -31,7 +31,7 @@
     args: ["--tenants", "--faults", "part-peers,kill"],
   },
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: a lowered limit does not reach the owner",
     edits: [
       {
@@ -44,8 +44,8 @@
     args: ["--tenants", "--faults", "history-dropped"],
   },
   {
-    promise: "limit",
-    name: "tenants: every gateway takes itself for the owner",
+    guarantee: "limit",
+    name: "tenants: every gateway acts as the owner",
     edits: [
       {
         file: "src/gateway/rates/rate-host.ts",
@@ -67,8 +67,8 @@
     args: ["--tenants", "--faults", "kill"],
   },
   {
-    promise: "key",
-    name: "tenants: keys are trusted for ever",
+    guarantee: "key",
+    name: "tenants: keys are never revoked when the configuration is stale",
     edits: [
       {
         file: "src/gateway/configuration/routing-watch.ts",
@@ -80,8 +80,8 @@
     args: ["--tenants", "--faults", "cut-off"],
   },
   {
-    promise: "key",
-    name: "tenants: a store that refuses a wait confirms the configuration",
+    guarantee: "key",
+    name: "tenants: a refused wait for changes confirms the configuration as current",
     edits: [
       {
         file: "src/gateway/configuration/table-follower.ts",
@@ -93,7 +93,7 @@
     args: ["--tenants", "--faults", "cut-off"],
   },
   {
-    promise: "limit",
+    guarantee: "limit",
     name: "tenants: an owner hands over full buckets",
     edits: [
       {
@@ -106,8 +106,8 @@
     args: ["--tenants", "--faults", "planned-stop"],
   },
   {
-    promise: "limit",
-    name: "tenants: an owner before counts as ended before it was replaced",
+    guarantee: "limit",
+    name: "tenants: the previous owner counts as ended before it was replaced",
     edits: [
       {
         file: "src/gateway/members/member-directory.ts",
