--- a/bench/load.ts
+++ b/bench/load.ts
@@ -48,10 +48,10 @@
     };
     const cluster = await Cluster.start({ nodes: 3, engines: [engine], shards: 4 });
     try {
-      await cluster.operate("template", "apply", "examples/magnolia/templates.yaml");
+      await cluster.runCommand("template", "apply", "examples/magnolia/templates.yaml");
       const { callers: node } = cluster.nodes[0];
       // An engine of its own: requests past the scheduler would carry tokens that the scheduler's engine must refuse.
-      const bare = await cluster.startBareEngine(engine);
+      const bare = await cluster.startUnlistedEngine(engine);
       for (const callers of this.concurrency.split(",").map(Number)) {
         await this.#compare(callers, bare.address, node);
       }
--- a/test/process/builds-side-by-side.test.ts
+++ b/test/process/builds-side-by-side.test.ts
@@ -8,14 +8,14 @@
 import { TestAddresses } from "./support/test-addresses.ts";
 
 /** The build that may still run while the present one is rolled out. */
-const LANDED_COMMIT = "524fb38";
+const PREVIOUS_COMMIT = "524fb38";
 const GATEWAYS = 3;
 const TOKENS_PER_EVENT = 10;
 const BUDGET = 200;
 const OK = 200;
-const SPENT = 402;
+const BUDGET_EXHAUSTED = 402;
 const UNAVAILABLE = 503;
-const PATIENCE_MS = 10_000;
+const RETRY_TIMEOUT_MS = 10_000;
 
 class RollingCluster extends GatewayCluster {
   readonly #first: GatewayBuild;
@@ -31,11 +31,11 @@
     return cluster;
   }
 
-  protected override get firstScript(): string {
+  protected override get initialScript(): string {
     return this.#first.script;
   }
 
-  protected override get moreSettings(): object {
+  protected override get extraSettings(): object {
     return { timing: { lingerMs: 500 } };
   }
 
@@ -78,19 +78,21 @@
   }
 
   /** Has a turn of each of some programs run by every gateway, so that each asks the owners of all partitions. */
-  async askAll(): Promise<void> {
+  async sendTurnsThroughAll(): Promise<void> {
     for (const gateway of this.#cluster.gateways)
       for (let index = 0; index < 8; index += 1) {
         const program = `${this.#program}-${index}`;
         const ask = () => turn(gateway, PATHS.kept, newRequestId(), { program });
-        expect((await insist(ask)).status).toEqual(OK);
+        expect((await retryWhileUnavailable(ask)).status).toEqual(OK);
       }
   }
 
   /** A turn of a program that goes on until its budget is spent. */
-  async spend(): Promise<number> {
-    const options = { program: `${this.#program}-loop`, budget: BUDGET, most: 4 * TOKENS_PER_EVENT };
-    const answer = await insist(() => turn(this.#gateway(), PATHS.turn, newRequestId(), options));
+  async spendBudget(): Promise<number> {
+    const options = { program: `${this.#program}-loop`, budget: BUDGET, maxTokens: 4 * TOKENS_PER_EVENT };
+    const answer = await retryWhileUnavailable(() =>
+      turn(this.#gateway(), PATHS.turn, newRequestId(), options),
+    );
     this.budgetTokens += TOKENS_PER_EVENT * (answer.body.split("\n\n").length - 1);
     return answer.status;
   }
@@ -123,8 +125,8 @@
 }
 
 /** Asks until an answer comes that is not a promise that nothing was run. */
-async function insist(ask: () => Promise<CallerAnswer>): Promise<CallerAnswer> {
-  const untilMs = performance.now() + PATIENCE_MS;
+async function retryWhileUnavailable(ask: () => Promise<CallerAnswer>): Promise<CallerAnswer> {
+  const untilMs = performance.now() + RETRY_TIMEOUT_MS;
   for (;;) {
     const answer = await ask();
     if ((answer.status !== UNAVAILABLE && answer.status !== 0) || performance.now() > untilMs) return answer;
@@ -137,13 +139,13 @@
 }
 
 describe("builds side by side", async () => {
-  const hasHistory = await GatewayBuild.has(LANDED_COMMIT);
-  const skip = hasHistory ? false : `this checkout has no history with ${LANDED_COMMIT}`;
+  const hasHistory = await GatewayBuild.isCommitAvailable(PREVIOUS_COMMIT);
+  const skip = hasHistory ? false : `this checkout has no history with ${PREVIOUS_COMMIT}`;
   const builds = new Map<string, GatewayBuild>();
 
   before(async () => {
     if (!hasHistory) return;
-    builds.set("landed", await GatewayBuild.ofCommit(LANDED_COMMIT));
+    builds.set("landed", await GatewayBuild.ofCommit(PREVIOUS_COMMIT));
     builds.set("present", await GatewayBuild.ofCheckout());
   });
 
@@ -160,19 +162,19 @@
       const load = new Load(cluster, from);
       try {
         load.start();
-        await load.spend();
+        await load.spendBudget();
         for (const gateway of cluster.gateways) {
           await cluster.replace(gateway, builds.get(to) as GatewayBuild);
-          await load.askAll();
-          await load.spend();
+          await load.sendTurnsThroughAll();
+          await load.spendBudget();
         }
         await load.stop();
         let last = OK;
         for (let index = 0; index < BUDGET / TOKENS_PER_EVENT && last === OK; index += 1)
-          last = await load.spend();
-        expect([last, load.budgetTokens <= BUDGET]).toEqual([SPENT, true]);
-        expectCallsOnce(cluster, load);
-        expectChainKept(cluster, load);
+          last = await load.spendBudget();
+        expect([last, load.budgetTokens <= BUDGET]).toEqual([BUDGET_EXHAUSTED, true]);
+        expectAtMostOneRun(cluster, load);
+        expectHistoryKept(cluster, load);
         for (const [, written] of cluster.logs()) expect(written.includes("unexpected error")).toEqual(false);
       } finally {
         await load.stop();
@@ -182,7 +184,7 @@
 });
 
 /** Nothing ran twice, what was refused never, and what was answered once. */
-function expectCallsOnce(cluster: RollingCluster, { calls }: Load): void {
+function expectAtMostOneRun(cluster: RollingCluster, { calls }: Load): void {
   const ran = cluster.services.flatMap((service) => service.ran.map(({ id }) => id));
   expect(new Set(ran).size).toEqual(ran.length);
   for (const [id, status] of calls) {
@@ -196,7 +198,7 @@
 }
 
 /** No turn of the conversation was denied, and the last one brought all before it to its runner. */
-function expectChainKept(cluster: RollingCluster, { kept, keptStatuses }: Load): void {
+function expectHistoryKept(cluster: RollingCluster, { kept, keptStatuses }: Load): void {
   expect(keptStatuses.filter((status) => ![OK, UNAVAILABLE, 0].includes(status))).toEqual([]);
   const last = kept.at(-1);
   const run = cluster.engines.flatMap((engine) => engine.ran).findLast(({ id }) => id === last);
--- a/test/process/commands.test.ts
+++ b/test/process/commands.test.ts
@@ -24,44 +24,47 @@
     await rm(folder, { recursive: true });
   });
 
-  async function file(name: string, text: string): Promise<string> {
+  async function writeTextFile(name: string, text: string): Promise<string> {
     const path = join(folder, name);
     await writeFile(path, text);
     return path;
   }
 
-  async function json(...args: string[]) {
-    const { code, output } = await cluster.operate(...args, "--json");
+  async function runJson(...args: string[]) {
+    const { code, output } = await cluster.runCommand(...args, "--json");
     return { code, value: output ? JSON.parse(output) : undefined };
   }
 
   it("check, apply, compare and list templates, and refuse what is not valid", async () => {
-    const wrong = await file("wrong.yaml", "kind: template\nname: Pay\n");
-    const checked = await cluster.operate("template", "check", wrong);
+    const wrong = await writeTextFile("wrong.yaml", "kind: template\nname: Pay\n");
+    const checked = await cluster.runCommand("template", "check", wrong);
     expect([checked.code, /wrong\.yaml:2: name: .*Correct the lines/s.test(checked.log)]).toEqual([2, true]);
-    const applied = await json("template", "apply", "examples/magnolia/templates.yaml");
+    const applied = await runJson("template", "apply", "examples/magnolia/templates.yaml");
     expect([applied.code, applied.value.applied.length, applied.value.waitedMs < 12_000]).toEqual([
       0,
       4,
       true,
     ]);
-    const changed = await file(
+    const changed = await writeTextFile(
       "changed.yaml",
       "kind: tenant\ntemplate: question\ntenant: magnolia\nweight: 2\n",
     );
-    const diff = await json("template", "diff", changed);
+    const diff = await runJson("template", "diff", changed);
     expect(diff.value[0].added).toEqual(["weight: 2"]);
-    expect((await json("template", "list")).value.entries.length).toEqual(4);
-    expect((await json("template", "history", "template/pay-run")).value.length).toEqual(1);
+    expect((await runJson("template", "list")).value.entries.length).toEqual(4);
+    expect((await runJson("template", "history", "template/pay-run")).value.length).toEqual(1);
   });
 
   it("tell the loser of a race both versions, and apply a repeated change once", async () => {
-    const change = await file("race.yaml", "kind: tenant\ntemplate: question\ntenant: magnolia\nweight: 3\n");
-    const first = await json("template", "apply", change, "--change", "c1");
-    const again = await json("template", "apply", change, "--change", "c1");
+    const change = await writeTextFile(
+      "race.yaml",
+      "kind: tenant\ntemplate: question\ntenant: magnolia\nweight: 3\n",
+    );
+    const first = await runJson("template", "apply", change, "--change", "c1");
+    const again = await runJson("template", "apply", change, "--change", "c1");
     expect(again.value.applied[0].alreadyApplied).toEqual(true);
     expect(again.value.applied[0].version).toEqual(first.value.applied[0].version);
-    const loser = await cluster.operate("template", "apply", change, "--base", "1");
+    const loser = await cluster.runCommand("template", "apply", change, "--base", "1");
     expect([loser.code, /is at version \d+, and the change was made from version 1/.test(loser.log)]).toEqual(
       [4, true],
     );
@@ -71,7 +74,7 @@
     const programs = await Promise.all([caller.open("pay-run"), caller.open("pay-run")]);
     const replies = await Promise.all(programs.map((program) => caller.chat(program, "explain #tokens=40")));
     const calls = replies.map((reply) => reply.headers.get("tulipwheel-call-id") ?? "");
-    const views = await Promise.all(calls.map((call) => json("explain", call)));
+    const views = await Promise.all(calls.map((call) => runJson("explain", call)));
     const verdicts = views.map(({ value }) => value.decision.verdict).sort();
     expect(verdicts).toEqual(["placed", "waited"]);
     const refused = await caller.chat(
@@ -81,62 +84,62 @@
       { "idempotency-key": "too-long" },
     );
     expect(refused.status).toEqual(429);
-    const shown = await json("program", "show", programs[0]);
-    const view = await json("explain", shown.value.refusals[0].id);
+    const shown = await runJson("program", "show", programs[0]);
+    const view = await runJson("explain", shown.value.refusals[0].id);
     expect([view.value.state, view.value.decision.inputs.limit.name]).toEqual([
       "refused",
       "completionTokens",
     ]);
-    expect((await cluster.operate("explain", `${programs[0]}~none`)).code).toEqual(3);
-    expect((await cluster.operate("explain", "what")).code).toEqual(2);
+    expect((await cluster.runCommand("explain", `${programs[0]}~none`)).code).toEqual(3);
+    expect((await cluster.runCommand("explain", "what")).code).toEqual(2);
   });
 
   it("show status, budgets and programs, and end a program", async () => {
-    const status = await json("status");
+    const status = await runJson("status");
     expect([status.code, status.value.shards.length, status.value.nodes.length]).toEqual([0, 4, 3]);
     const program = await caller.open("pay-run");
     await caller.chat(program, "spend #tokens=5");
-    const budget = await json("budget", "show", "magnolia", "pay-run");
+    const budget = await runJson("budget", "show", "magnolia", "pay-run");
     expect([budget.value.limit, budget.value.lent > 0]).toEqual([40_000_000, true]);
-    expect((await json("program", "end", program)).value.endReason).toEqual("operator");
-    expect((await cluster.operate("program", "show", "prog-aaaaaaaaaaaaaaaa")).code).toEqual(3);
+    expect((await runJson("program", "end", program)).value.endReason).toEqual("operator");
+    expect((await cluster.runCommand("program", "show", "prog-aaaaaaaaaaaaaaaa")).code).toEqual(3);
   });
 
   it("drain a runner, which then gets no work, and give it work again", async () => {
-    expect((await cluster.operate("runner", "drain", "runner-1")).code).toEqual(0);
+    expect((await cluster.runCommand("runner", "drain", "runner-1")).code).toEqual(0);
     const program = await caller.open("pay-run");
     const refused = await caller.chat(program, "no runner", {}, { "tulipwheel-timeout-ms": "1200" });
     expect([refused.status, JSON.parse(refused.text).outcome]).toEqual([503, "not-run"]);
     expect(refused.headers.get("retry-after") === null).toEqual(false);
-    expect((await json("runner", "list")).value[0].leaving).toEqual(true);
-    expect((await cluster.operate("runner", "drain", "runner-1", "--undo")).code).toEqual(0);
+    expect((await runJson("runner", "list")).value[0].leaving).toEqual(true);
+    expect((await cluster.runCommand("runner", "drain", "runner-1", "--undo")).code).toEqual(0);
     expect((await caller.chat(program, "again #tokens=3")).status).toEqual(200);
-    expect((await cluster.operate("runner", "drain", "nobody")).code).toEqual(3);
+    expect((await cluster.runCommand("runner", "drain", "nobody")).code).toEqual(3);
   });
 
   it("refuse to recover a shard whose replicas answer", async () => {
-    const refused = await cluster.operate("shard", "recover", "0");
+    const refused = await cluster.runCommand("shard", "recover", "0");
     expect([refused.code, /replicas of shard 0 answer/.test(refused.log)]).toEqual([3, true]);
-    expect((await json("shard", "recover", "--all")).value).toEqual([]);
+    expect((await runJson("shard", "recover", "--all")).value).toEqual([]);
   });
 
   it("check and show settings, and change the log level", async () => {
-    const checked = await json("settings", "check", "node", "examples/magnolia/node.yaml");
+    const checked = await runJson("settings", "check", "node", "examples/magnolia/node.yaml");
     expect([checked.code, checked.value.cluster.replicas]).toEqual([0, 5]);
-    const shown = await json("settings", "show", "node");
+    const shown = await runJson("settings", "show", "node");
     expect(shown.value.some((row: { key: string }) => row.key === "ingress.timing.callPatienceMs")).toEqual(
       true,
     );
-    const gateway = await json("settings", "show", "gateway");
+    const gateway = await runJson("settings", "show", "gateway");
     const initial = new Map(
       gateway.value.map((row: { key: string; default: string }) => [row.key, row.default]),
     );
     expect([initial.get("listen.callers"), initial.get("listen.metrics")]).toEqual(["(required)", "(none)"]);
-    expect((await cluster.operate("log-level", "debug")).code).toEqual(0);
-    expect((await cluster.operate("log-level", "loud")).code).toEqual(2);
+    expect((await cluster.runCommand("log-level", "debug")).code).toEqual(0);
+    expect((await cluster.runCommand("log-level", "loud")).code).toEqual(2);
   });
 
   it("say when no node answers", async () => {
-    expect((await cluster.operateAt("127.0.0.1:1", "status")).code).toEqual(5);
+    expect((await cluster.runCommandAt("127.0.0.1:1", "status")).code).toEqual(5);
   });
 });
--- a/test/process/failures.test.ts
+++ b/test/process/failures.test.ts
@@ -5,7 +5,7 @@
 import { expect } from "earl";
 import { knownRed } from "../support/known-red.ts";
 import { answerOf, Caller, problemOfReply, streamedAnswerOf } from "./support/caller.ts";
-import { Cluster, pause, type Reached } from "./support/cluster.ts";
+import { Cluster, type ClusterProcess, pause } from "./support/cluster.ts";
 
 const ENGINES = ["runner-1", "runner-2", "runner-3"].map((name) => ({
   name,
@@ -15,7 +15,7 @@
 const FIND_TIMEOUT_MS = 3_000;
 const FIND_PAUSE_MS = 20;
 /** Programs that are led by the node that callers speak to, one after the other, before they speak to another one. */
-const TRIES_BEFORE_MOVE = 20;
+const TRIES_BEFORE_SWITCH = 20;
 const TEMPLATES = "examples/magnolia/templates.yaml";
 
 const STOPPED_UNDER_LOAD = "cuts no request when nodes are stopped one after another under load";
@@ -23,18 +23,18 @@
 describe("processes that fail", () => {
   let cluster: Cluster;
   /** The node that callers speak to where a test does not say otherwise; it is never taken away while they do. */
-  let access: Reached;
+  let accessNode: ClusterProcess;
   let caller: Caller;
 
   /** Opens a program that another node than `access` leads: leaders and callers' nodes are to fail apart. */
-  async function openLedElsewhere(): Promise<string> {
+  async function openProgramWithOtherLeader(): Promise<string> {
     for (let tried = 1; ; tried += 1) {
-      if (tried % TRIES_BEFORE_MOVE === 0) moveAccess();
+      if (tried % TRIES_BEFORE_SWITCH === 0) switchAccessNode();
       const program = await caller.open("pay-run");
       const running = caller.chat(program, "who leads #tokens=20", {}, { "idempotency-key": "who-leads" });
-      const leader = await nodeRunning(cluster);
+      const leader = await findBusyNode(cluster);
       await running;
-      if (leader !== access) return program;
+      if (leader !== accessNode) return program;
     }
   }
 
@@ -42,27 +42,27 @@
    * Has callers speak to another node. Beside load, one node may come to lead all shards when the cluster starts; where
    * callers speak to that one, no program is ever led elsewhere.
    */
-  function moveAccess(): void {
-    access = cluster.nodes.find((node) => node !== access) ?? access;
-    caller = new Caller(access.callers);
+  function switchAccessNode(): void {
+    accessNode = cluster.nodes.find((node) => node !== accessNode) ?? accessNode;
+    caller = new Caller(accessNode.callers);
   }
 
   /**
    * Begins a call that another node runs than the one that the caller speaks to. Under load the lead may move between the
    * opening of a program and its next call: then the call is let end, and another program is tried.
    */
-  async function beginElsewhere<Reply>(begin: (program: string) => Promise<Reply>, pauseMs: number) {
+  async function startCallOnOtherNode<Reply>(begin: (program: string) => Promise<Reply>, pauseMs: number) {
     for (;;) {
-      const program = await openLedElsewhere();
+      const program = await openProgramWithOtherLeader();
       const running = begin(program);
       await pause(pauseMs);
-      const victim = await nodeRunning(cluster);
-      if (victim !== access) return { program, running, victim };
+      const victim = await findBusyNode(cluster);
+      if (victim !== accessNode) return { program, running, victim };
       await running;
     }
   }
 
-  /** What a program's history is after {@link openLedElsewhere}: the first turn, and then `texts`. */
+  /** What a program's history is after {@link openProgramWithOtherLeader}: the first turn, and then `texts`. */
   async function expectHistory(program: string, texts: readonly string[]): Promise<void> {
     const [question, answer, ...rest] = await caller.history(program);
     expect([question, answer.length]).toEqual(["who leads #tokens=20", 20 * 4]);
@@ -71,16 +71,16 @@
 
   before(async () => {
     cluster = await Cluster.start({ nodes: 5, engines: ENGINES, services: 1, shards: 6 });
-    access = cluster.nodes[4];
-    caller = new Caller(access.callers);
-    expect((await cluster.operate("template", "apply", TEMPLATES)).code).toEqual(0);
+    accessNode = cluster.nodes[4];
+    caller = new Caller(accessNode.callers);
+    expect((await cluster.runCommand("template", "apply", TEMPLATES)).code).toEqual(0);
   });
 
   after(() => cluster.stop());
 
   it("streams an answer whole although the node that runs it is killed", async () => {
     const text = "kill my leader #tokens=120";
-    const { program, running, victim } = await beginElsewhere(
+    const { program, running, victim } = await startCallOnOtherNode(
       (led) => caller.chat(led, text, { stream: true, max_tokens: 200 }),
       500,
     );
@@ -95,7 +95,7 @@
 
   it("goes on while the node that runs a call is frozen, and takes no harm when it wakes", async () => {
     const text = "freeze my leader #tokens=100";
-    const { program, running, victim } = await beginElsewhere(
+    const { program, running, victim } = await startCallOnOtherNode(
       (led) => caller.chat(led, text, { stream: true, max_tokens: 200 }),
       400,
     );
@@ -110,7 +110,7 @@
     const program = await caller.open("pay-run");
     const running = caller.chat(program, "kill my engine #tokens=100", { stream: true, max_tokens: 200 });
     await pause(500);
-    const victim = await engineRunning(cluster);
+    const victim = await findBusyEngine(cluster);
     await victim.process.kill();
     const answer = streamedAnswerOf(await running);
     expect(answer.length).toEqual(100 * 4);
@@ -120,7 +120,7 @@
   it("charges once, and says unknown, when the leader is killed while the charge runs", async () => {
     await setServiceDelay(cluster, 2_000);
     let charges = 0;
-    const { running, victim } = await beginElsewhere((led) => {
+    const { running, victim } = await startCallOnOtherNode((led) => {
       charges += 1;
       return caller.service(led, "POST", "/charges", `charge-of-the-dead-leader-${charges}`);
     }, 500);
@@ -130,13 +130,13 @@
     expect([reply.status, problemOfReply(reply).outcome]).toEqual([504, "unknown"]);
     await setServiceDelay(cluster, 0);
     await pause(2_000);
-    expect(await timesRun(cluster, `charge-of-the-dead-leader-${charges}`)).toEqual(1);
+    expect(await countRuns(cluster, `charge-of-the-dead-leader-${charges}`)).toEqual(1);
     await cluster.startNode(6);
     await cluster.ready();
   });
 
   it(STOPPED_UNDER_LOAD, knownRed(STOPPED_UNDER_LOAD), async () => {
-    const victims = cluster.nodes.filter((node) => node !== access).slice(0, 2);
+    const victims = cluster.nodes.filter((node) => node !== accessNode).slice(0, 2);
     const load = new Load(caller);
     load.start(6);
     for (const [index, victim] of victims.entries()) {
@@ -168,11 +168,11 @@
   it("tells callers which nodes to speak to, those of their zone first, and none that is leaving", async () => {
     const other = await cluster.startNode(22, { zone: "zone-of-the-caller" });
     const listed = cluster.nodes.map((node) => node.callers).sort();
-    await untilAddresses(access, (addresses) => addresses.sort().join() === listed.join());
-    expect((await addressesFrom(access, "zone-of-the-caller"))[0]).toEqual(other.callers);
+    await waitForAddresses(accessNode, (addresses) => addresses.sort().join() === listed.join());
+    expect((await fetchAddresses(accessNode, "zone-of-the-caller"))[0]).toEqual(other.callers);
     cluster.nodes.splice(cluster.nodes.indexOf(other), 1);
     other.process.signal("SIGTERM");
-    await untilAddresses(access, (addresses) => !addresses.includes(other.callers));
+    await waitForAddresses(accessNode, (addresses) => !addresses.includes(other.callers));
     expect(await other.process.exited).toEqual(0);
   });
 
@@ -196,7 +196,7 @@
   it("frees the engine when a caller hangs up in the middle of a stream", async () => {
     const program = await caller.open("pay-run");
     const abort = new AbortController();
-    const response = await fetch(`http://${access.callers}/v1/chat/completions`, {
+    const response = await fetch(`http://${accessNode.callers}/v1/chat/completions`, {
       method: "POST",
       headers: { "tulipwheel-program": program },
       body: JSON.stringify({
@@ -211,7 +211,7 @@
     abort.abort();
     await pause(1_500);
     expect(
-      (await Promise.all(cluster.engines.map(runningCalls))).reduce((sum, count) => sum + count, 0),
+      (await Promise.all(cluster.engines.map(countRunningCalls))).reduce((sum, count) => sum + count, 0),
     ).toEqual(0);
     expect(answerOf(await caller.chat(program, "next #tokens=3")).length).toEqual(3 * 4);
   });
@@ -235,7 +235,7 @@
     await setFaults(cluster.table.address, { outage: true });
     const program = await caller.open("pay-run");
     expect((await caller.chat(program, "no table #tokens=5")).status).toEqual(200);
-    const refused = await cluster.operate("template", "apply", TEMPLATES);
+    const refused = await cluster.runCommand("template", "apply", TEMPLATES);
     expect(refused.code).toEqual(5);
     await setFaults(cluster.table.address, { outage: false });
   });
@@ -253,7 +253,7 @@
   }
 
   start(programs: number): void {
-    this.#running = Array.from({ length: programs }, () => this.#work());
+    this.#running = Array.from({ length: programs }, () => this.#runPrograms());
   }
 
   async stop(): Promise<number[]> {
@@ -262,7 +262,7 @@
     return this.#statuses;
   }
 
-  async #work(): Promise<void> {
+  async #runPrograms(): Promise<void> {
     while (!this.#stopped) {
       const opened = await this.#caller.send("POST", "/v1/programs", { template: "pay-run" });
       if (opened.status !== 201) {
@@ -279,37 +279,40 @@
 }
 
 /** Which nodes a node tells callers of a zone to speak to. */
-async function addressesFrom(node: Reached, zone: string): Promise<string[]> {
+async function fetchAddresses(node: ClusterProcess, zone: string): Promise<string[]> {
   const reply = await fetch(`http://${node.callers}/v1/addresses?zone=${zone}`);
   return ((await reply.json()) as { addresses: string[] }).addresses;
 }
 
 /** Waits until something holds for the addresses that a node names. */
-async function untilAddresses(node: Reached, holds: (addresses: string[]) => boolean): Promise<void> {
+async function waitForAddresses(
+  node: ClusterProcess,
+  holds: (addresses: string[]) => boolean,
+): Promise<void> {
   const deadline = performance.now() + FIND_TIMEOUT_MS;
-  while (!holds(await addressesFrom(node, "zone-0"))) {
+  while (!holds(await fetchAddresses(node, "zone-0"))) {
     if (performance.now() > deadline) throw new Error("The node goes on naming the same addresses.");
     await pause(FIND_PAUSE_MS);
   }
 }
 
 /** The node that carries a call out at present. */
-function nodeRunning(cluster: Cluster): Promise<Reached> {
-  return findSoon(cluster.nodes, async (node) => {
+function findBusyNode(cluster: Cluster): Promise<ClusterProcess> {
+  return waitForProcess(cluster.nodes, async (node) => {
     const metrics = await (await fetch(`http://${node.metrics}/metrics`)).text();
     return Number(/^tulipwheel_active_calls (\d+)/m.exec(metrics)?.[1]) > 0;
   });
 }
 
-function engineRunning(cluster: Cluster): Promise<Reached> {
-  return findSoon(cluster.engines, async (engine) => (await runningCalls(engine)) > 0);
+function findBusyEngine(cluster: Cluster): Promise<ClusterProcess> {
+  return waitForProcess(cluster.engines, async (engine) => (await countRunningCalls(engine)) > 0);
 }
 
 /** The first process for which something holds; reports lag, so it is looked for again for a while. */
-async function findSoon(
-  processes: readonly Reached[],
-  holds: (one: Reached) => Promise<boolean>,
-): Promise<Reached> {
+async function waitForProcess(
+  processes: readonly ClusterProcess[],
+  holds: (one: ClusterProcess) => Promise<boolean>,
+): Promise<ClusterProcess> {
   const deadline = performance.now() + FIND_TIMEOUT_MS;
   while (performance.now() < deadline) {
     for (const one of processes) if (await holds(one)) return one;
@@ -318,7 +321,7 @@
   throw new Error("No process was found for which it holds.");
 }
 
-async function runningCalls(engine: Reached): Promise<number> {
+async function countRunningCalls(engine: ClusterProcess): Promise<number> {
   const load = (await (await fetch(`http://${engine.address}/load`)).json()) as { running: string[] };
   return load.running.length;
 }
@@ -331,7 +334,7 @@
   return setFaults(cluster.services[0].address, { delayMs });
 }
 
-async function timesRun(cluster: Cluster, body: string): Promise<number> {
+async function countRuns(cluster: Cluster, body: string): Promise<number> {
   const ledger = (await (await fetch(`http://${cluster.services[0].address}/ledger`)).json()) as {
     body: string;
   }[];
--- a/test/process/gateway.test.ts
+++ b/test/process/gateway.test.ts
@@ -9,8 +9,8 @@
 import { TestAddresses } from "./support/test-addresses.ts";
 
 const TOKENS_PER_EVENT = 10;
-const MISSING = 404;
-const SPENT = 402;
+const NOT_FOUND = 404;
+const BUDGET_EXHAUSTED = 402;
 
 let cluster: GatewayCluster;
 
@@ -19,7 +19,9 @@
 }
 
 /** Asks until an answer comes that is not a promise that nothing was run. */
-async function insist<Answer extends { status: number }>(ask: () => Promise<Answer>): Promise<Answer> {
+async function retryWhileUnavailable<Answer extends { status: number }>(
+  ask: () => Promise<Answer>,
+): Promise<Answer> {
   const untilMs = performance.now() + 10_000;
   for (;;) {
     const answer = await ask();
@@ -28,11 +30,11 @@
   }
 }
 
-function eventsIn(body: string): number {
+function countEvents(body: string): number {
   return body.split("\n\n").length - 1;
 }
 
-function wholeStream(id: string, events: number): string {
+function fullStream(id: string, events: number): string {
   const parts = Array.from({ length: events }, (_, index) => {
     return `id: ${index + 1}\ndata: ${RunnerStandin.eventData(id, index + 1)}\n\n`;
   });
@@ -52,13 +54,13 @@
     expect([ran?.method, ran?.target, ran?.body]).toEqual(["POST", `${PATHS.unsafe}x?y=1`, `input of ${id}`]);
     expect((ran?.deadlineMs ?? 0) <= 3_000).toEqual(true);
     const streamed = await turn(gateway(0), PATHS.turn, newRequestId(), { program: "p" });
-    expect([streamed.status, eventsIn(streamed.body)]).toEqual([200, 4]);
-    expect((await call(gateway(0), "/none/", newRequestId())).status).toEqual(MISSING);
+    expect([streamed.status, countEvents(streamed.body)]).toEqual([200, 4]);
+    expect((await call(gateway(0), "/none/", newRequestId())).status).toEqual(NOT_FOUND);
   });
 
   it("never hand a program more tokens than its budget, through whichever gateway it asks", async () => {
     cluster = await GatewayCluster.start(3, 2, 0);
-    const options = { program: "looping", budget: 200, most: 40 };
+    const options = { program: "looping", budget: 200, maxTokens: 40 };
     const asks = Array.from({ length: 12 }, (_, index) =>
       turn(gateway(index), PATHS.turn, newRequestId(), options),
     );
@@ -67,15 +69,15 @@
       answers.push(await turn(gateway(index), PATHS.turn, newRequestId(), options));
     }
     const tokens = answers.reduce((sum, { body, status }) => {
-      return sum + (status === 200 ? eventsIn(body) * TOKENS_PER_EVENT : 0);
+      return sum + (status === 200 ? countEvents(body) * TOKENS_PER_EVENT : 0);
     }, 0);
     expect(tokens).toEqual(200);
-    expect(answers.at(-1)?.status).toEqual(SPENT);
+    expect(answers.at(-1)?.status).toEqual(BUDGET_EXHAUSTED);
   });
 
   it("keep to the budget when all gateways are killed and start again", async () => {
     cluster = await GatewayCluster.start(3, 2, 0);
-    const options = { program: "looping", budget: 200, most: 40 };
+    const options = { program: "looping", budget: 200, maxTokens: 40 };
     for (let index = 0; index < 3; index += 1) {
       expect((await turn(gateway(index), PATHS.turn, newRequestId(), options)).status).toEqual(200);
     }
@@ -83,9 +85,11 @@
     await cluster.restartAll();
     let tokens = 3 * 40;
     for (let index = 0; index < 6; index += 1) {
-      const answer = await insist(() => turn(gateway(index), PATHS.turn, newRequestId(), options));
-      if (answer.status === 200) tokens += eventsIn(answer.body) * TOKENS_PER_EVENT;
-      else expect(answer.status).toEqual(SPENT);
+      const answer = await retryWhileUnavailable(() =>
+        turn(gateway(index), PATHS.turn, newRequestId(), options),
+      );
+      if (answer.status === 200) tokens += countEvents(answer.body) * TOKENS_PER_EVENT;
+      else expect(answer.status).toEqual(BUDGET_EXHAUSTED);
     }
     expect(tokens <= 200).toEqual(true);
   });
@@ -95,24 +99,26 @@
     const first = newRequestId();
     expect((await turn(gateway(0), PATHS.kept, first, { program: "p" })).status).toEqual(200);
     const forged = { program: "p", previous: "never-said" };
-    expect((await insist(() => turn(gateway(0), PATHS.kept, newRequestId(), forged))).status).toEqual(
-      MISSING,
-    );
+    expect(
+      (await retryWhileUnavailable(() => turn(gateway(0), PATHS.kept, newRequestId(), forged))).status,
+    ).toEqual(NOT_FOUND);
     await cluster.killAll();
     await cluster.restartAll();
     const second = newRequestId();
     const next = { program: "p", previous: first };
-    const answer = await insist(() => turn(gateway(1), PATHS.kept, second, next));
+    const answer = await retryWhileUnavailable(() => turn(gateway(1), PATHS.kept, second, next));
     expect(answer.status).toEqual(200);
     const output = [1, 2, 3, 4].map((event) => `${RunnerStandin.eventData(first, event)}\n`).join("");
     const ran = cluster.engines[0]?.ran.find((one) => one.id === second);
     expect(ran?.body).toEqual(`input of ${first}\n${output}input of ${second}\n`);
     const foreign = { program: "another program", previous: second };
-    expect((await insist(() => turn(gateway(0), PATHS.kept, newRequestId(), foreign))).status).toEqual(200);
+    expect(
+      (await retryWhileUnavailable(() => turn(gateway(0), PATHS.kept, newRequestId(), foreign))).status,
+    ).toEqual(200);
     // Every turn that was answered whole is in the store, so that what it denies was never said.
-    expect((await insist(() => turn(gateway(0), PATHS.kept, newRequestId(), forged))).status).toEqual(
-      MISSING,
-    );
+    expect(
+      (await retryWhileUnavailable(() => turn(gateway(0), PATHS.kept, newRequestId(), forged))).status,
+    ).toEqual(NOT_FOUND);
   });
 
   it("go on with a broken stream at the runner that has it", async () => {
@@ -123,7 +129,7 @@
     }
     const id = newRequestId();
     const answer = await turn(gateway(0), PATHS.turn, id, { program: "p" });
-    expect([answer.status, answer.body]).toEqual([200, wholeStream(id, 4)]);
+    expect([answer.status, answer.body]).toEqual([200, fullStream(id, 4)]);
     const runners = cluster.engines.filter((engine) => engine.ran.some((one) => one.id === id));
     expect(runners.length).toEqual(1);
     expect(runners[0]?.ran.map((one) => one.lastEventId)).toEqual([undefined, 2]);
@@ -233,9 +239,11 @@
     const ready = await request(`http://${gateway(0).addresses.readiness}/tulipwheel/readyz`);
     expect(ready.statusCode).toEqual(503);
     expect(await cluster.directory(gateway(1))).toEqual([gateway(1).addresses.callers]);
-    expect(await asked.then(({ status, body }) => [status, body])).toEqual([200, wholeStream(id, 4)]);
+    expect(await asked.then(({ status, body }) => [status, body])).toEqual([200, fullStream(id, 4)]);
     expect(await gateway(0).process.exited).toEqual(0);
-    const after = await insist(() => turn(gateway(1), PATHS.turn, newRequestId(), { program: "p" }));
+    const after = await retryWhileUnavailable(() =>
+      turn(gateway(1), PATHS.turn, newRequestId(), { program: "p" }),
+    );
     expect(after.status).toEqual(200);
   });
 
@@ -281,7 +289,7 @@
     const asked = turn(gateway(0), PATHS.turn, id, { program: "p" });
     while (engine.ran.length === 0) await pause(10);
     cluster.listRunner(engine, "engine", "ready", { born: 2_000 });
-    expect(await asked.then(({ status, body }) => [status, body])).toEqual([200, wholeStream(id, 4)]);
+    expect(await asked.then(({ status, body }) => [status, body])).toEqual([200, fullStream(id, 4)]);
     expect(performance.now() - startedMs < 2_000).toEqual(true);
     expect(engine.ran.map((ran) => ran.headers["x-expect-instance"])).toEqual([engine.id, engine.id]);
   });
@@ -299,7 +307,7 @@
 
   it("without others, go on within what is reserved while the store is down, and answer at once beyond it", async () => {
     cluster = await GatewayCluster.start(1, 1, 1);
-    const options = { program: "p", budget: 10_000, most: 40 };
+    const options = { program: "p", budget: 10_000, maxTokens: 40 };
     await turn(gateway(0), PATHS.turn, newRequestId(), options);
     cluster.store.fault = "silent";
     expect((await turn(gateway(0), PATHS.turn, newRequestId(), options)).status).toEqual(200);
@@ -310,7 +318,7 @@
     expect(Number(refused.headers["retry-after"]) > 0).toEqual(true);
     expect(performance.now() - startedMs < 2_500).toEqual(true);
     cluster.store.fault = "none";
-    const again = await insist(() =>
+    const again = await retryWhileUnavailable(() =>
       turn(gateway(0), PATHS.turn, newRequestId(), { ...options, program: "new" }),
     );
     expect(again.status).toEqual(200);
@@ -318,9 +326,11 @@
 
   it("end no answer before the store holds its turn, so that none is lost when all gateways die", async () => {
     cluster = await GatewayCluster.start(3, 1, 0);
-    const options = { program: "p", budget: 10_000, most: 40 };
+    const options = { program: "p", budget: 10_000, maxTokens: 40 };
     const first = newRequestId();
-    expect((await insist(() => turn(gateway(0), PATHS.kept, first, options))).status).toEqual(200);
+    expect((await retryWhileUnavailable(() => turn(gateway(0), PATHS.kept, first, options))).status).toEqual(
+      200,
+    );
     cluster.store.fault = "silent";
     const held = turn(gateway(1), PATHS.kept, newRequestId(), { ...options, previous: first });
     await pause(1_200);
@@ -329,14 +339,18 @@
     cluster.store.fault = "none";
     await cluster.restartAll();
     const after = { ...options, previous: first };
-    expect((await insist(() => turn(gateway(2), PATHS.kept, newRequestId(), after))).status).toEqual(200);
+    expect(
+      (await retryWhileUnavailable(() => turn(gateway(2), PATHS.kept, newRequestId(), after))).status,
+    ).toEqual(200);
   });
 
   it("end an answer whole once the store is back, and keep its turn through a kill right after", async () => {
     cluster = await GatewayCluster.start(3, 1, 0);
-    const options = { program: "p", budget: 10_000, most: 40, deadlineMs: 5_000 };
+    const options = { program: "p", budget: 10_000, maxTokens: 40, deadlineMs: 5_000 };
     const first = newRequestId();
-    expect((await insist(() => turn(gateway(0), PATHS.kept, first, options))).status).toEqual(200);
+    expect((await retryWhileUnavailable(() => turn(gateway(0), PATHS.kept, first, options))).status).toEqual(
+      200,
+    );
     cluster.store.fault = "silent";
     const second = newRequestId();
     const startedMs = performance.now();
@@ -348,7 +362,9 @@
     await cluster.killAll();
     await cluster.restartAll();
     const after = { ...options, previous: second };
-    expect((await insist(() => turn(gateway(0), PATHS.kept, newRequestId(), after))).status).toEqual(200);
+    expect(
+      (await retryWhileUnavailable(() => turn(gateway(0), PATHS.kept, newRequestId(), after))).status,
+    ).toEqual(200);
   });
 
   it("give a dead gateway's programs to others within seconds", async () => {
@@ -358,7 +374,9 @@
     await gateway(0).process.kill();
     const startedMs = performance.now();
     for (const program of programs) {
-      const answer = await insist(() => turn(gateway(1), PATHS.turn, newRequestId(), { program }));
+      const answer = await retryWhileUnavailable(() =>
+        turn(gateway(1), PATHS.turn, newRequestId(), { program }),
+      );
       expect(answer.status).toEqual(200);
     }
     expect(performance.now() - startedMs < 4_000).toEqual(true);
@@ -368,7 +386,7 @@
     cluster = await GatewayCluster.start(1, 0, 1);
     const [service] = cluster.services;
     if (service) service.fault = "full";
-    gateway(0).process.stallOutput();
+    gateway(0).process.stopReadingOutput();
     const PIPE_BYTES = 65_536;
     const LEAST_LINE_BYTES = 100;
     let answered = 0;
@@ -400,7 +418,7 @@
     await turn(gateway(0), PATHS.turn, id, { program: "p" });
     await pause(500);
     const lines = gateway(0)
-      .process.written.split("\n")
+      .process.collectedOutput.split("\n")
       .filter((line) => line.includes(`"${id}"`));
     expect(lines.length).toEqual(1);
     expect(JSON.parse(lines[0] ?? "{}")).toLooseEqual({
@@ -417,7 +435,7 @@
     expect((await turn(gateway(0), PATHS.turn, refused, { program: "p" })).status).toEqual(503);
     await pause(500);
     const line = gateway(0)
-      .process.written.split("\n")
+      .process.collectedOutput.split("\n")
       .find((candidate) => candidate.includes(`"${refused}"`));
     expect(line ?? "").toMatchRegex(/"status":503,"kind":"overloaded".*"failure":"not run, status 503"/);
     expect(lines[0]).toMatchRegex(/"tries":\[\{"runner":"engine-0","load":\d+,"failureRate":0/);
--- a/test/process/path.test.ts
+++ b/test/process/path.test.ts
@@ -16,7 +16,7 @@
   before(async () => {
     cluster = await Cluster.start({ nodes: 3, engines: ENGINES, services: 1 });
     caller = new Caller(cluster.nodes[0].callers);
-    const applied = await cluster.operate("template", "apply", "examples/magnolia/templates.yaml");
+    const applied = await cluster.runCommand("template", "apply", "examples/magnolia/templates.yaml");
     expect(applied.code).toEqual(0);
   });
 
@@ -166,12 +166,12 @@
     await caller.send("DELETE", `/v1/programs/${program}`);
     expect(problemOfReply(await caller.chat(program, "x")).kind).toEqual("program-ended");
     const deadline = performance.now() + 5_000;
-    while (performance.now() < deadline && (await holdsOf(cluster, program)) > 0);
-    expect(await holdsOf(cluster, program)).toEqual(0);
+    while (performance.now() < deadline && (await countHolds(cluster, program)) > 0);
+    expect(await countHolds(cluster, program)).toEqual(0);
   });
 });
 
-async function holdsOf(cluster: Cluster, program: string): Promise<number> {
+async function countHolds(cluster: Cluster, program: string): Promise<number> {
   let holds = 0;
   for (const engine of cluster.engines) {
     const held = (await (await fetch(`http://${engine.address}/holds`)).json()) as { program: string }[];
--- a/test/process/place-delays.test.ts
+++ b/test/process/place-delays.test.ts
@@ -2,18 +2,18 @@
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import type { RunnerStandin } from "../../standins/platform/runner-standin.ts";
-import { DispatchedCluster, HEARD_MS } from "./support/dispatched-cluster.ts";
+import { DispatchedCluster, PROPAGATION_MS } from "./support/dispatched-cluster.ts";
 import { call, newRequestId } from "./support/gateway-caller.ts";
 import { PATHS, pause, type TestGateway } from "./support/gateway-cluster.ts";
 
 /** Calls that take all places run until long after the test has looked at those that come meanwhile. */
 const LONG_FILL_MS = 4_000;
 /** They are over while places still count as scarce. */
-const SHORT_FILL_MS = 2 * HEARD_MS;
+const SHORT_FILL_MS = 2 * PROPAGATION_MS;
 /** Calls that wait for so long at most have given up before the others end. */
-const GIVEN_UP_MS = 300;
+const SHORT_DEADLINE_MS = 300;
 const FILL_DEADLINE_MS = 10_000;
-const HELD_UP_MS = 600;
+const MAX_REFUSAL_MS = 600;
 
 describe("gateways that are held up while all places are taken", () => {
   let cluster: DispatchedCluster;
@@ -51,7 +51,7 @@
     dispatcher.process.signal("SIGCONT");
     expect(late.map(({ status }) => status).filter((status) => status !== 503)).toEqual([]);
     expect(late.every(({ headers }) => Number(headers["retry-after"]) > 0)).toEqual(true);
-    expect(tookMs).toBeLessThan(HELD_UP_MS);
+    expect(tookMs).toBeLessThan(MAX_REFUSAL_MS);
     expect(service.ran.filter(({ id }) => id.startsWith("late-"))).toEqual([]);
   });
 
@@ -61,7 +61,7 @@
     service.stepMs = 100;
     // Each gateway notices that places are scarce, and takes them for scarce some seconds longer.
     for (const index of cluster.gateways.keys())
-      void call(gateway(index), PATHS.unsafe, newRequestId(), GIVEN_UP_MS);
+      void call(gateway(index), PATHS.unsafe, newRequestId(), SHORT_DEADLINE_MS);
     while (service.busy > 0) await pause(20);
     const answers = await Promise.all(
       Array.from({ length: 40 }, (_, index) => call(gateway(index), PATHS.unsafe, newRequestId(), 5_000)),
--- a/test/process/places.test.ts
+++ b/test/process/places.test.ts
@@ -4,16 +4,16 @@
 import type { TimedPlaceRecord } from "../../src/gateway/telemetry/timed-place-record.ts";
 import type { RunnerStandin } from "../../standins/platform/runner-standin.ts";
 import { knownRed } from "../support/known-red.ts";
-import { DispatchedCluster, HEARD_MS, SLOTS } from "./support/dispatched-cluster.ts";
+import { DispatchedCluster, PROPAGATION_MS, SLOTS } from "./support/dispatched-cluster.ts";
 import { call, newRequestId, turn } from "./support/gateway-caller.ts";
 import { PATHS, pause } from "./support/gateway-cluster.ts";
 
 /** Calls that may be on their way to a runner whose calls are short, beyond those that it works on. */
-const ON_TOP = 2;
+const MAX_IN_TRANSIT = 2;
 /** Calls that take all places run for so long: others hear of them, and wait for not much longer. */
-const FILL_MS = 1.6 * HEARD_MS;
+const FILL_MS = 1.6 * PROPAGATION_MS;
 /** Time in which the log is written. */
-const FLUSHED_MS = 400;
+const LOG_FLUSH_MS = 400;
 
 interface CallLine {
   readonly msg: string;
@@ -21,7 +21,7 @@
   readonly places?: readonly TimedPlaceRecord[];
 }
 
-const PLACED_BESIDE =
+const WAITING_TEST =
   "let calls wait for a place, refuse those that cannot, and send a runner no more than it works on";
 
 describe("gateways whose runners have few places", () => {
@@ -39,7 +39,7 @@
     return parsed.filter(({ request }) => request?.startsWith(prefix));
   }
 
-  it(PLACED_BESIDE, knownRed(PLACED_BESIDE), async () => {
+  it(WAITING_TEST, knownRed(WAITING_TEST), async () => {
     const [service] = cluster.services as [RunnerStandin];
     await cluster.fill(service, FILL_MS, (filler) => call(filler, PATHS.unsafe, newRequestId(), 5_000));
     service.stepMs = 100;
@@ -57,7 +57,7 @@
     const answers = await Promise.all(waiting);
     expect(answers.filter(({ status }) => status !== 200 && status !== 503)).toEqual([]);
     expect(answers.filter(({ status }) => status === 200).length).toBeGreaterThan(20);
-    await pause(FLUSHED_MS);
+    await pause(LOG_FLUSH_MS);
     expect(new Set(service.ran.map(({ id }) => id)).size).toEqual(service.ran.length);
     expect(service.ran.filter(({ id }) => id.startsWith("late-"))).toEqual([]);
     const granted = linesOf("waits-").flatMap(({ places = [] }) => places);
@@ -79,10 +79,10 @@
     engine.stepMs = 10;
     const began = turn(gateway(1), PATHS.turn, "second-turn", { program: "begun" });
     expect((await began).status).toEqual(200);
-    await pause(FLUSHED_MS);
+    await pause(LOG_FLUSH_MS);
     const alone = linesOf("").flatMap(({ places = [] }) =>
       places.filter(({ verdict }) => verdict === "alone"),
     );
-    expect(engine.mostBusy).toBeLessThanOrEqual(SLOTS + ON_TOP + alone.length);
+    expect(engine.mostBusy).toBeLessThanOrEqual(SLOTS + MAX_IN_TRANSIT + alone.length);
   });
 });
--- a/test/process/support/child-process.ts
+++ b/test/process/support/child-process.ts
@@ -7,8 +7,8 @@
 /** A process of ours that a test started, and will end. */
 export class StartedProcess {
   readonly #child: ChildProcess;
-  readonly #output: string[] = [];
-  readonly #written: string[] = [];
+  readonly #stderrParts: string[] = [];
+  readonly #stdoutParts: string[] = [];
   readonly exited: Promise<number | null>;
 
   constructor(script: string, args: readonly string[], environment: Record<string, string> = {}) {
@@ -17,7 +17,7 @@
       env: { ...process.env, ...environment },
     });
     this.exited = new Promise((resolve) => this.#child.once("exit", (code) => resolve(code)));
-    this.#child.stderr?.on("data", (part) => this.#output.push(String(part)));
+    this.#child.stderr?.on("data", (part) => this.#stderrParts.push(String(part)));
   }
 
   /** Reads the line in which a process says where it is reached. */
@@ -34,14 +34,14 @@
     return text;
   }
 
-  /** Keeps what the process writes to standard output, for {@link written}. */
+  /** Keeps what the process writes to standard output, for {@link collectedOutput}. */
   collectOutput(): this {
-    this.#child.stdout?.on("data", (part) => this.#written.push(String(part)));
+    this.#child.stdout?.on("data", (part) => this.#stdoutParts.push(String(part)));
     return this;
   }
 
   /** Reads no more of what the process writes, as a reader that stalls. */
-  stallOutput(): void {
+  stopReadingOutput(): void {
     this.#child.stdout?.removeAllListeners("data");
     this.#child.stdout?.pause();
   }
@@ -53,13 +53,13 @@
   }
 
   /** What was collected of standard output, and what the process wrote to standard error. */
-  get written(): string {
-    return this.#written.join("") + this.log;
+  get collectedOutput(): string {
+    return this.#stdoutParts.join("") + this.log;
   }
 
   /** What the process wrote to standard error. */
   get log(): string {
-    return this.#output.join("");
+    return this.#stderrParts.join("");
   }
 
   /** Whether the process has ended. */
--- a/test/process/support/cluster.ts
+++ b/test/process/support/cluster.ts
@@ -7,7 +7,7 @@
 const POLL_MS = 50;
 
 /** A process and where it is reached. */
-export interface Reached {
+export interface ClusterProcess {
   /** Where callers reach it; only nodes have it. */
   readonly callers: string;
   /** Where metrics and health are served; only nodes have it. */
@@ -37,12 +37,12 @@
 
 /** A whole system of separate processes on loopback, for one test. */
 export class Cluster {
-  readonly nodes: Reached[] = [];
-  readonly engines: Reached[] = [];
-  readonly services: Reached[] = [];
-  table!: Reached;
-  objects!: Reached;
-  machineList!: Reached;
+  readonly nodes: ClusterProcess[] = [];
+  readonly engines: ClusterProcess[] = [];
+  readonly services: ClusterProcess[] = [];
+  table!: ClusterProcess;
+  objects!: ClusterProcess;
+  machineList!: ClusterProcess;
   readonly #options: ClusterOptions;
   readonly #started: StartedProcess[] = [];
 
@@ -65,7 +65,7 @@
   }
 
   /** Starts a node; it joins the others. */
-  async startNode(index: number, extra: Record<string, string | number> = {}): Promise<Reached> {
+  async startNode(index: number, extra: Record<string, string | number> = {}): Promise<ClusterProcess> {
     const { shards = 4, nodes } = this.#options;
     const settings = {
       name: `node-${index}`,
@@ -90,12 +90,12 @@
   }
 
   /** Runs an operator's command to its end. */
-  operate(...args: readonly string[]): Promise<CommandResult> {
-    return this.operateAt(this.nodes[0].address, ...args);
+  runCommand(...args: readonly string[]): Promise<CommandResult> {
+    return this.runCommandAt(this.nodes[0].address, ...args);
   }
 
   /** Runs an operator's command by way of a given node. */
-  async operateAt(node: string, ...args: readonly string[]): Promise<CommandResult> {
+  async runCommandAt(node: string, ...args: readonly string[]): Promise<CommandResult> {
     const command = this.#spawn(CLI, args, { TULIPWHEEL_NODE: node });
     const output = await command.output();
     return { code: await command.exited, output, log: command.log };
@@ -131,13 +131,13 @@
   }
 
   /** Starts an engine that no list knows of. */
-  startBareEngine(options: EngineModelOptions): Promise<Reached> {
+  startUnlistedEngine(options: EngineModelOptions): Promise<ClusterProcess> {
     return this.#launch(STANDINS, ["engine", "--options", JSON.stringify(options)]);
   }
 
   /** Starts an engine and puts it on the machine list. */
-  async startEngine(options: EngineModelOptions): Promise<Reached> {
-    const engine = await this.startBareEngine(options);
+  async startEngine(options: EngineModelOptions): Promise<ClusterProcess> {
+    const engine = await this.startUnlistedEngine(options);
     this.engines.push(engine);
     const { name, models, slots = 16, kvTokens = 200_000 } = options;
     await this.list({
@@ -176,7 +176,7 @@
     await this.list({ name: `pay-api-${index}`, kind: "service", pool: "pay-api", address: service.address });
   }
 
-  async #launch(script: string, args: readonly string[]): Promise<Reached> {
+  async #launch(script: string, args: readonly string[]): Promise<ClusterProcess> {
     const started = this.#spawn(script, args);
     const { address, callers, metrics } = await started.firstLine();
     return { process: started, address, callers, metrics };
--- a/test/process/support/dispatched-cluster.ts
+++ b/test/process/support/dispatched-cluster.ts
@@ -5,7 +5,7 @@
 
 const POLL_MS = 20;
 /** Two heartbeats, and what starts and messages take on a busy machine. */
-export const HEARD_MS = 1_300;
+export const PROPAGATION_MS = 1_300;
 /** Places of a runner. */
 export const SLOTS = 8;
 const DISPATCHER_TIMEOUT_MS = 5_000;
@@ -22,7 +22,9 @@
   async dispatcher(): Promise<TestGateway> {
     const deadlineMs = performance.now() + DISPATCHER_TIMEOUT_MS;
     for (;;) {
-      const found = this.gateways.find(({ process }) => process.written.includes('"hands out places"'));
+      const found = this.gateways.find(({ process }) =>
+        process.collectedOutput.includes('"hands out places"'),
+      );
       if (found) return found;
       if (performance.now() > deadlineMs) throw new Error("no gateway hands out places");
       await pause(POLL_MS);
@@ -42,10 +44,10 @@
   ): Promise<void> {
     runner.stepMs = stepMs;
     for (let index = 0; index < SLOTS; index += 1) void send(this.gateway(index), index);
-    await pause(HEARD_MS);
+    await pause(PROPAGATION_MS);
   }
 
-  protected override get moreSettings(): object {
+  protected override get extraSettings(): object {
     return { places: { dispatchBelow: 1_000 } };
   }
 }
--- a/test/process/support/gateway-build.ts
+++ b/test/process/support/gateway-build.ts
@@ -20,7 +20,7 @@
   }
 
   /** Whether the history of this checkout has a commit. */
-  static async has(commit: string): Promise<boolean> {
+  static async isCommitAvailable(commit: string): Promise<boolean> {
     return run("git", ["cat-file", "-e", `${commit}^{commit}`]).then(
       () => true,
       () => false,
@@ -29,14 +29,14 @@
 
   /** Builds the sources of this checkout. */
   static async ofCheckout(): Promise<GatewayBuild> {
-    const made = await GatewayBuild.#empty();
+    const made = await GatewayBuild.#create();
     await made.#bundle(resolve("."));
     return made;
   }
 
   /** Builds the sources of a commit. */
   static async ofCommit(commit: string): Promise<GatewayBuild> {
-    const made = await GatewayBuild.#empty();
+    const made = await GatewayBuild.#create();
     const tree = join(made.#folder, "tree");
     await run("git", ["worktree", "add", "--detach", tree, commit]);
     try {
@@ -53,7 +53,7 @@
     await rm(this.#folder, { recursive: true, force: true });
   }
 
-  static async #empty(): Promise<GatewayBuild> {
+  static async #create(): Promise<GatewayBuild> {
     return new GatewayBuild(await mkdtemp(join(tmpdir(), "tulipwheel-build-")));
   }
 
--- a/test/process/support/gateway-caller.ts
+++ b/test/process/support/gateway-caller.ts
@@ -14,7 +14,7 @@
 export interface TurnOptions {
   readonly program: string;
   readonly budget?: number;
-  readonly most?: number;
+  readonly maxTokens?: number;
   readonly previous?: string;
   readonly deadlineMs?: number;
 }
@@ -65,7 +65,7 @@
   id: string,
   options: TurnOptions,
 ): Promise<CallerAnswer> {
-  const { program, budget = 10_000, most = 100, previous, deadlineMs = 3_000 } = options;
+  const { program, budget = 10_000, maxTokens = 100, previous, deadlineMs = 3_000 } = options;
   const headers: Record<string, string> = {
     "X-Request-Id": id,
     "X-Deadline-Ms": String(deadlineMs),
@@ -73,7 +73,7 @@
     "X-Session-Id": `${program}-main`,
     "X-Program-Deadline-Ms": "60000",
     "X-Token-Budget": String(budget),
-    "X-Token-Usage": `100,${most}`,
+    "X-Token-Usage": `100,${maxTokens}`,
     "X-Model": "m",
   };
   if (previous !== undefined) headers["X-Previous-Turn"] = previous;
--- a/test/process/support/gateway-cluster.ts
+++ b/test/process/support/gateway-cluster.ts
@@ -26,7 +26,7 @@
 } as const;
 
 /** Limits and times of the test's routes, which a test may change. */
-export interface TestRoutes {
+export interface TestConfiguration {
   readonly version: number;
   readonly timeoutMs: number;
   /** Paths of routes beside the usual ones. */
@@ -106,38 +106,38 @@
   }
 
   /** The address under which one side of a link reaches the other; tests may put something in between. */
-  protected async reach(address: string, _link: TestLink): Promise<string> {
+  protected async linkAddress(address: string, _link: TestLink): Promise<string> {
     return address;
   }
 
   /** The tenants of the first configuration. */
-  protected get firstTenants(): Pick<TestRoutes, "tenants"> {
+  protected get initialTenants(): Pick<TestConfiguration, "tenants"> {
     return {};
   }
 
   /** Settings of gateways beside the usual ones; none unless a cluster says otherwise. */
-  protected get moreSettings(): object {
+  protected get extraSettings(): object {
     return {};
   }
 
   /** The program that gateways run when they are added. */
-  protected get firstScript(): string {
+  protected get initialScript(): string {
     return ENTRY;
   }
 
   async #startAll(gateways: number, engines: number, services: number): Promise<void> {
     this.#storeAddress = await this.store.listen();
     this.#folder = await mkdtemp(join(tmpdir(), "tulipwheel-"));
-    this.configure({ version: 1, timeoutMs: 3_000, ...this.firstTenants });
+    this.configure({ version: 1, timeoutMs: 3_000, ...this.initialTenants });
     for (let index = 0; index < engines; index += 1) await this.addRunner("engine", this.engines, index);
     for (let index = 0; index < services; index += 1) await this.addRunner("api", this.services, index);
     for (let index = 0; index < gateways; index += 1) await this.addGateway();
     await this.ready();
-    await this.owned();
+    await this.waitForOwners();
   }
 
   /** Writes the operators' configuration. */
-  configure({ version, timeoutMs, added = [], tenants }: TestRoutes): void {
+  configure({ version, timeoutMs, added = [], tenants }: TestConfiguration): void {
     const route = (name: string, path: string, kind: string, service: string, more: object) => ({
       name,
       host: TEST_HOST,
@@ -174,14 +174,14 @@
         "header-timeout-ms": 3_000,
         "idle-timeout-ms": 15_000,
       },
-      ...(tenants === undefined ? {} : { tenants: tenants.map(wireTenant) }),
+      ...(tenants === undefined ? {} : { tenants: tenants.map(toConfiguredTenant) }),
     });
   }
 
   async addRunner(service: string, list: RunnerStandin[], index: number): Promise<RunnerStandin> {
     const runner = new RunnerStandin(`${service}-${index}`);
     list.push(runner);
-    const address = await this.reach(await runner.listen(), { side: "runner", name: runner.id });
+    const address = await this.linkAddress(await runner.listen(), { side: "runner", name: runner.id });
     this.#runnerAddresses.set(runner.id, address);
     this.listRunner(runner, service, "ready");
     return runner;
@@ -215,13 +215,13 @@
       zone: "zone-a",
       listen: addresses,
       seeds: this.gateways.slice(0, 3).map((gateway) => gateway.addresses.peers),
-      store: await this.reach(this.#storeAddress, { side: "store", name }),
+      store: await this.linkAddress(this.#storeAddress, { side: "store", name }),
       partitions: PARTITIONS,
-      ...this.moreSettings,
+      ...this.extraSettings,
     };
     const settingsFile = join(this.#folder, `${name}.yaml`);
     await writeFile(settingsFile, JSON.stringify(settings));
-    const script = this.firstScript;
+    const script = this.initialScript;
     const process = startProcess(script, settingsFile);
     const gateway: TestGateway = { name, addresses, settingsFile, script, process };
     this.gateways.push(gateway);
@@ -231,7 +231,7 @@
   /** Starts a gateway again whose process has ended. */
   restart(gateway: TestGateway): void {
     const { name } = gateway;
-    this.#earlierLogs.set(name, `${this.#earlierLogs.get(name) ?? ""}${gateway.process.written}`);
+    this.#earlierLogs.set(name, `${this.#earlierLogs.get(name) ?? ""}${gateway.process.collectedOutput}`);
     gateway.process = startProcess(gateway.script, gateway.settingsFile);
   }
 
@@ -259,7 +259,7 @@
   }
 
   /** Waits until every partition has its first owner. */
-  async owned(): Promise<void> {
+  async waitForOwners(): Promise<void> {
     const deadlineMs = performance.now() + READY_TIMEOUT_MS;
     for (let partition = 0; partition < PARTITIONS; partition += 1) {
       const { table, part } = ownerKey(partition);
@@ -290,7 +290,7 @@
   /** What the processes wrote, earlier ones of a gateway first, by name. */
   logs(): Map<string, string> {
     const entries = this.gateways.map(({ name, process }) => {
-      return [name, `${this.#earlierLogs.get(name) ?? ""}${process.written}`] as const;
+      return [name, `${this.#earlierLogs.get(name) ?? ""}${process.collectedOutput}`] as const;
     });
     return new Map(entries);
   }
@@ -317,7 +317,7 @@
   });
 }
 
-function wireTenant({ name, keys, rate = 0, burst = 0 }: TestTenant): object {
+function toConfiguredTenant({ name, keys, rate = 0, burst = 0 }: TestTenant): object {
   return { name, "api-keys": keys, priority: 0, "rate-per-s": rate, burst };
 }
 
--- a/test/process/tenants.test.ts
+++ b/test/process/tenants.test.ts
@@ -11,8 +11,8 @@
   type TestTenant,
 } from "./support/gateway-cluster.ts";
 
-const UNKNOWN_KEY = 401;
-const NO_SUCH_TURN = 404;
+const UNAUTHORIZED = 401;
+const NOT_FOUND = 404;
 const SHOP: TestTenant = { name: "shop", keys: ["key-of-shop", "second-key-of-shop"] };
 const BANK: TestTenant = { name: "bank", keys: ["key-of-bank"] };
 
@@ -36,7 +36,11 @@
 }
 
 /** Asks until the answer is as expected, or too much time has passed. */
-async function until(ask: () => Promise<CallerAnswer>, status: number, patienceMs: number): Promise<number> {
+async function retryUntilStatus(
+  ask: () => Promise<CallerAnswer>,
+  status: number,
+  patienceMs: number,
+): Promise<number> {
   const untilMs = performance.now() + patienceMs;
   for (;;) {
     const answer = await ask();
@@ -45,7 +49,7 @@
   }
 }
 
-const HANDED_OVER = "leave a tenant its burst when owners are stopped as planned";
+const PLANNED_STOP_TEST = "leave a tenant its burst when owners are stopped as planned";
 
 describe("keys", () => {
   afterEach(() => cluster?.stop());
@@ -53,8 +57,10 @@
   it("say which tenant a request is run for, whatever the caller claims", async () => {
     cluster = await GatewayCluster.start(1, 0, 1);
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants: [SHOP, BANK] });
-    expect(await until(() => callWith("key-of-shop"), 200, 3_000)).toEqual(200);
-    expect(await until(() => callWith("key-of-nobody"), UNKNOWN_KEY, 3_000)).toEqual(UNKNOWN_KEY);
+    expect(await retryUntilStatus(() => callWith("key-of-shop"), 200, 3_000)).toEqual(200);
+    expect(await retryUntilStatus(() => callWith("key-of-nobody"), UNAUTHORIZED, 3_000)).toEqual(
+      UNAUTHORIZED,
+    );
     const [service] = cluster.services;
     service?.ran.splice(0);
     const claims = { "X-Tenant": "bank", "X-Hold": "h", "X-Pin-Ms": "9", "X-Kv-Backup": "b", "Kv-From": "f" };
@@ -74,20 +80,20 @@
       );
       expect(kept).toEqual([]);
     }
-    expect(gateway(0).process.written.includes("key-of-shop")).toEqual(false);
+    expect(gateway(0).process.collectedOutput.includes("key-of-shop")).toEqual(false);
   });
 
   it("are needed once the configuration has tenants, and nothing is run without a known one", async () => {
     cluster = await GatewayCluster.start(1, 0, 1);
     expect((await callWith(undefined)).status).toEqual(200);
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants: [SHOP] });
-    expect(await until(() => callWith(undefined), UNKNOWN_KEY, 3_000)).toEqual(UNKNOWN_KEY);
+    expect(await retryUntilStatus(() => callWith(undefined), UNAUTHORIZED, 3_000)).toEqual(UNAUTHORIZED);
     const [service] = cluster.services;
     service?.ran.splice(0);
     for (const key of [undefined, "key-of-nobody", "key-of-bank", "shop", ""])
-      expect((await callWith(key)).status).toEqual(UNKNOWN_KEY);
+      expect((await callWith(key)).status).toEqual(UNAUTHORIZED);
     expect((await callWith(undefined, PATHS.unsafe, { Authorization: "Basic key-of-shop" })).status).toEqual(
-      UNKNOWN_KEY,
+      UNAUTHORIZED,
     );
     expect(service?.ran).toEqual([]);
     expect((await callWith("key-of-shop")).status).toEqual(200);
@@ -110,9 +116,9 @@
       };
       return send(gateway(index), "POST", PATHS.kept, headers, `input of ${id}\n`);
     };
-    expect(await until(() => turnWith("key-of-shop", first), 200, 3_000)).toEqual(200);
+    expect(await retryUntilStatus(() => turnWith("key-of-shop", first), 200, 3_000)).toEqual(200);
     for (const index of [0, 1]) {
-      expect((await turnWith("key-of-bank", newRequestId(), first, index)).status).toEqual(NO_SUCH_TURN);
+      expect((await turnWith("key-of-bank", newRequestId(), first, index)).status).toEqual(NOT_FOUND);
       expect((await turnWith("second-key-of-shop", newRequestId(), first, index)).status).toEqual(200);
     }
   });
@@ -121,7 +127,9 @@
     cluster = await GatewayCluster.start(2, 0, 1);
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants: [SHOP] });
     for (const index of [0, 1])
-      expect(await until(() => callWith("key-of-shop", PATHS.unsafe, {}, index), 200, 3_000)).toEqual(200);
+      expect(
+        await retryUntilStatus(() => callWith("key-of-shop", PATHS.unsafe, {}, index), 200, 3_000),
+      ).toEqual(200);
     cluster.configure({
       version: 3,
       timeoutMs: 3_000,
@@ -129,15 +137,15 @@
     });
     for (const index of [0, 1]) {
       const bank = () => callWith("key-of-bank", PATHS.unsafe, {}, index);
-      expect(await until(bank, 200, 3_000)).toEqual(200);
-      expect((await callWith("key-of-shop", PATHS.unsafe, {}, index)).status).toEqual(UNKNOWN_KEY);
+      expect(await retryUntilStatus(bank, 200, 3_000)).toEqual(200);
+      expect((await callWith("key-of-shop", PATHS.unsafe, {}, index)).status).toEqual(UNAUTHORIZED);
       expect((await callWith("second-key-of-shop", PATHS.unsafe, {}, index)).status).toEqual(200);
     }
   });
 });
 
 describe("limits", () => {
-  const LIMITED_STATUS = 429;
+  const TOO_MANY_REQUESTS = 429;
   const RATE = 10;
   const MARKET: TestTenant = { name: "market", keys: ["key-of-market"], rate: RATE, burst: 5 };
 
@@ -165,22 +173,24 @@
     cluster = await GatewayCluster.start(3, 0, 1);
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants: [SHOP, MARKET] });
     for (const index of [0, 1, 2])
-      expect(await until(() => callWith("key-of-shop", PATHS.unsafe, {}, index), 200, 3_000)).toEqual(200);
+      expect(
+        await retryUntilStatus(() => callWith("key-of-shop", PATHS.unsafe, {}, index), 200, 3_000),
+      ).toEqual(200);
     // Below its limit, a tenant is turned away by nobody.
     const below = await sendFor(2_000, 125, "key-of-market");
     expect([...below.keys()]).toEqual([200]);
     const above = await sendFor(3_000, 15, "key-of-market");
     const served = above.get(200)?.length ?? 0;
     expect(served >= 3 * RATE - 3 && served <= 3 * RATE + 8).toEqual(true);
-    expect([...above.keys()].sort()).toEqual([200, LIMITED_STATUS]);
-    const waits = (above.get(LIMITED_STATUS) ?? []).map(({ headers }) => Number(headers["retry-after"]));
+    expect([...above.keys()].sort()).toEqual([200, TOO_MANY_REQUESTS]);
+    const waits = (above.get(TOO_MANY_REQUESTS) ?? []).map(({ headers }) => Number(headers["retry-after"]));
     expect(waits.every((seconds) => seconds > 0 && seconds <= 5.5)).toEqual(true);
     expect(new Set(waits).size > waits.length / 2).toEqual(true);
     // Others do not suffer from it.
     expect([...(await sendFor(500, 10, "key-of-shop")).keys()]).toEqual([200]);
   });
 
-  it(HANDED_OVER, knownRed(HANDED_OVER), async () => {
+  it(PLANNED_STOP_TEST, knownRed(PLANNED_STOP_TEST), async () => {
     cluster = await GatewayCluster.start(3, 0, 1);
     const tenants = Array.from({ length: 8 }, (_, index) => ({
       name: `m${index}`,
@@ -190,7 +200,9 @@
     }));
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants });
     for (const index of [0, 1, 2])
-      expect(await until(() => callWith("key-0", PATHS.unsafe, {}, index), 200, 3_000)).toEqual(200);
+      expect(await retryUntilStatus(() => callWith("key-0", PATHS.unsafe, {}, index), 200, 3_000)).toEqual(
+        200,
+      );
     gateway(2).process.signal("SIGTERM");
     await gateway(2).process.exited;
     const statuses = await Promise.all(
@@ -213,11 +225,13 @@
     }));
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants });
     for (const index of [0, 1, 2])
-      expect(await until(() => callWith("key-0", PATHS.unsafe, {}, index), 200, 3_000)).toEqual(200);
-    await gateway(2).process.kill();
-    for (let index = 0; index < 8; index += 1)
-      expect(await until(() => callWith(`key-${index}`, PATHS.unsafe, {}, index % 2), 200, 5_000)).toEqual(
+      expect(await retryUntilStatus(() => callWith("key-0", PATHS.unsafe, {}, index), 200, 3_000)).toEqual(
         200,
       );
+    await gateway(2).process.kill();
+    for (let index = 0; index < 8; index += 1)
+      expect(
+        await retryUntilStatus(() => callWith(`key-${index}`, PATHS.unsafe, {}, index % 2), 200, 5_000),
+      ).toEqual(200);
   });
 });
--- a/test/soak/soak-cluster.ts
+++ b/test/soak/soak-cluster.ts
@@ -3,7 +3,7 @@
   GatewayCluster,
   type TestGateway,
   type TestLink,
-  type TestRoutes,
+  type TestConfiguration,
 } from "../process/support/gateway-cluster.ts";
 import { TestAddresses } from "../process/support/test-addresses.ts";
 import { LoopbackProxy } from "./loopback-proxy.ts";
@@ -78,15 +78,15 @@
     await super.stop();
   }
 
-  protected override get moreSettings(): object {
+  protected override get extraSettings(): object {
     return { keys: { revokeMs: REVOKE_MS }, requestLimits: TOLERANCE, places: ALWAYS_DISPATCHED };
   }
 
-  protected override get firstTenants(): Pick<TestRoutes, "tenants"> {
+  protected override get initialTenants(): Pick<TestConfiguration, "tenants"> {
     return { tenants: this.tenants.configured };
   }
 
-  protected override async reach(address: string, { side, name }: TestLink): Promise<string> {
+  protected override async linkAddress(address: string, { side, name }: TestLink): Promise<string> {
     const proxyAddress = this.#proxyAddresses.next();
     const link = new LoopbackProxy(address);
     await link.listen(proxyAddress);
