--- a/test/soak/check-runners.ts
+++ b/test/soak/check-runners.ts
@@ -9,18 +9,21 @@
 export function checkRunners(cluster: SoakCluster, ledger: SoakLedger): void {
   const ran = [...cluster.engines, ...cluster.services].flatMap((runner) => runner.ran);
   checkPrompts(ran, ledger);
-  checkOnce(ran, ledger);
+  checkRunCounts(ran, ledger);
 }
 
 function checkPrompts(ran: readonly RanRequest[], ledger: SoakLedger): void {
   for (const { id, body } of ran) {
     const prompt = ledger.prompts.get(id);
     if (prompt !== undefined && prompt !== body)
-      ledger.breaks("history", `${id} was run with ${JSON.stringify(body)}, not ${JSON.stringify(prompt)}`);
+      ledger.recordBroken(
+        "history",
+        `${id} was run with ${JSON.stringify(body)}, not ${JSON.stringify(prompt)}`,
+      );
   }
 }
 
-function checkOnce(ran: readonly RanRequest[], ledger: SoakLedger): void {
+function checkRunCounts(ran: readonly RanRequest[], ledger: SoakLedger): void {
   const counts = new Map<string, number>();
   for (const { id } of ran) counts.set(id, (counts.get(id) ?? 0) + 1);
   const known = new Set<string>();
@@ -28,12 +31,12 @@
     known.add(id);
     const count = counts.get(id) ?? 0;
     if ((kind === "unsafe" || kind === "tenant") && count > 1)
-      ledger.breaks("at most once", `${id} ran ${count} times`);
+      ledger.recordBroken("at most once", `${id} ran ${count} times`);
     if (kind !== "probe" && kind !== "safe" && REFUSALS.includes(status) && count > 0)
-      ledger.breaks("refusals", `${id} was refused with ${status}, and ran`);
-    if (status === 402 && count > 0) ledger.breaks("refusals", `${id} was told 402, and ran`);
+      ledger.recordBroken("refusals", `${id} was refused with ${status}, and ran`);
+    if (status === 402 && count > 0) ledger.recordBroken("refusals", `${id} was told 402, and ran`);
   }
   for (const id of counts.keys()) {
-    if (!known.has(id)) ledger.breaks("nothing of its own", `${id} ran, and no caller sent it`);
+    if (!known.has(id)) ledger.recordBroken("nothing of its own", `${id} ran, and no caller sent it`);
   }
 }
--- a/test/soak/configuration-watch.ts
+++ b/test/soak/configuration-watch.ts
@@ -11,7 +11,7 @@
 const VERSIONS_KEPT = 50;
 const TIMEOUT_MS = 3_000;
 const PROBE_TIMEOUT_MS = 1_000;
-const MISSING = 404;
+const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
 /** See the module's comment. */
@@ -38,7 +38,7 @@
         this.#change();
         changedMs = performance.now();
       }
-      await Promise.all(this.#cluster.gateways.map((gateway) => this.#look(gateway)));
+      await Promise.all(this.#cluster.gateways.map((gateway) => this.#check(gateway)));
       await pause(LOOK_EVERY_MS);
     }
   }
@@ -47,8 +47,8 @@
   async checkNewest(): Promise<void> {
     for (const gateway of this.#cluster.gateways) {
       const status = await this.#probe(gateway, this.#version);
-      if (status === MISSING || status === 0)
-        this.#ledger.breaks(
+      if (status === NOT_FOUND || status === 0)
+        this.#ledger.recordBroken(
           "configuration",
           `${gateway.name} answers ${status} for version ${this.#version}`,
         );
@@ -67,23 +67,23 @@
     this.#changedMs = this.#ledger.nowMs;
   }
 
-  async #look(gateway: TestGateway): Promise<void> {
+  async #check(gateway: TestGateway): Promise<void> {
     const { process } = gateway;
     const version = this.#version;
     const isDue = this.#ledger.calmForMs > CONTACT_MS && this.#ledger.nowMs - this.#changedMs > APPLY_MS;
     const status = await this.#probe(gateway, version);
     if (gateway.process !== process || status === 0 || status === UNAVAILABLE) return;
     const seen = this.#seen.get(process) ?? 0;
-    if (status !== MISSING) this.#seen.set(process, Math.max(seen, version));
+    if (status !== NOT_FOUND) this.#seen.set(process, Math.max(seen, version));
     else if (seen >= version)
-      this.#ledger.breaks("configuration", `${gateway.name} went back before ${version}`);
-    else if (isDue) this.#ledger.breaks("configuration", `${gateway.name} is late with ${version}`);
+      this.#ledger.recordBroken("configuration", `${gateway.name} went back before ${version}`);
+    else if (isDue) this.#ledger.recordBroken("configuration", `${gateway.name} is late with ${version}`);
   }
 
   async #probe(gateway: TestGateway, version: number): Promise<number> {
     this.#probes += 1;
     const id = `probe-${this.#probes}`;
-    const reached = this.#cluster.forCallers(gateway);
+    const reached = this.#cluster.throughProxy(gateway);
     const headers = { "X-Request-Id": id };
     const { status, whole } = await soakRequest(reached, pathOf(version), headers, id, PROBE_TIMEOUT_MS);
     this.#ledger.note({ id, kind: "probe", gateway: gateway.name, status, whole });
--- a/test/soak/faults/link-trouble.ts
+++ b/test/soak/faults/faulty-link.ts
@@ -5,7 +5,7 @@
 const RESET = "reset";
 
 /** One link to the store, a runner or a gateway is delayed, cut one way, silent, or reset. */
-export class LinkTrouble extends SoakFault {
+export class FaultyLink extends SoakFault {
   #link: LoopbackProxy | undefined;
 
   override begin(): string {
--- a/test/soak/faults/runner-trouble.ts
+++ b/test/soak/faults/faulty-runner.ts
@@ -14,7 +14,7 @@
 ];
 
 /** One runner misbehaves with every request. */
-export class RunnerTrouble extends SoakFault {
+export class FaultyRunner extends SoakFault {
   #runner: RunnerStandin | undefined;
 
   override begin(): string {
--- a/test/soak/faults/store-trouble.ts
+++ b/test/soak/faults/faulty-store.ts
@@ -5,20 +5,20 @@
 const SLOW_MS = 250;
 const LATE_MS = 1_500;
 /** What of the store's trouble lasts: all but the forgotten history. */
-const LASTING = [...KINDS, "slow", "silentParts"] as const;
+const PERSISTENT_KINDS = [...KINDS, "slow", "silentParts"] as const;
 
 /**
  * The store refuses, is silent as a whole or in some of its parts, loses answers, does writes late, is slow, or forgets
  * its history, for all gateways.
  */
-export class StoreTrouble extends SoakFault {
+export class FaultyStore extends SoakFault {
   override begin(): string {
-    return this.#begin(this.draw([...LASTING, "forgetful"] as const));
+    return this.#begin(this.draw([...PERSISTENT_KINDS, "forgetful"] as const));
   }
 
   /** Begins trouble that lasts until it is ended. */
-  beginLasting(): string {
-    return this.#begin(this.draw(LASTING));
+  beginPersistent(): string {
+    return this.#begin(this.draw(PERSISTENT_KINDS));
   }
 
   override end(): void {
@@ -28,7 +28,7 @@
     store.partFaults.clear();
   }
 
-  #begin(kind: (typeof LASTING)[number] | "forgetful"): string {
+  #begin(kind: (typeof PERSISTENT_KINDS)[number] | "forgetful"): string {
     const { store } = this.cluster;
     store.lateWriteMs = LATE_MS;
     if (kind === "silentParts") return this.#silenceParts();
--- a/test/soak/faults/killed-gateways.ts
+++ b/test/soak/faults/killed-gateways.ts
@@ -3,18 +3,18 @@
 
 /** Gateways are killed, one or all at once, and started again. */
 export class KilledGateways extends SoakFault {
-  #struck: TestGateway[] = [];
+  #killed: TestGateway[] = [];
 
   override begin(): string {
     const { gateways } = this.cluster;
-    this.#struck = this.random.unit() < ALL_PART ? [...gateways] : [this.draw(gateways)];
-    this.cluster.strike(this.#struck, "SIGKILL");
-    return this.#struck.map(({ name }) => name).join(" ");
+    this.#killed = this.random.unit() < ALL_GATEWAYS_SHARE ? [...gateways] : [this.draw(gateways)];
+    this.cluster.signalAll(this.#killed, "SIGKILL");
+    return this.#killed.map(({ name }) => name).join(" ");
   }
 
   override end(): void {
-    for (const gateway of this.#struck) if (gateway.process.ended) this.cluster.restart(gateway);
+    for (const gateway of this.#killed) if (gateway.process.ended) this.cluster.restart(gateway);
   }
 }
 
-const ALL_PART = 0.3;
+const ALL_GATEWAYS_SHARE = 0.3;
--- a/test/soak/faults/stopped-and-killed.ts
+++ b/test/soak/faults/stopped-and-killed.ts
@@ -1,59 +1,59 @@
 import { pause, type TestGateway } from "../../process/support/gateway-cluster.ts";
-import type { StruckProcess } from "../soak-cluster.ts";
+import type { SignalledProcess } from "../soak-cluster.ts";
 import { SoakFault } from "./soak-fault.ts";
 
 /** Between the two, in ms: within the time that a planned stop takes. */
 const SHORTEST_GAP_MS = 50;
 const LONGEST_GAP_MS = 1_000;
 /** Between the second and the start, in ms. */
-const SHORTEST_DEATH_MS = 500;
-const LONGEST_DEATH_MS = 1_500;
+const MIN_DOWNTIME_MS = 500;
+const MAX_DOWNTIME_MS = 1_500;
 /** A planned stop that takes longer goes on beside the faults that follow, in ms. */
 const STOP_MS = 5_000;
 /** Part of the draws that strike all gateways. */
-const ALL_PART = 0.5;
+const ALL_GATEWAYS_SHARE = 0.5;
 
 /** Gateways are stopped as planned, and shortly afterwards gateways are killed, or the other way round. */
 export class StoppedAndKilled extends SoakFault {
-  #course = Promise.resolve();
+  #sequence = Promise.resolve();
 
   override begin(): string {
     const stopped = this.#drawGateways();
     const killed = this.#drawGateways();
     const killsFirst = this.random.unit() < 0.5;
     const gapMs = this.between(SHORTEST_GAP_MS, LONGEST_GAP_MS);
-    const deathMs = this.between(SHORTEST_DEATH_MS, LONGEST_DEATH_MS);
-    const acts = [
-      () => this.cluster.strike(stopped, "SIGTERM"),
-      () => this.cluster.strike(killed, "SIGKILL"),
+    const downtimeMs = this.between(MIN_DOWNTIME_MS, MAX_DOWNTIME_MS);
+    const steps = [
+      () => this.cluster.signalAll(stopped, "SIGTERM"),
+      () => this.cluster.signalAll(killed, "SIGKILL"),
     ];
-    if (killsFirst) acts.reverse();
-    this.#course = this.#run(acts, gapMs, deathMs);
+    if (killsFirst) steps.reverse();
+    this.#sequence = this.#run(steps, gapMs, downtimeMs);
     const order = killsFirst ? "killed first" : "stopped first";
-    return `${namesOf(stopped)} stopped, ${namesOf(killed)} killed, ${order}, ${gapMs} ms between, for ${deathMs} ms`;
+    return `${namesOf(stopped)} stopped, ${namesOf(killed)} killed, ${order}, ${gapMs} ms between, for ${downtimeMs} ms`;
   }
 
   /** The course ends by itself. */
   override end(): void {}
 
   override settled(): Promise<void> {
-    return this.#course;
+    return this.#sequence;
   }
 
-  async #run(acts: readonly (() => StruckProcess[])[], gapMs: number, deathMs: number): Promise<void> {
-    const struck: StruckProcess[] = [];
-    for (const act of acts) {
-      struck.push(...act());
+  async #run(steps: readonly (() => SignalledProcess[])[], gapMs: number, downtimeMs: number): Promise<void> {
+    const signalled: SignalledProcess[] = [];
+    for (const step of steps) {
+      signalled.push(...step());
       await pause(gapMs);
     }
-    await pause(Math.max(0, deathMs - gapMs));
-    const started = struck.map((process) => this.cluster.restartOnceEnded(process));
+    await pause(Math.max(0, downtimeMs - gapMs));
+    const started = signalled.map((process) => this.cluster.restartOnceEnded(process));
     await Promise.race([Promise.all(started), pause(STOP_MS)]);
   }
 
   #drawGateways(): TestGateway[] {
     const { gateways } = this.cluster;
-    return this.random.unit() < ALL_PART ? [...gateways] : [this.draw(gateways)];
+    return this.random.unit() < ALL_GATEWAYS_SHARE ? [...gateways] : [this.draw(gateways)];
   }
 }
 
--- a/test/soak/loopback-proxy.ts
+++ b/test/soak/loopback-proxy.ts
@@ -6,9 +6,9 @@
 export type LinkState = "open" | "delayed" | "cutToTarget" | "cutToCaller" | "silent";
 
 /** Two connections that the proxy joins. */
-interface Joint {
+interface ProxiedConnection {
   /** Bytes were swallowed: nothing more passes, also once the link is open again. */
-  hasLost: boolean;
+  hasDroppedBytes: boolean;
 }
 
 /** See the module's comment. */
@@ -46,31 +46,31 @@
 
   #accept(caller: Socket): void {
     const target = createConnection({ ...parseAddress(this.#target), noDelay: true });
-    const joint = { hasLost: false };
-    this.#join(caller, target, joint, "cutToTarget");
-    this.#join(target, caller, joint, "cutToCaller");
+    const connection = { hasDroppedBytes: false };
+    this.#forward(caller, target, connection, "cutToTarget");
+    this.#forward(target, caller, connection, "cutToCaller");
   }
 
-  #join(from: Socket, to: Socket, joint: Joint, cutState: LinkState): void {
+  #forward(from: Socket, to: Socket, connection: ProxiedConnection, cutState: LinkState): void {
     const isCut = () => this.state === "silent" || this.state === cutState;
     this.#sockets.add(from);
     from.on("data", (bytes: Buffer) => {
-      joint.hasLost ||= isCut();
-      if (joint.hasLost) return;
-      this.#later(() => to.write(bytes));
+      connection.hasDroppedBytes ||= isCut();
+      if (connection.hasDroppedBytes) return;
+      this.#deliver(() => to.write(bytes));
     });
     from.on("end", () => {
-      if (!isCut()) this.#later(() => to.end());
+      if (!isCut()) this.#deliver(() => to.end());
     });
     from.on("error", () => to.resetAndDestroy());
     from.on("close", () => {
       this.#sockets.delete(from);
-      if (!isCut()) this.#later(() => to.destroySoon());
+      if (!isCut()) this.#deliver(() => to.destroySoon());
     });
   }
 
-  #later(act: () => void): void {
-    if (this.state === "delayed") setTimeout(act, this.delayMs);
-    else act();
+  #deliver(action: () => void): void {
+    if (this.state === "delayed") setTimeout(action, this.delayMs);
+    else action();
   }
 }
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -25,7 +25,7 @@
   },
 });
 
-async function keep(seed: number, { ledger, faults, logs }: SoakResult): Promise<string> {
+async function saveResult(seed: number, { ledger, faults, logs }: SoakResult): Promise<string> {
   const folder = join(values.out, `seed-${seed}`);
   await mkdir(folder, { recursive: true });
   await writeFile(join(folder, "broken.json"), JSON.stringify(ledger.broken, null, 2));
@@ -36,7 +36,7 @@
 }
 
 /** Runs a seed and says what came of it; whether all promises were kept. */
-async function play(seed: number, durationMs: number): Promise<boolean> {
+async function runSeed(seed: number, durationMs: number): Promise<boolean> {
   const faults = values.faults?.split(",");
   let result: SoakResult;
   try {
@@ -46,44 +46,44 @@
     process.stdout.write(`seed ${seed}: NOT RUN to its end: ${String(error).slice(0, 300)}\n`);
     return false;
   }
-  const { broken, tries, programs, goneOnFrom } = result.ledger;
+  const { broken, tries, programs, continuedTurns } = result.ledger;
   const served = tries.filter(({ status, whole }) => status === 200 && whole).length;
   const promises = [...new Set(broken.map(({ promise }) => promise))];
   const outcome = broken.length === 0 ? "holds" : `BROKEN (${promises.join(", ")})`;
   process.stdout.write(
-    `seed ${seed}: ${outcome}; ${programs.length} programs, ${tries.length} tries, ${served} answered whole, ${goneOnFrom} turns gone on from, ${result.faults.length} lines of faults\n`,
+    `seed ${seed}: ${outcome}; ${programs.length} programs, ${tries.length} tries, ${served} answered whole, ${continuedTurns} turns gone on from, ${result.faults.length} lines of faults\n`,
   );
   if (broken.length === 0) return true;
-  const folder = await keep(seed, result);
+  const folder = await saveResult(seed, result);
   for (const { promise, detail, atMs } of broken.slice(0, 10))
     process.stdout.write(`  ${atMs} ms ${promise}: ${detail.slice(0, 300)}\n`);
   process.stdout.write(`  kept in ${folder}\n`);
   return false;
 }
 
-function refuse(text: string): never {
+function exitWithUsageError(text: string): never {
   process.stderr.write(`${text}\n`);
   process.exit(2);
 }
 
 /** First and last seed; the last is infinite where only the time or the number of runs ends them. */
-function seedsOf(): [first: number, last: number] {
+function parseSeeds(): [first: number, last: number] {
   if (values.seeds === undefined) {
     const first = values.seed === undefined ? Date.now() % 1_000_000 : Number(values.seed);
     return [first, values.runs === undefined ? Number.POSITIVE_INFINITY : first + Number(values.runs) - 1];
   }
   if (values.seed !== undefined || values.runs !== undefined)
-    refuse("--seeds goes without --seed and --runs.");
+    exitWithUsageError("--seeds goes without --seed and --runs.");
   const [, first, last] = /^(\d+)-(\d+)$/.exec(values.seeds) ?? [];
-  if (first === undefined || last === undefined) refuse("--seeds takes a range, such as 1-50.");
+  if (first === undefined || last === undefined) exitWithUsageError("--seeds takes a range, such as 1-50.");
   return [Number(first), Number(last)];
 }
 
-const [first, last] = seedsOf();
+const [first, last] = parseSeeds();
 const minutes = Number(values.minutes ?? "1");
 if (!(minutes > 0) || !Number.isInteger(first))
-  refuse("--minutes takes a number above 0, --seed a whole number.");
-if (!(last >= first)) refuse("--runs takes a number above 0, --seeds a range that rises.");
+  exitWithUsageError("--minutes takes a number above 0, --seed a whole number.");
+if (!(last >= first)) exitWithUsageError("--runs takes a number above 0, --seeds a range that rises.");
 const untilMs = last === Number.POSITIVE_INFINITY ? performance.now() + minutes * MINUTE_MS : undefined;
 const isShort = values.runs !== undefined || values.minutes === undefined;
 const fixedMs = isShort ? SHORT_RUN_MS : minutes * MINUTE_MS;
@@ -92,7 +92,7 @@
 for (let seed = first; seed <= last && (untilMs === undefined || performance.now() < untilMs); seed += 1) {
   const leftMs = untilMs === undefined ? fixedMs : untilMs - performance.now();
   const durationMs = untilMs === undefined ? fixedMs : Math.min(MINUTE_MS, Math.max(SHORT_RUN_MS, leftMs));
-  if (!(await play(seed, durationMs))) failed += 1;
+  if (!(await runSeed(seed, durationMs))) failed += 1;
   played += 1;
 }
 process.stdout.write(`${failed} of ${played} runs broke a promise or were not run to their end\n`);
--- a/test/soak/regressions.test.ts
+++ b/test/soak/regressions.test.ts
@@ -7,23 +7,23 @@
 const DURATION_MS = 10_000;
 const LEAST_TRIES = 200;
 /** Turns that must be gone on from after the faults, so that the check of retained turns says something. */
-const LEAST_GONE_ON_FROM = 50;
+const MIN_CONTINUED_TURNS = 50;
 
 /** Seeds that broke a promise. */
 const REGRESSIONS: [seed: number, faults: string[], cause: string][] = [
   [1, ["storeThenKilled"], "all gateways are killed while the store is in trouble"],
 ];
 
-async function expectKept(seed: number, faults: readonly string[]): Promise<void> {
+async function expectNoBrokenPromise(seed: number, faults: readonly string[]): Promise<void> {
   const { ledger } = await runSoak({ seed, faults, durationMs: DURATION_MS });
   expect(ledger.broken).toEqual([]);
   expect(ledger.tries.length > LEAST_TRIES).toEqual(true);
-  expect(ledger.goneOnFrom > LEAST_GONE_ON_FROM).toEqual(true);
+  expect(ledger.continuedTurns > MIN_CONTINUED_TURNS).toEqual(true);
 }
 
 describe("soak", () => {
-  it("holds under faults of every kind", () => expectKept(1, Object.keys(SOAK_FAULTS)));
+  it("holds under faults of every kind", () => expectNoBrokenPromise(1, Object.keys(SOAK_FAULTS)));
   for (const [seed, faults, cause] of REGRESSIONS) {
-    it(`holds where ${cause} (seed ${seed})`, () => expectKept(seed, faults));
+    it(`holds where ${cause} (seed ${seed})`, () => expectNoBrokenPromise(seed, faults));
   }
 });
--- a/test/soak/run-soak.ts
+++ b/test/soak/run-soak.ts
@@ -37,16 +37,16 @@
 /** Calm before the first fault, in ms. */
 const QUIET_MS = 1_500;
 const GAP_MS = 1_000;
-const SHORTEST_MS = 500;
-const LONGEST_MS = 4_000;
+const MIN_FAULT_MS = 500;
+const MAX_FAULT_MS = 4_000;
 /** Part of the faults that another one accompanies. */
-const PAIRED_PART = 0.4;
+const PAIRED_SHARE = 0.4;
 /** After the last fault, everything must work again within this time, in ms. */
 const RECOVERY_MS = 12_000;
 const CALM_MS = 3_000;
 const OK = 200;
 /** Part of the tries in calm time that must be answered with success. */
-const SERVED_PART = 0.9;
+const MIN_SERVED_SHARE = 0.9;
 
 /** See the module's comment. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
@@ -70,14 +70,14 @@
     const tenants = new TenantWatch(cluster, ledger, cluster.tenants, new SeededRandomSource(options.seed));
     const work = [...callers, watch, tenants].map((worker) => worker.run(() => isOver));
     await pause(QUIET_MS);
-    await strikeUntil(ledger.nowMs + options.durationMs, cluster, random, options, ledger, note);
+    await injectFaultsUntil(ledger.nowMs + options.durationMs, cluster, random, options, ledger, note);
     note("calm");
     await pause(RECOVERY_MS);
     const calmFromMs = ledger.nowMs;
     await pause(CALM_MS);
     isOver = true;
     await Promise.all(work);
-    checkCalm(ledger, calmFromMs);
+    checkRecovery(ledger, calmFromMs);
     await watch.checkNewest();
     await checkRetained(cluster, ledger);
     checkRunners(cluster, ledger);
@@ -88,7 +88,7 @@
   }
 }
 
-async function strikeUntil(
+async function injectFaultsUntil(
   untilMs: number,
   cluster: SoakCluster,
   random: SeededRandomSource,
@@ -98,15 +98,15 @@
 ): Promise<void> {
   const names = options.faults ?? Object.keys(SOAK_FAULTS);
   while (ledger.nowMs < untilMs) {
-    const count = random.unit() < PAIRED_PART ? 2 : 1;
+    const count = random.unit() < PAIRED_SHARE ? 2 : 1;
     ledger.underFaults = true;
-    const struck = Array.from({ length: count }, () => {
+    const active = Array.from({ length: count }, () => {
       const name = names[random.below(names.length)] ?? "";
-      return strike(name, cluster, random, note);
+      return startFault(name, cluster, random, note);
     });
-    await pause(SHORTEST_MS + random.unit() * (LONGEST_MS - SHORTEST_MS));
-    for (const fault of struck) fault.end();
-    await Promise.all(struck.map((fault) => fault.settled()));
+    await pause(MIN_FAULT_MS + random.unit() * (MAX_FAULT_MS - MIN_FAULT_MS));
+    for (const fault of active) fault.end();
+    await Promise.all(active.map((fault) => fault.settled()));
     ledger.underFaults = false;
     ledger.faultsEndedMs = ledger.nowMs;
     note("over");
@@ -114,7 +114,7 @@
   }
 }
 
-function strike(
+function startFault(
   name: string,
   cluster: SoakCluster,
   random: SeededRandomSource,
@@ -127,11 +127,11 @@
   return fault;
 }
 
-function checkCalm(ledger: SoakLedger, fromMs: number): void {
+function checkRecovery(ledger: SoakLedger, fromMs: number): void {
   const tries = ledger.tries.filter(
     ({ atMs, kind }) => atMs >= fromMs && kind !== "probe" && kind !== "tenant",
   );
   const served = tries.filter(({ status, whole }) => whole && (status === OK || status === 402));
-  if (served.length < SERVED_PART * tries.length || served.length === 0)
-    ledger.breaks("recovery", `${served.length} of ${tries.length} tries served in calm time`);
+  if (served.length < MIN_SERVED_SHARE * tries.length || served.length === 0)
+    ledger.recordBroken("recovery", `${served.length} of ${tries.length} tries served in calm time`);
 }
--- a/test/soak/soak-caller.ts
+++ b/test/soak/soak-caller.ts
@@ -2,9 +2,9 @@
 import type { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import { PATHS, pause } from "../process/support/gateway-cluster.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
-import type { SaidTurn, SoakLedger, SoakProgram } from "./soak-ledger.ts";
+import type { CompletedTurn, SoakLedger, SoakProgram } from "./soak-ledger.ts";
 import { type SoakAnswer, soakRequest } from "./soak-request.ts";
-import { MOST, turnHeaders } from "./soak-turn.ts";
+import { MAX_TURN_TOKENS, turnHeaders } from "./soak-turn.ts";
 
 /** Tokens that the test's engines make in each event. */
 const TOKENS_PER_EVENT = 10;
@@ -16,11 +16,11 @@
 const RETRY_MS = 100;
 const MAX_RETRY_MS = 1_000;
 /** Part of the programs that loop until their budget is spent. */
-const LOOPING_PART = 0.3;
-const CALL_PART = 0.8;
+const LOOPING_SHARE = 0.3;
+const CALL_SHARE = 0.8;
 const OK = 200;
-const SPENT = 402;
-const MISSING = 404;
+const BUDGET_EXHAUSTED = 402;
+const NOT_FOUND = 404;
 const REFUSALS = [429, 503];
 
 /** See the module's comment. */
@@ -46,45 +46,51 @@
 
   async #runProgram(isOver: () => boolean): Promise<void> {
     this.#programs += 1;
-    const loops = this.#random.unit() < LOOPING_PART;
-    const budget = MOST * (2 + this.#random.below(MAX_TURNS));
-    const program = { name: `${this.#name}-program-${this.#programs}`, budget, handed: 0 };
+    const loops = this.#random.unit() < LOOPING_SHARE;
+    const budget = MAX_TURN_TOKENS * (2 + this.#random.below(MAX_TURNS));
+    const program = { name: `${this.#name}-program-${this.#programs}`, budget, receivedTokens: 0 };
     this.#ledger.programs.push(program);
     const turns = loops ? Number.POSITIVE_INFINITY : 1 + this.#random.below(MAX_TURNS);
-    let last: SaidTurn | undefined;
+    let last: CompletedTurn | undefined;
     for (let turn = 0; turn < turns && !isOver(); turn += 1) {
-      const next = await this.#insistOnTurn(program, last);
+      const next = await this.#runTurn(program, last);
       if (!next) return;
       last = next;
-      if (this.#random.unit() < CALL_PART) await this.#callServices();
+      if (this.#random.unit() < CALL_SHARE) await this.#callServices();
     }
   }
 
   /** Sends a turn until it is answered whole; nothing when the program is over. */
-  async #insistOnTurn(program: SoakProgram, last: SaidTurn | undefined): Promise<SaidTurn | undefined> {
+  async #runTurn(program: SoakProgram, last: CompletedTurn | undefined): Promise<CompletedTurn | undefined> {
     for (let count = 0; count < TRIES; count += 1) {
       const id = this.#newId();
-      const prompt = `${last?.said ?? ""}input of ${id}\n`;
+      const prompt = `${last?.conversation ?? ""}input of ${id}\n`;
       this.#ledger.prompts.set(id, prompt);
       const answer = await this.#sendTurn(program, id, last);
-      const events = eventsOf(answer.body, answer.status);
-      program.handed += events.length * TOKENS_PER_EVENT;
-      if (program.handed > program.budget)
-        this.#ledger.breaks("budget", `${program.name}: ${program.handed} of ${program.budget} tokens`);
-      if (answer.status === MISSING) {
-        this.#ledger.breaks("retained turns", `${id}: ${last?.id} was answered whole, and is not there`);
+      const events = parseEvents(answer.body, answer.status);
+      program.receivedTokens += events.length * TOKENS_PER_EVENT;
+      if (program.receivedTokens > program.budget)
+        this.#ledger.recordBroken(
+          "budget",
+          `${program.name}: ${program.receivedTokens} of ${program.budget} tokens`,
+        );
+      if (answer.status === NOT_FOUND) {
+        this.#ledger.recordBroken(
+          "retained turns",
+          `${id}: ${last?.id} was answered whole, and is not there`,
+        );
       }
-      if (answer.status === SPENT || answer.status === MISSING) return undefined;
+      if (answer.status === BUDGET_EXHAUSTED || answer.status === NOT_FOUND) return undefined;
       if (answer.status === OK && answer.whole) {
         this.#checkEvents(id, events);
-        return this.#ledger.say(id, `${prompt}${events.map((data) => `${data}\n`).join("")}`);
+        return this.#ledger.recordTurn(id, `${prompt}${events.map((data) => `${data}\n`).join("")}`);
       }
       await pause(Math.min(MAX_RETRY_MS, answer.retryAfterMs ?? RETRY_MS));
     }
     return undefined;
   }
 
-  async #sendTurn(program: SoakProgram, id: string, last: SaidTurn | undefined): Promise<SoakAnswer> {
+  async #sendTurn(program: SoakProgram, id: string, last: CompletedTurn | undefined): Promise<SoakAnswer> {
     const { name, budget } = program;
     const headers = turnHeaders({ id, program: name, budget, previous: last?.id });
     return this.#send("turn", PATHS.kept, id, headers, `input of ${id}\n`);
@@ -93,7 +99,7 @@
   #checkEvents(id: string, events: readonly string[]): void {
     const expected = [1, 2, 3, 4].map((event) => `${id}-${event}`);
     if (events.join() !== expected.join())
-      this.#ledger.breaks("whole answers", `${id} got the events ${events.join()}`);
+      this.#ledger.recordBroken("whole answers", `${id} got the events ${events.join()}`);
   }
 
   async #callServices(): Promise<void> {
@@ -118,10 +124,10 @@
 
   #checkPlain(id: string, answer: SoakAnswer): void {
     if (answer.status === OK && answer.whole && answer.body !== `done ${id}`)
-      this.#ledger.breaks("whole answers", `${id} got ${answer.body}`);
-    if (answer.status === MISSING) this.#ledger.breaks("configuration", `${id} found no route`);
+      this.#ledger.recordBroken("whole answers", `${id} got ${answer.body}`);
+    if (answer.status === NOT_FOUND) this.#ledger.recordBroken("configuration", `${id} found no route`);
     if (REFUSALS.includes(answer.status) && answer.retryAfterMs === undefined)
-      this.#ledger.breaks("refusals", `${id} was not told when to come back`);
+      this.#ledger.recordBroken("refusals", `${id} was not told when to come back`);
   }
 
   async #send(
@@ -134,11 +140,11 @@
     const { gateways } = this.#cluster;
     const gateway = gateways[this.#random.below(gateways.length)];
     if (!gateway) throw new Error("there are gateways");
-    const answer = await soakRequest(this.#cluster.forCallers(gateway), path, headers, body, TIMEOUT_MS);
+    const answer = await soakRequest(this.#cluster.throughProxy(gateway), path, headers, body, TIMEOUT_MS);
     const { status, whole } = answer;
     this.#ledger.note({ id, kind, gateway: gateway.name, status, whole });
-    if (answer.answersTo !== undefined && answer.answersTo !== id)
-      this.#ledger.breaks("whole answers", `${id} got the answer to ${answer.answersTo}`);
+    if (answer.answeredRequestId !== undefined && answer.answeredRequestId !== id)
+      this.#ledger.recordBroken("whole answers", `${id} got the answer to ${answer.answeredRequestId}`);
     return answer;
   }
 
@@ -149,7 +155,7 @@
 }
 
 /** The data of the whole events of a stream; nothing for an answer that is none. */
-function eventsOf(body: string, status: number): string[] {
+function parseEvents(body: string, status: number): string[] {
   if (status !== OK) return [];
   const events = body.split("\n\n").slice(0, -1);
   return events.map((event) => /^data: (.*)$/m.exec(event)?.[1] ?? "");
--- a/test/soak/soak-cluster.ts
+++ b/test/soak/soak-cluster.ts
@@ -1,9 +1,9 @@
 /** Gateways as separate processes whose links to callers, the store and runners lead through proxies. */
 import {
   GatewayCluster,
+  type TestConfiguration,
   type TestGateway,
   type TestLink,
-  type TestConfiguration,
 } from "../process/support/gateway-cluster.ts";
 import { TestAddresses } from "../process/support/test-addresses.ts";
 import { LoopbackProxy } from "./loopback-proxy.ts";
@@ -13,7 +13,7 @@
 const ALWAYS_DISPATCHED = { dispatchBelow: 1_000, scarceFrom: 0 };
 
 /** A process of a gateway that was stopped or killed. */
-export interface StruckProcess {
+export interface SignalledProcess {
   readonly gateway: TestGateway;
   readonly process: TestGateway["process"];
 }
@@ -52,13 +52,13 @@
   }
 
   /** A gateway as callers reach it. */
-  forCallers(gateway: TestGateway): TestGateway {
+  throughProxy(gateway: TestGateway): TestGateway {
     const callers = this.#callerAddresses.get(gateway.name) ?? gateway.addresses.callers;
     return { ...gateway, addresses: { ...gateway.addresses, callers } };
   }
 
   /** Stops or kills gateways, all at once; returns the processes that were struck. */
-  strike(gateways: readonly TestGateway[], signal: "SIGTERM" | "SIGKILL"): StruckProcess[] {
+  signalAll(gateways: readonly TestGateway[], signal: "SIGTERM" | "SIGKILL"): SignalledProcess[] {
     if (signal === "SIGKILL" && gateways.length === this.gateways.length) this.onAllKilled();
     return gateways.map((gateway) => {
       gateway.process.signal(signal);
@@ -67,7 +67,7 @@
   }
 
   /** Starts a gateway again once the process has ended, unless something else did, or the cluster is being ended. */
-  async restartOnceEnded({ gateway, process }: StruckProcess): Promise<void> {
+  async restartOnceEnded({ gateway, process }: SignalledProcess): Promise<void> {
     await process.exited;
     if (gateway.process === process && !this.stopped) this.restart(gateway);
   }
--- a/test/soak/soak-ledger.ts
+++ b/test/soak/soak-ledger.ts
@@ -17,14 +17,14 @@
   readonly name: string;
   readonly budget: number;
   /** Tokens that its caller was handed, those of broken answers included. */
-  handed: number;
+  receivedTokens: number;
 }
 
 /** A turn whose answer was whole. */
-export interface SaidTurn {
+export interface CompletedTurn {
   readonly id: string;
   /** All that was said up to its end. */
-  readonly said: string;
+  readonly conversation: string;
   /** When its answer had ended. */
   readonly atMs: number;
   /** Whether a fault lasted then. */
@@ -44,7 +44,7 @@
   readonly tries: SoakTry[] = [];
   readonly broken: BrokenPromise[] = [];
   /** Turns whose answers were whole. */
-  readonly said: SaidTurn[] = [];
+  readonly completedTurns: CompletedTurn[] = [];
   /** When all gateways were killed at once. */
   readonly allKilledMs: number[] = [];
   /** Whether a fault lasts. */
@@ -52,7 +52,7 @@
   /** When the last fault ended. */
   faultsEndedMs = 0;
   /** How many turns were gone on from after the faults. */
-  goneOnFrom = 0;
+  continuedTurns = 0;
   /** What a turn's runner had to be given, by the turn's identifier. */
   readonly prompts = new Map<string, string>();
   readonly #startedMs = performance.now();
@@ -73,14 +73,14 @@
   }
 
   /** Notes a turn whose answer was whole. */
-  say(id: string, said: string): SaidTurn {
-    const turn = { id, said, atMs: this.nowMs, underFaults: this.underFaults };
-    this.said.push(turn);
+  recordTurn(id: string, conversation: string): CompletedTurn {
+    const turn = { id, conversation, atMs: this.nowMs, underFaults: this.underFaults };
+    this.completedTurns.push(turn);
     return turn;
   }
 
   /** Notes a broken promise. */
-  breaks(promise: string, detail: string): void {
+  recordBroken(promise: string, detail: string): void {
     this.broken.push({ promise, detail, atMs: this.nowMs });
   }
 }
--- a/test/soak/soak-request.ts
+++ b/test/soak/soak-request.ts
@@ -12,7 +12,7 @@
   readonly whole: boolean;
   readonly retryAfterMs: number | undefined;
   /** The request that the answer names, if it names one. */
-  readonly answersTo: string | undefined;
+  readonly answeredRequestId: string | undefined;
 }
 
 const MS_PER_S = 1_000;
@@ -28,7 +28,7 @@
   let status = 0;
   let text = "";
   let retryAfterMs: number | undefined;
-  let answersTo: string | undefined;
+  let answeredRequestId: string | undefined;
   try {
     const answer = await request(`http://${gateway.addresses.callers}${path}`, {
       method: "POST",
@@ -44,11 +44,11 @@
     status = answer.statusCode;
     const after = answer.headers["retry-after"];
     const named = answer.headers["x-request-id"];
-    answersTo = named === undefined ? undefined : String(named);
+    answeredRequestId = named === undefined ? undefined : String(named);
     if (after !== undefined) retryAfterMs = Number(after) * MS_PER_S;
     for await (const chunk of answer.body) text += String(chunk);
-    return { status, body: text, whole: true, retryAfterMs, answersTo };
+    return { status, body: text, whole: true, retryAfterMs, answeredRequestId };
   } catch {
-    return { status, body: text, whole: false, retryAfterMs, answersTo };
+    return { status, body: text, whole: false, retryAfterMs, answeredRequestId };
   }
 }
--- a/test/soak/soak-tenants.ts
+++ b/test/soak/soak-tenants.ts
@@ -10,14 +10,14 @@
 const STEADY: TestTenant = { name: "steady", keys: [STEADY_KEY] };
 
 /** Limit of the tenant that runs wild, in requests a second and at once on top. */
-export const WILD_LIMIT = { perSecond: 10, burst: 10 };
-export const WILD_KEY = "key-of-wild";
-export const WILD_NAME = "wild";
-const WILD: TestTenant = {
-  name: WILD_NAME,
-  keys: [WILD_KEY],
-  rate: WILD_LIMIT.perSecond,
-  burst: WILD_LIMIT.burst,
+export const FLOODING_LIMIT = { perSecond: 10, burst: 10 };
+export const FLOODING_KEY = "key-of-wild";
+export const FLOODING_NAME = "wild";
+const FLOODING: TestTenant = {
+  name: FLOODING_NAME,
+  keys: [FLOODING_KEY],
+  rate: FLOODING_LIMIT.perSecond,
+  burst: FLOODING_LIMIT.burst,
 };
 
 const CHANGING_NAME = "changing";
@@ -36,7 +36,7 @@
 
   /** The tenants as operators would write them now. */
   get configured(): readonly TestTenant[] {
-    return [STEADY, WILD, { name: CHANGING_NAME, keys: this.#keys }];
+    return [STEADY, FLOODING, { name: CHANGING_NAME, keys: this.#keys }];
   }
 
   /** Every key that the changing tenant has or had. */
--- a/test/soak/soak-turn.ts
+++ b/test/soak/soak-turn.ts
@@ -1,7 +1,7 @@
 /** What a turn's request says in a soak. */
 
 /** Most tokens of a turn: that of the four events that the engines make. */
-export const MOST = 40;
+export const MAX_TURN_TOKENS = 40;
 
 /** A turn of a program. */
 export interface SoakTurn {
@@ -20,7 +20,7 @@
     "X-Session-Id": `${program}-main`,
     "X-Program-Deadline-Ms": "60000",
     "X-Token-Budget": String(budget),
-    "X-Token-Usage": `100,${MOST}`,
+    "X-Token-Usage": `100,${MAX_TURN_TOKENS}`,
     "X-Model": "m",
     ...(previous === undefined ? {} : { "X-Previous-Turn": previous }),
   };
--- a/test/soak/tenant-watch.ts
+++ b/test/soak/tenant-watch.ts
@@ -10,12 +10,19 @@
 import type { SoakCluster } from "./soak-cluster.ts";
 import type { SoakLedger } from "./soak-ledger.ts";
 import { soakRequest } from "./soak-request.ts";
-import { REVOKE_MS, type SoakTenants, TOLERANCE, WILD_KEY, WILD_LIMIT, WILD_NAME } from "./soak-tenants.ts";
+import {
+  FLOODING_KEY,
+  FLOODING_LIMIT,
+  FLOODING_NAME,
+  REVOKE_MS,
+  type SoakTenants,
+  TOLERANCE,
+} from "./soak-tenants.ts";
 
 const PAUSE_MS = 25;
 const TIMEOUT_MS = 1_000;
 /** Part of the requests that use a key of the changing tenant; the others are the wild one's. */
-const CHANGING_PART = 0.3;
+const CHANGING_SHARE = 0.3;
 
 /** A request of the watch, as it was sent. */
 interface SentRequest {
@@ -57,23 +64,26 @@
     for (const { id, headers } of ran) {
       const sent = this.#sent.get(id);
       if (!sent) continue;
-      if (headers.authorization !== undefined) this.#ledger.breaks("keys", `${id} came with its key`);
-      if (headers["x-tenant"] === WILD_NAME) wildAtMs.push(sent.atMs);
-      else if (sent.key === WILD_KEY)
-        this.#ledger.breaks("keys", `${id} was run for ${headers["x-tenant"]}, not for ${WILD_NAME}`);
+      if (headers.authorization !== undefined) this.#ledger.recordBroken("keys", `${id} came with its key`);
+      if (headers["x-tenant"] === FLOODING_NAME) wildAtMs.push(sent.atMs);
+      else if (sent.key === FLOODING_KEY)
+        this.#ledger.recordBroken(
+          "keys",
+          `${id} was run for ${headers["x-tenant"]}, not for ${FLOODING_NAME}`,
+        );
       const revokedAtMs = this.#tenants.revokedAtMs(sent.key);
       if (revokedAtMs !== undefined && sent.atMs - revokedAtMs > REVOKE_MS)
-        this.#ledger.breaks("keys", `${id} ran ${sent.atMs - revokedAtMs} ms after the end of its key`);
+        this.#ledger.recordBroken("keys", `${id} ran ${sent.atMs - revokedAtMs} ms after the end of its key`);
     }
     this.#checkWindows(wildAtMs);
   }
 
   #checkWindows(sentAtMs: readonly number[]): void {
-    const bound = mostInWindow(WILD_LIMIT, TOLERANCE);
+    const bound = mostInWindow(FLOODING_LIMIT, TOLERANCE);
     const beyond = windowCounts(sentAtMs, TOLERANCE.windowMs).find(({ count }) => count > bound);
     if (!beyond) return;
     const { count, endMs } = beyond;
-    this.#ledger.breaks(
+    this.#ledger.recordBroken(
       "limits",
       `${count} requests ran in the window that ends at ${endMs} ms, bound ${bound}`,
     );
@@ -82,11 +92,11 @@
   async #send(gateway: TestGateway): Promise<void> {
     const id = `tenant-${this.#sent.size}`;
     const { allKeys } = this.#tenants;
-    const isChanging = this.#random.unit() < CHANGING_PART;
-    const key = isChanging ? (allKeys[this.#random.below(allKeys.length)] ?? WILD_KEY) : WILD_KEY;
+    const isChanging = this.#random.unit() < CHANGING_SHARE;
+    const key = isChanging ? (allKeys[this.#random.below(allKeys.length)] ?? FLOODING_KEY) : FLOODING_KEY;
     this.#sent.set(id, { key, atMs: this.#ledger.nowMs });
     const headers = { "X-Request-Id": id, "X-Tenant": "steady", Authorization: `Bearer ${key}` };
-    const reached = this.#cluster.forCallers(gateway);
+    const reached = this.#cluster.throughProxy(gateway);
     const { status, whole } = await soakRequest(reached, PATHS.unsafe, headers, id, TIMEOUT_MS);
     this.#ledger.note({ id, kind: "tenant", gateway: gateway.name, status, whole });
   }
