--- a/test/soak/check-retained.ts
+++ b/test/soak/check-retained.ts
@@ -1,37 +1,37 @@
-/** Whether turns that were answered whole are there after the faults: fresh programs go on from them. */
+/** Checks that completed turns are still retained after the faults, by continuing from them with new programs. */
 import { PATHS, pause } from "../process/support/gateway-cluster.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
 import type { CompletedTurn, SoakLedger } from "./soak-ledger.ts";
 import { soakRequest } from "./soak-request.ts";
 import { MAX_TURN_TOKENS, turnHeaders } from "./soak-turn.ts";
 
-/** Most turns that are gone on from, those before a kill of all gateways aside: a few seconds' work. */
+/** Maximum number of turns to continue from, in addition to those just before a kill of all gateways: takes seconds. */
 const MAX_TURNS = 400;
-/** Turns that were answered within this time before all gateways were killed are always gone on from, in ms. */
+/** Turns completed within this time before a kill of all gateways are always checked, in ms. */
 const BEFORE_KILL_MS = 3_000;
-/** An answer that left a gateway before its end may be noted this much later, in ms. */
+/** Delay, in ms, with which the caller may record an answer that left its gateway before the kill. */
 const RECORD_DELAY_MS = 500;
-/** Time for all tries, in ms; those that no try has reached by then are left out. */
+/** Time limit for all tries, in ms. Turns that have not been tried by then are left out. */
 const CHECK_TIMEOUT_MS = 20_000;
-/** Turns that are older are not gone on from, in ms: the test's routes keep them for 60 s, less the time for the tries. */
+/** Maximum age of checked turns, in ms: the test's routes retain turns for 60 s, and the tries take part of that. */
 const MAX_AGE_MS = 36_000;
-/** Budget of a program that goes on, in tokens: one turn, so that whatever is charged to a fresh program shows. */
+/** Budget of each new program, in tokens: one turn, so that any other charge to the new program shows. */
 const BUDGET = MAX_TURN_TOKENS;
 const TRIES = 5;
 const TIMEOUT_MS = 3_000;
 const RETRY_DELAY_MS = 1_000;
-/** Turns that are gone on from at a time: as many as the engines have slots. */
+/** Number of turns tried at a time: as many as the engines have slots. */
 const CONCURRENCY = 24;
-/** How many of those that are not there a report names. */
+/** Maximum number of missing turns that a report names. */
 const MAX_NAMED = 20;
 
-/** A turn that no runner got the chain of yet, with what the tries were answered. */
+/** A turn whose full history no runner has received yet, with the statuses of the tries. */
 interface MissingTurn {
   readonly turn: CompletedTurn;
   readonly statuses: number[];
 }
 
-/** See the module's comment. Call it when everything must work again. */
+/** Continues from a selection of the completed turns. Call it once everything must work again. */
 export async function checkRetained(cluster: SoakCluster, ledger: SoakLedger): Promise<void> {
   const untilMs = ledger.nowMs + CHECK_TIMEOUT_MS;
   let missing: MissingTurn[] = selectTurns(ledger).map((turn) => ({ turn, statuses: [] }));
@@ -50,7 +50,7 @@
   );
 }
 
-/** Those before a kill of all gateways, then of the others those under faults first. */
+/** Returns all turns just before a kill of all gateways, then a sample of the others, preferring those under faults. */
 function selectTurns(ledger: SoakLedger): CompletedTurn[] {
   const kept = ledger.completedTurns.filter(({ atMs }) => ledger.nowMs - atMs <= MAX_AGE_MS);
   const beforeKill = kept.filter((turn) => isJustBeforeKill(turn, ledger));
@@ -72,7 +72,7 @@
   );
 }
 
-/** At most `most` of the turns, evenly over the time. */
+/** Returns at most `most` of the turns, evenly distributed over time. */
 function sampleEvenly(turns: readonly CompletedTurn[], most: number): CompletedTurn[] {
   const step = Math.max(1, turns.length / Math.max(1, most));
   return turns
@@ -80,7 +80,7 @@
     .slice(0, most);
 }
 
-/** Goes on from each turn once; returns those that are not there. */
+/** Continues from each turn once; returns the turns that are missing. */
 async function continueAll(
   turns: readonly MissingTurn[],
   cluster: SoakCluster,
@@ -99,7 +99,7 @@
   return missing;
 }
 
-/** Goes on from a turn; whether a runner got exactly the body of its chain. */
+/** Continues from a turn; returns whether a runner received exactly the body with its history. */
 async function continueFrom(
   { turn, statuses }: MissingTurn,
   cluster: SoakCluster,
@@ -112,7 +112,7 @@
   ledger.prompts.set(id, prompt);
   const headers = turnHeaders({ id, program: `program-${id}`, budget: BUDGET, previous: turn.id });
   const gateway = cluster.gateways[(ledger.continuedTurns + statuses.length) % cluster.gateways.length];
-  if (!gateway) throw new Error("there are gateways");
+  if (!gateway) throw new Error("the cluster has no gateways");
   const reached = cluster.throughProxy(gateway);
   const { status, whole } = await soakRequest(reached, PATHS.kept, headers, input, TIMEOUT_MS);
   ledger.note({ id, kind: "turn", gateway: gateway.name, status, whole });
--- a/test/soak/check-runners.ts
+++ b/test/soak/check-runners.ts
@@ -1,11 +1,11 @@
-/** What runners saw during a soak, against what callers were told. */
+/** Compares the requests that runners ran during a soak with the answers that callers received. */
 import type { RanRequest } from "../../standins/platform/runner-standin.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
 import type { SoakLedger } from "./soak-ledger.ts";
 
 const REFUSALS = [408, 421, 429, 503];
 
-/** Checks order and history, at most once, and true refusals. Call it when nothing is under way any more. */
+/** Checks history, at-most-once execution, and that refused requests did not run. Call it once no request is active. */
 export function checkRunners(cluster: SoakCluster, ledger: SoakLedger): void {
   const ran = [...cluster.engines, ...cluster.services].flatMap((runner) => runner.ran);
   checkPrompts(ran, ledger);
--- a/test/soak/configuration-watch.ts
+++ b/test/soak/configuration-watch.ts
@@ -1,4 +1,4 @@
-/** Changes the configuration during a soak, and checks that it is in force in time and never goes back. */
+/** Changes the configuration during a soak, and checks that gateways apply it in time and never revert it. */
 import { APPLY_MS, CONTACT_MS } from "../../bench/simulation/gateways/contact-record.ts";
 import { pause, type TestGateway } from "../process/support/gateway-cluster.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
@@ -7,18 +7,18 @@
 
 const CHANGE_EVERY_MS = 4_000;
 const LOOK_EVERY_MS = 400;
-/** A route stays in the configuration for this many versions. */
+/** Number of versions for which a route stays in the configuration. */
 const VERSIONS_KEPT = 50;
 const TIMEOUT_MS = 3_000;
 const PROBE_TIMEOUT_MS = 1_000;
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
-/** See the module's comment. */
+/** Writes new configuration versions and probes each gateway for the route of the newest one. */
 export class ConfigurationWatch {
   readonly #cluster: SoakCluster;
   readonly #ledger: SoakLedger;
-  /** Newest version whose route was seen, by process. */
+  /** Newest version whose route a process was seen to serve, by process. */
   readonly #seen = new Map<object, number>();
   #version = 1;
   /** When the newest version was confirmed, by the ledger's clock. */
@@ -30,7 +30,7 @@
     this.#ledger = ledger;
   }
 
-  /** Runs until `isOver`. */
+  /** Changes and checks the configuration until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     let changedMs = 0;
     while (!isOver()) {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** After all faults, every gateway must have the newest version. */
+  /** Checks that every gateway has the newest version. Call it after all faults. */
   async checkNewest(): Promise<void> {
     for (const gateway of this.#cluster.gateways) {
       const status = await this.#probe(gateway, this.#version);
--- a/test/soak/faults/faulty-link.ts
+++ b/test/soak/faults/faulty-link.ts
@@ -4,7 +4,7 @@
 const STATES: readonly LinkState[] = ["delayed", "cutToTarget", "cutToCaller", "silent"];
 const RESET = "reset";
 
-/** One link to the store, a runner or a gateway is delayed, cut one way, silent, or reset. */
+/** Delays, cuts one way, silences or resets a link to the store, a runner or a gateway. */
 export class FaultyLink extends SoakFault {
   #link: LoopbackProxy | undefined;
 
@@ -28,7 +28,7 @@
     if (!link || link.state === "open") return;
     const isReset = link.state === "cutToTarget" || link.state === "cutToCaller";
     link.state = "open";
-    // Connections that have lost bytes break, or stay silent: only new ones work again.
+    // Connections that have lost bytes can't recover, so they are reset: only new ones work again.
     if (isReset) link.resetAll();
   }
 }
--- a/test/soak/faults/faulty-runner.ts
+++ b/test/soak/faults/faulty-runner.ts
@@ -13,7 +13,7 @@
   "error",
 ];
 
-/** One runner misbehaves with every request. */
+/** Makes one runner misbehave on every request. */
 export class FaultyRunner extends SoakFault {
   #runner: RunnerStandin | undefined;
 
--- a/test/soak/faults/faulty-store-then-killed.ts
+++ b/test/soak/faults/faulty-store-then-killed.ts
@@ -2,16 +2,16 @@
 import { FaultyStore } from "./faulty-store.ts";
 import { SoakFault } from "./soak-fault.ts";
 
-/** Between the beginning of the trouble and the kill, in ms: shorter than any outage that gateways may sit out. */
+/** Time between the start of the store fault and the kill, in ms: shorter than any outage that gateways may survive. */
 const SHORTEST_LEAD_MS = 300;
 const LONGEST_LEAD_MS = 2_000;
-/** Between the kill and the start, in ms. */
+/** Time between the kill and the restart, in ms. */
 const MIN_DOWNTIME_MS = 500;
 const MAX_DOWNTIME_MS = 1_500;
-/** The trouble ends up to this long before the start or after it, in ms. */
+/** The store fault ends at most this long before or after the restart, in ms. */
 const OVERLAP_MS = 1_500;
 
-/** The store is in trouble; while that lasts, all gateways are killed, and start again before its end or after it. */
+/** Kills all gateways during a store fault, and restarts them before or after the end of that fault. */
 export class FaultyStoreThenKilled extends SoakFault {
   #sequence = Promise.resolve();
 
@@ -25,7 +25,7 @@
     return `${kind} for ${storeFaultMs} ms, all killed after ${leadMs} ms for ${downtimeMs} ms`;
   }
 
-  /** The course ends by itself. */
+  /** Does nothing: the sequence ends by itself. */
   override end(): void {}
 
   override settled(): Promise<void> {
--- a/test/soak/faults/faulty-store.ts
+++ b/test/soak/faults/faulty-store.ts
@@ -4,19 +4,19 @@
 const KINDS: readonly StoreFault[] = ["busy", "throttled", "silent", "reset", "lostAnswer", "lateWrite"];
 const SLOW_MS = 250;
 const LATE_MS = 1_500;
-/** What of the store's trouble lasts: all but the forgotten history. */
+/** Kinds that last until they are ended: all but the loss of the store's history. */
 const PERSISTENT_KINDS = [...KINDS, "slow", "silentParts"] as const;
 
 /**
- * The store refuses, is silent as a whole or in some of its parts, loses answers, does writes late, is slow, or forgets
- * its history, for all gateways.
+ * Makes the store fail for all gateways: it refuses requests, does not respond as a whole or for some of its parts,
+ * resets connections, loses answers, applies writes late, is slow, or drops its history.
  */
 export class FaultyStore extends SoakFault {
   override begin(): string {
     return this.#begin(this.draw([...PERSISTENT_KINDS, "forgetful"] as const));
   }
 
-  /** Begins trouble that lasts until it is ended. */
+  /** Begins a fault that lasts until it is ended. */
   beginPersistent(): string {
     return this.#begin(this.draw(PERSISTENT_KINDS));
   }
@@ -38,7 +38,7 @@
     return kind;
   }
 
-  /** At least one part falls silent, and one is left. */
+  /** Makes at least one part of the store unresponsive, but not all of them if there are several. */
   #silenceParts(): string {
     const { store } = this.cluster;
     const names = store.model.parts();
--- a/test/soak/faults/frozen-gateway.ts
+++ b/test/soak/faults/frozen-gateway.ts
@@ -1,7 +1,7 @@
 import type { StartedProcess } from "../../process/support/child-process.ts";
 import { SoakFault } from "./soak-fault.ts";
 
-/** A gateway stands still, and wakes with what it believed before. */
+/** Suspends a gateway process, which later resumes with stale state. */
 export class FrozenGateway extends SoakFault {
   #process: StartedProcess | undefined;
 
--- a/test/soak/faults/killed-gateways.ts
+++ b/test/soak/faults/killed-gateways.ts
@@ -1,7 +1,7 @@
 import type { TestGateway } from "../../process/support/gateway-cluster.ts";
 import { SoakFault } from "./soak-fault.ts";
 
-/** Gateways are killed, one or all at once, and started again. */
+/** Kills one gateway or all at once, and restarts them at the end of the fault. */
 export class KilledGateways extends SoakFault {
   #killed: TestGateway[] = [];
 
--- a/test/soak/faults/soak-fault.ts
+++ b/test/soak/faults/soak-fault.ts
@@ -1,7 +1,7 @@
 import type { SeededRandomSource } from "../../../src/runtime/random-source.ts";
 import type { SoakCluster } from "../soak-cluster.ts";
 
-/** Something that goes wrong for a while, brought about from outside the processes. */
+/** A temporary fault that is injected from outside the gateway processes. */
 export abstract class SoakFault {
   protected readonly cluster: SoakCluster;
   protected readonly random: SeededRandomSource;
@@ -11,23 +11,23 @@
     this.random = random;
   }
 
-  /** Begins the fault; returns what was struck, for the record. */
+  /** Begins the fault; returns a description of what is affected, for the log of faults. */
   abstract begin(): string;
 
-  /** Ends it: everything is as before, or on its way there. */
+  /** Ends the fault: everything is as before, or is recovering. */
   abstract end(): void;
 
-  /** Resolves once nothing more comes of the fault. Call it after {@link end}. */
+  /** Resolves once all actions of the fault are done. Call it after {@link end}. */
   async settled(): Promise<void> {}
 
-  /** A whole number of at least `least` and below `most`. */
+  /** Returns a random integer of at least `least` and below `most`. */
   protected between(least: number, most: number): number {
     return least + this.random.below(most - least);
   }
 
   protected draw<Item>(items: readonly Item[]): Item {
     const item = items[this.random.below(items.length)];
-    if (item === undefined) throw new Error("nothing to draw from");
+    if (item === undefined) throw new Error("no items to choose from");
     return item;
   }
 }
--- a/test/soak/faults/soak-faults.ts
+++ b/test/soak/faults/soak-faults.ts
@@ -1,4 +1,4 @@
-/** The kinds of faults that a soak draws from. */
+/** The kinds of faults that a soak can inject. */
 import type { SeededRandomSource } from "../../../src/runtime/random-source.ts";
 import type { SoakCluster } from "../soak-cluster.ts";
 import { FaultyLink } from "./faulty-link.ts";
@@ -13,7 +13,7 @@
 
 type FaultClass = new (cluster: SoakCluster, random: SeededRandomSource) => SoakFault;
 
-/** By name. */
+/** Classes of faults by the names that `--faults` takes. */
 export const SOAK_FAULTS: Readonly<Record<string, FaultClass>> = {
   killed: KilledGateways,
   frozen: FrozenGateway,
--- a/test/soak/faults/stopped-and-killed.ts
+++ b/test/soak/faults/stopped-and-killed.ts
@@ -2,18 +2,18 @@
 import type { SignalledProcess } from "../soak-cluster.ts";
 import { SoakFault } from "./soak-fault.ts";
 
-/** Between the two, in ms: within the time that a planned stop takes. */
+/** Time between the stop and the kill, in ms: within the time that a planned stop takes. */
 const SHORTEST_GAP_MS = 50;
 const LONGEST_GAP_MS = 1_000;
-/** Between the second and the start, in ms. */
+/** Time between the second signal and the restart, in ms. */
 const MIN_DOWNTIME_MS = 500;
 const MAX_DOWNTIME_MS = 1_500;
-/** A planned stop that takes longer goes on beside the faults that follow, in ms. */
+/** Maximum wait for a planned stop, in ms. A longer stop continues during the following faults. */
 const STOP_MS = 5_000;
-/** Part of the draws that strike all gateways. */
+/** Share of the draws that affect all gateways. */
 const ALL_GATEWAYS_SHARE = 0.5;
 
-/** Gateways are stopped as planned, and shortly afterwards gateways are killed, or the other way round. */
+/** Stops gateways with SIGTERM and kills gateways shortly afterwards, or the other way round. */
 export class StoppedAndKilled extends SoakFault {
   #sequence = Promise.resolve();
 
@@ -33,7 +33,7 @@
     return `${namesOf(stopped)} stopped, ${namesOf(killed)} killed, ${order}, ${gapMs} ms between, for ${downtimeMs} ms`;
   }
 
-  /** The course ends by itself. */
+  /** Does nothing: the sequence ends by itself. */
   override end(): void {}
 
   override settled(): Promise<void> {
--- a/test/soak/faults/stopped-gateway.ts
+++ b/test/soak/faults/stopped-gateway.ts
@@ -1,7 +1,7 @@
 import type { SignalledProcess } from "../soak-cluster.ts";
 import { SoakFault } from "./soak-fault.ts";
 
-/** A gateway is stopped as planned, and started again once it has ended. */
+/** Stops a gateway with SIGTERM, and restarts it once it has ended. */
 export class StoppedGateway extends SoakFault {
   #processes: SignalledProcess[] = [];
 
--- a/test/soak/loopback-proxy.ts
+++ b/test/soak/loopback-proxy.ts
@@ -1,20 +1,20 @@
-/** Stands between two processes on the loopback, and misbehaves as links do. */
+/** A TCP proxy between two processes on loopback that simulates link failures. */
 import { createConnection, createServer, type Server, type Socket } from "node:net";
 import { parseAddress } from "../../src/runtime/tcp-transport.ts";
 
-/** What becomes of bytes: passed on, held up, or swallowed in one direction or both. */
+/** What happens to bytes: forwarded, delayed, or dropped in one direction or both. */
 export type LinkState = "open" | "delayed" | "cutToTarget" | "cutToCaller" | "silent";
 
-/** Two connections that the proxy joins. */
+/** A connection from a caller, paired with the one to the target. */
 interface ProxiedConnection {
-  /** Bytes were swallowed: nothing more passes, also once the link is open again. */
+  /** Whether bytes were dropped. Nothing more is forwarded then, even after the link is open again. */
   hasDroppedBytes: boolean;
 }
 
-/** See the module's comment. */
+/** Forwards connections to a target address, subject to its state. */
 export class LoopbackProxy {
   state: LinkState = "open";
-  /** How long bytes are held up while delayed, in ms. */
+  /** Delay of bytes in the state `delayed`, in ms. */
   delayMs = 200;
   readonly #target: string;
   readonly #server: Server;
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Resets all connections; new ones may come. */
+  /** Resets all connections; new ones are still accepted. */
   resetAll(): void {
     for (const socket of this.#sockets) socket.resetAndDestroy();
   }
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,9 +1,10 @@
 /**
- * Runs soaks: `npm run soak -- [--seed N | --seeds A-B] [--minutes M | --runs N] [--faults a,b] [--out FOLDER]`. Seeds
- * follow each other, a minute of faults each, until the time is over; with `--runs`, so many short ones; with `--seeds`,
- * each from A to B, for M minutes of faults or a short time. A line a seed tells what came of it. A broken promise
- * leaves the seed, the faults in order, the tries and the processes' logs in a folder, and ends with code 1. A seed of
- * a range that could not be run to its end is said so, counts as failed, and the others follow.
+ * Runs soak tests: `npm run soak -- [--seed N | --seeds A-B] [--minutes M | --runs N] [--faults a,b] [--out FOLDER]`.
+ * By default, runs consecutive seeds with one minute of faults each until the time is over. With `--runs`, runs that
+ * many short ones. With `--seeds`, runs each seed from A to B, with M minutes of faults or a short time. Prints one
+ * line per seed with its result. If a promise was broken, saves the broken promises, the faults in order, the tries and the
+ * processes' logs in a folder named after the seed, and exits with code 1. If a seed of a range could not be run to its
+ * end, prints that, counts it as failed, and continues with the next seed.
  */
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
@@ -11,7 +12,7 @@
 import { runSoak, type SoakResult } from "./run-soak.ts";
 
 const MINUTE_MS = 60_000;
-/** Time under faults of a short run, in ms. */
+/** Duration of faults in a short run, in ms. */
 const SHORT_RUN_MS = 12_000;
 
 const { values } = parseArgs({
@@ -35,7 +36,7 @@
   return folder;
 }
 
-/** Runs a seed and says what came of it; whether all promises were kept. */
+/** Runs a seed and prints its result. Returns whether all promises were kept. */
 async function runSeed(seed: number, durationMs: number): Promise<boolean> {
   const faults = values.faults?.split(",");
   let result: SoakResult;
@@ -66,7 +67,7 @@
   process.exit(2);
 }
 
-/** First and last seed; the last is infinite where only the time or the number of runs ends them. */
+/** Returns the first and the last seed; the last one is infinite if only the time limits the run. */
 function parseSeeds(): [first: number, last: number] {
   if (values.seeds === undefined) {
     const first = values.seed === undefined ? Date.now() % 1_000_000 : Number(values.seed);
--- a/test/soak/regressions.test.ts
+++ b/test/soak/regressions.test.ts
@@ -1,4 +1,4 @@
-/** Short soaks in CI: each seed that ever broke a promise, with its cause, and one that draws every kind of fault. */
+/** Runs short soaks: each seed that broke a promise before, with its cause, and one that draws from all faults. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { SOAK_FAULTS } from "./faults/soak-faults.ts";
@@ -6,12 +6,12 @@
 
 const DURATION_MS = 10_000;
 const LEAST_TRIES = 200;
-/** Turns that must be gone on from after the faults, so that the check of retained turns says something. */
+/** More turns than this must be continued after the faults, so that the check of retained turns is meaningful. */
 const MIN_CONTINUED_TURNS = 50;
 
-/** Seeds that broke a promise. */
+/** Seeds that broke a promise before, with their faults and the cause. */
 const REGRESSIONS: [seed: number, faults: string[], cause: string][] = [
-  [1, ["storeThenKilled"], "all gateways are killed while the store is in trouble"],
+  [1, ["storeThenKilled"], "all gateways are killed during a store fault"],
 ];
 
 async function expectNoBrokenPromise(seed: number, faults: readonly string[]): Promise<void> {
@@ -22,8 +22,9 @@
 }
 
 describe("soak", () => {
-  it("holds under faults of every kind", () => expectNoBrokenPromise(1, Object.keys(SOAK_FAULTS)));
+  it("keeps all promises under faults of every kind", () =>
+    expectNoBrokenPromise(1, Object.keys(SOAK_FAULTS)));
   for (const [seed, faults, cause] of REGRESSIONS) {
-    it(`holds where ${cause} (seed ${seed})`, () => expectNoBrokenPromise(seed, faults));
+    it(`keeps all promises when ${cause} (seed ${seed})`, () => expectNoBrokenPromise(seed, faults));
   }
 });
--- a/test/soak/run-soak.ts
+++ b/test/soak/run-soak.ts
@@ -1,4 +1,4 @@
-/** One soak: real gateways under faults drawn from a seed, and the promises that callers and runners saw broken. */
+/** Runs one soak: real gateways under faults drawn from a seed, checked against the promises to callers and runners. */
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import { pause } from "../process/support/gateway-cluster.ts";
 import { checkRetained } from "./check-retained.ts";
@@ -11,22 +11,22 @@
 import { SoakLedger } from "./soak-ledger.ts";
 import { TenantWatch } from "./tenant-watch.ts";
 
-/** What a soak is run with. */
+/** Options of a soak. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Time under faults, in ms. */
+  /** Duration of faults, in ms. */
   readonly durationMs: number;
-  /** Kinds to draw from; all when left out. */
+  /** Names of the faults to draw from; all if omitted. */
   readonly faults?: readonly string[];
   readonly onFault?: (line: string) => void;
 }
 
-/** What came of it. */
+/** Result of a soak. */
 export interface SoakResult {
   readonly ledger: SoakLedger;
-  /** Faults in order, a line each. */
+  /** Faults in order, one line each. */
   readonly faults: readonly string[];
-  /** What each gateway wrote, by name. */
+  /** Output of each gateway, by name. */
   readonly logs: ReadonlyMap<string, string>;
 }
 
@@ -34,21 +34,21 @@
 const ENGINES = 3;
 const SERVICES = 3;
 const CALLERS = 6;
-/** Calm before the first fault, in ms. */
+/** Time without faults at the start, in ms. */
 const QUIET_MS = 1_500;
 const GAP_MS = 1_000;
 const MIN_FAULT_MS = 500;
 const MAX_FAULT_MS = 4_000;
-/** Part of the faults that another one accompanies. */
+/** Share of the draws that start two faults at once. */
 const PAIRED_SHARE = 0.4;
-/** After the last fault, everything must work again within this time, in ms. */
+/** Time within which everything must work again after the last fault, in ms. */
 const RECOVERY_MS = 12_000;
 const CALM_MS = 3_000;
 const OK = 200;
-/** Part of the tries in calm time that must be answered with success. */
+/** Share of the tries after recovery that must be served. */
 const MIN_SERVED_SHARE = 0.9;
 
-/** See the module's comment. */
+/** Starts a cluster, runs callers under faults, and checks the promises once the faults are over. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const random = new SeededRandomSource(options.seed);
   const cluster = await SoakCluster.start(GATEWAYS, ENGINES, SERVICES);
--- a/test/soak/silent-parts.test.ts
+++ b/test/soak/silent-parts.test.ts
@@ -1,4 +1,4 @@
-/** The stand-in of the store with some of its parts silent. */
+/** Tests the store stand-in while some of its parts do not respond. */
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import { request } from "undici";
@@ -6,7 +6,7 @@
 
 const TIMEOUT_MS = 200;
 
-describe("silent parts", () => {
+describe("unresponsive store parts", () => {
   let store: RowStoreStandin;
   let address: string;
 
@@ -35,18 +35,18 @@
     return statusOf("rows-tx", { put: [{ table: "t", part, "tls-key": "k", value: "" }] });
   }
 
-  it("does no write of a silent part, and those of others", async () => {
+  it("applies no write to an unresponsive part, but those to others", async () => {
     expect(await write("a")).toEqual(0);
     expect(await write("b")).toEqual(200);
     expect(store.model.parts()).toEqual(["b"]);
   });
 
-  it("answers no read of a silent part, and those of others", async () => {
+  it("answers no read of an unresponsive part, but those of others", async () => {
     expect(await statusOf("rows-get?table=t&part=a")).toEqual(0);
     expect(await statusOf("rows-get?table=t&part=b")).toEqual(200);
   });
 
-  it("serves the part once it is silent no more", async () => {
+  it("serves a part once it responds again", async () => {
     store.partFaults.clear();
     expect(await write("a")).toEqual(200);
     expect(store.model.parts()).toEqual(["a"]);
--- a/test/soak/soak-caller.ts
+++ b/test/soak/soak-caller.ts
@@ -1,4 +1,4 @@
-/** A caller that runs programs one after the other: turns that go on from each other, and calls of services between. */
+/** A caller that runs one program after another: consecutive turns, with calls to services between them. */
 import type { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import { PATHS, pause } from "../process/support/gateway-cluster.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
@@ -6,16 +6,16 @@
 import { type SoakAnswer, soakRequest } from "./soak-request.ts";
 import { MAX_TURN_TOKENS, turnHeaders } from "./soak-turn.ts";
 
-/** Tokens that the test's engines make in each event. */
+/** Tokens that the test's engines generate in each event. */
 const TOKENS_PER_EVENT = 10;
 const MAX_TURNS = 8;
-/** Most pairs of calls at once, a safe one and one that may not be repeated. */
+/** Maximum number of concurrent pairs of calls; each pair is a safe call followed by an unsafe one. */
 const MAX_CALLS = 3;
 const TRIES = 5;
 const TIMEOUT_MS = 3_000;
 const RETRY_MS = 100;
 const MAX_RETRY_MS = 1_000;
-/** Part of the programs that loop until their budget is spent. */
+/** Share of the programs that loop until their budget is exhausted. */
 const LOOPING_SHARE = 0.3;
 const CALL_SHARE = 0.8;
 const OK = 200;
@@ -23,7 +23,7 @@
 const NOT_FOUND = 404;
 const REFUSALS = [429, 503];
 
-/** See the module's comment. */
+/** Runs programs against a soak cluster and records every try in the ledger. */
 export class SoakCaller {
   readonly #name: string;
   readonly #cluster: SoakCluster;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Sends a turn until it is answered whole; nothing when the program is over. */
+  /** Retries a turn until it is answered completely; returns undefined if the program has to end. */
   async #runTurn(program: SoakProgram, last: CompletedTurn | undefined): Promise<CompletedTurn | undefined> {
     for (let count = 0; count < TRIES; count += 1) {
       const id = this.#newId();
@@ -139,7 +139,7 @@
   ): Promise<SoakAnswer> {
     const { gateways } = this.#cluster;
     const gateway = gateways[this.#random.below(gateways.length)];
-    if (!gateway) throw new Error("there are gateways");
+    if (!gateway) throw new Error("the cluster has no gateways");
     const answer = await soakRequest(this.#cluster.throughProxy(gateway), path, headers, body, TIMEOUT_MS);
     const { status, whole } = answer;
     this.#ledger.note({ id, kind, gateway: gateway.name, status, whole });
@@ -154,7 +154,7 @@
   }
 }
 
-/** The data of the whole events of a stream; nothing for an answer that is none. */
+/** Returns the data of the complete events of a stream; none for an answer with another status than 200. */
 function parseEvents(body: string, status: number): string[] {
   if (status !== OK) return [];
   const events = body.split("\n\n").slice(0, -1);
--- a/test/soak/soak-cluster.ts
+++ b/test/soak/soak-cluster.ts
@@ -1,4 +1,4 @@
-/** Gateways as separate processes whose links to callers, the store and runners lead through proxies. */
+/** Runs gateways as separate processes with a proxy on each link to callers, the store and runners. */
 import {
   GatewayCluster,
   type TestConfiguration,
@@ -9,18 +9,18 @@
 import { LoopbackProxy } from "./loopback-proxy.ts";
 import { REVOKE_MS, SoakTenants, TOLERANCE } from "./soak-tenants.ts";
 
-/** Dispatchers hand out places from the first call on: their failures are what the soak is for, not how scarce places are. */
+/** Dispatchers assign places from the first call on: the soak tests their failures, not the detection of scarcity. */
 const ALWAYS_DISPATCHED = { dispatchBelow: 1_000, scarceFrom: 0 };
 
-/** A process of a gateway that was stopped or killed. */
+/** A gateway process that was sent SIGTERM or SIGKILL. */
 export interface SignalledProcess {
   readonly gateway: TestGateway;
   readonly process: TestGateway["process"];
 }
 
-/** See the module's comment. */
+/** A gateway cluster whose links can be disturbed through proxies. */
 export class SoakCluster extends GatewayCluster {
-  /** Is told when all gateways are killed at once. */
+  /** Called when all gateways are killed at once. */
   onAllKilled: () => void = () => {};
   readonly tenants = new SoakTenants();
   /** By the gateway's name. */
@@ -51,13 +51,13 @@
     return cluster;
   }
 
-  /** A gateway as callers reach it. */
+  /** Returns the gateway with the proxy's address in place of its address for callers. */
   throughProxy(gateway: TestGateway): TestGateway {
     const callers = this.#callerAddresses.get(gateway.name) ?? gateway.addresses.callers;
     return { ...gateway, addresses: { ...gateway.addresses, callers } };
   }
 
-  /** Stops or kills gateways, all at once; returns the processes that were struck. */
+  /** Sends a signal to all given gateways at once; returns the processes that received it. */
   signalAll(gateways: readonly TestGateway[], signal: "SIGTERM" | "SIGKILL"): SignalledProcess[] {
     if (signal === "SIGKILL" && gateways.length === this.gateways.length) this.onAllKilled();
     return gateways.map((gateway) => {
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Starts a gateway again once the process has ended, unless something else did, or the cluster is being ended. */
+  /** Restarts a gateway once its process has ended, unless it was restarted already or the cluster is being stopped. */
   async restartOnceEnded({ gateway, process }: SignalledProcess): Promise<void> {
     await process.exited;
     if (gateway.process === process && !this.stopped) this.restart(gateway);
--- a/test/soak/soak-ledger.ts
+++ b/test/soak/soak-ledger.ts
@@ -1,63 +1,63 @@
-/** What callers saw and operators did during a soak, and what of it breaks a promise. */
+/** Records what callers observed and which faults were active during a soak, and the promises that were broken. */
 
-/** One try, from the caller's side. */
+/** One try of a request, as the caller observed it. */
 export interface SoakTry {
   readonly id: string;
   readonly kind: "turn" | "safe" | "unsafe" | "probe" | "tenant";
   readonly gateway: string;
   readonly atMs: number;
-  /** 0 when no whole head came. */
+  /** 0 if no complete response head arrived. */
   readonly status: number;
-  /** Whether the answer came to its end. */
+  /** Whether the answer arrived completely. */
   readonly whole: boolean;
 }
 
-/** A program, from the caller's side. */
+/** A program, as its caller observed it. */
 export interface SoakProgram {
   readonly name: string;
   readonly budget: number;
-  /** Tokens that its caller was handed, those of broken answers included. */
+  /** Tokens that its caller received, including those of incomplete answers. */
   receivedTokens: number;
 }
 
-/** A turn whose answer was whole. */
+/** A turn whose answer arrived completely. */
 export interface CompletedTurn {
   readonly id: string;
-  /** All that was said up to its end. */
+  /** The conversation up to the end of this turn. */
   readonly conversation: string;
-  /** When its answer had ended. */
+  /** When its answer ended, in ms since the start. */
   readonly atMs: number;
-  /** Whether a fault lasted then. */
+  /** Whether a fault was active then. */
   readonly underFaults: boolean;
 }
 
-/** A promise that was broken. */
+/** A broken promise: a guarantee to callers or runners that did not hold. */
 export interface BrokenPromise {
   readonly promise: string;
   readonly detail: string;
   readonly atMs: number;
 }
 
-/** See the module's comment. */
+/** The record of one soak. */
 export class SoakLedger {
   readonly programs: SoakProgram[] = [];
   readonly tries: SoakTry[] = [];
   readonly broken: BrokenPromise[] = [];
-  /** Turns whose answers were whole. */
+  /** Turns whose answers arrived completely. */
   readonly completedTurns: CompletedTurn[] = [];
-  /** When all gateways were killed at once. */
+  /** Times at which all gateways were killed at once, in ms since the start. */
   readonly allKilledMs: number[] = [];
-  /** Whether a fault lasts. */
+  /** Whether a fault is active. */
   underFaults = false;
-  /** When the last fault ended. */
+  /** When the last fault ended, in ms since the start. */
   faultsEndedMs = 0;
-  /** How many turns were gone on from after the faults. */
+  /** Number of turns that were continued after the faults. */
   continuedTurns = 0;
-  /** What a turn's runner had to be given, by the turn's identifier. */
+  /** The body that a turn's runner must receive, by the turn's request identifier. */
   readonly prompts = new Map<string, string>();
   readonly #startedMs = performance.now();
 
-  /** For how long there has been no fault, in ms. */
+  /** Time since the last fault ended, in ms; 0 while one is active. */
   get calmForMs(): number {
     return this.underFaults ? 0 : this.nowMs - this.faultsEndedMs;
   }
@@ -67,19 +67,19 @@
     return Math.round(performance.now() - this.#startedMs);
   }
 
-  /** Notes a try. */
+  /** Records a try. */
   note(entry: Omit<SoakTry, "atMs">): void {
     this.tries.push({ ...entry, atMs: this.nowMs });
   }
 
-  /** Notes a turn whose answer was whole. */
+  /** Records a turn whose answer arrived completely. */
   recordTurn(id: string, conversation: string): CompletedTurn {
     const turn = { id, conversation, atMs: this.nowMs, underFaults: this.underFaults };
     this.completedTurns.push(turn);
     return turn;
   }
 
-  /** Notes a broken promise. */
+  /** Records a broken promise. */
   recordBroken(promise: string, detail: string): void {
     this.broken.push({ promise, detail, atMs: this.nowMs });
   }
--- a/test/soak/soak-request.ts
+++ b/test/soak/soak-request.ts
@@ -1,23 +1,23 @@
-/** A caller's request whose answer is read as far as it comes. */
+/** Sends a caller's request and reads as much of the answer as arrives. */
 import { request } from "undici";
 import { TEST_HOST, type TestGateway } from "../process/support/gateway-cluster.ts";
 import { STEADY_KEY } from "./soak-tenants.ts";
 
-/** What came of an answer. */
+/** The part of an answer that arrived. */
 export interface SoakAnswer {
-  /** 0 when no head came. */
+  /** 0 if no response head arrived. */
   readonly status: number;
-  /** As much of the body as came. */
+  /** The part of the body that arrived. */
   readonly body: string;
   readonly whole: boolean;
   readonly retryAfterMs: number | undefined;
-  /** The request that the answer names, if it names one. */
+  /** Identifier of the request that the answer names, if it names one. */
   readonly answeredRequestId: string | undefined;
 }
 
 const MS_PER_S = 1_000;
 
-/** Sends a request, with the callers' key unless it shows another, and gives it up after `timeoutMs`. */
+/** Sends a request, with the callers' key unless `headers` holds another, and aborts it after `timeoutMs`. */
 export async function soakRequest(
   gateway: TestGateway,
   path: string,
--- a/test/soak/soak-tenants.ts
+++ b/test/soak/soak-tenants.ts
@@ -1,18 +1,18 @@
-/** The tenants of a soak: one for whom all callers speak, one whose keys come and go, and one that runs wild. */
+/** The tenants of a soak: that of all callers, one whose keys change, and one that floods gateways with requests. */
 import type { TestTenant } from "../process/support/gateway-cluster.ts";
 
-/** How long a key may be used after its end, in ms. */
+/** Time for which a key may still work after its removal, in ms. */
 export const REVOKE_MS = 5_000;
-/** How far tenants may be above their limits. */
+/** Tolerance within which tenants may exceed their limits. */
 export const TOLERANCE = { windowMs: 5_000, overage: 0.1, slack: 6 };
-/** Key of the callers' tenant: stays, and has no limit. */
+/** Key of the callers' tenant. It does not change, and the tenant has no limit. */
 export const STEADY_KEY = "key-of-steady";
 const STEADY: TestTenant = { name: "steady", keys: [STEADY_KEY] };
 
-/** Limit of the tenant that runs wild, in requests a second and at once on top. */
+/** Limit of the flooding tenant: requests per second, and burst. */
 export const FLOODING_LIMIT = { perSecond: 10, burst: 10 };
-export const FLOODING_KEY = "key-of-wild";
-export const FLOODING_NAME = "wild";
+export const FLOODING_KEY = "key-of-flooding";
+export const FLOODING_NAME = "flooding";
 const FLOODING: TestTenant = {
   name: FLOODING_NAME,
   keys: [FLOODING_KEY],
@@ -21,10 +21,10 @@
 };
 
 const CHANGING_NAME = "changing";
-/** Keys that the changing tenant has at a time. */
+/** Number of keys that the changing tenant has at a time. */
 const KEYS_AT_ONCE = 2;
 
-/** See the module's comment. */
+/** Holds the tenants' configuration and replaces the keys of the changing tenant. */
 export class SoakTenants {
   readonly #keys: string[] = [];
   readonly #revokedAtMs = new Map<string, number>();
@@ -34,7 +34,7 @@
     for (let count = 0; count < KEYS_AT_ONCE; count += 1) this.#add();
   }
 
-  /** The tenants as operators would write them now. */
+  /** The tenants for the next configuration. */
   get configured(): readonly TestTenant[] {
     return [STEADY, FLOODING, { name: CHANGING_NAME, keys: this.#keys }];
   }
@@ -44,12 +44,12 @@
     return [...this.#keys, ...this.#revokedAtMs.keys()];
   }
 
-  /** When a key was taken away, in ms of the soak; undefined while it is valid. */
+  /** When a key was removed, in ms since the start of the soak; undefined while it is valid. */
   revokedAtMs(key: string): number | undefined {
     return this.#revokedAtMs.get(key);
   }
 
-  /** Takes the oldest key away and makes a new one; both count once {@link configured} has been written. */
+  /** Removes the oldest key and creates a new one; both take effect once {@link configured} has been written. */
   change(nowMs: number): void {
     const oldest = this.#keys.shift();
     if (oldest !== undefined) this.#revokedAtMs.set(oldest, nowMs);
--- a/test/soak/soak-turn.ts
+++ b/test/soak/soak-turn.ts
@@ -1,6 +1,6 @@
-/** What a turn's request says in a soak. */
+/** Builds the request headers of a turn in a soak. */
 
-/** Most tokens of a turn: that of the four events that the engines make. */
+/** Maximum tokens of a turn: those of the four events that the engines generate. */
 export const MAX_TURN_TOKENS = 40;
 
 /** A turn of a program. */
@@ -8,11 +8,11 @@
   readonly id: string;
   readonly program: string;
   readonly budget: number;
-  /** The turn that it goes on from. */
+  /** Request identifier of the turn that it continues from. */
   readonly previous: string | undefined;
 }
 
-/** The headers of a turn. */
+/** Returns the request headers of a turn. */
 export function turnHeaders({ id, program, budget, previous }: SoakTurn): Record<string, string> {
   return {
     "X-Request-Id": id,
--- a/test/soak/tenant-watch.ts
+++ b/test/soak/tenant-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Sends requests with keys that were taken away, and with the key of a tenant that sends far more than its limit. What
- * runners ran of them tells whether keys and limits hold.
+ * Sends requests with keys of a tenant whose keys change, and with the key of a tenant that sends far more than its
+ * limit. The requests that runners ran show whether removed keys and limits are enforced.
  */
 
 import { mostInWindow } from "../../bench/simulation/most-in-window.ts";
@@ -21,16 +21,16 @@
 
 const PAUSE_MS = 25;
 const TIMEOUT_MS = 1_000;
-/** Part of the requests that use a key of the changing tenant; the others are the wild one's. */
+/** Share of the requests that use a key of the changing tenant; the others use the flooding tenant's key. */
 const CHANGING_SHARE = 0.3;
 
-/** A request of the watch, as it was sent. */
+/** A request that the watch sent. */
 interface SentRequest {
   readonly key: string;
   readonly atMs: number;
 }
 
-/** See the module's comment. */
+/** Sends requests as the changing and the flooding tenant, and checks afterwards which of them ran. */
 export class TenantWatch {
   readonly #cluster: SoakCluster;
   readonly #ledger: SoakLedger;
@@ -45,7 +45,7 @@
     this.#random = random;
   }
 
-  /** Sends requests until `isOver`. */
+  /** Sends requests until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     const underWay: Promise<void>[] = [];
     while (!isOver()) {
@@ -57,7 +57,7 @@
     await Promise.all(underWay);
   }
 
-  /** Checks what runners ran. Call it when nothing is under way any more. */
+  /** Checks which requests runners ran. Call it once no request is active. */
   check(): void {
     const ran = this.#cluster.services.flatMap((runner) => runner.ran);
     const wildAtMs: number[] = [];
