--- a/test/process/gateway.test.ts
+++ b/test/process/gateway.test.ts
@@ -162,8 +162,8 @@
 
   it("retry safe calls at another runner when one is silent, but no unsafe calls", async () => {
     cluster = await GatewayCluster.start(1, 0, 2);
-    const [silent, sound] = cluster.services;
-    if (!silent || !sound) throw new Error("two services were started");
+    const [silent, healthy] = cluster.services;
+    if (!silent || !healthy) throw new Error("two services were started");
     silent.fault = "silent";
     const startedMs = performance.now();
     const ids = Array.from({ length: 8 }, () => newRequestId());
@@ -173,7 +173,7 @@
     expect(silent.ran.length > 0).toEqual(true);
     const once = Array.from({ length: 8 }, () => newRequestId());
     await Promise.all(once.map((id) => call(gateway(0), PATHS.unsafe, id)));
-    const ran = [...silent.ran, ...sound.ran].map(({ id }) => id).filter((id) => once.includes(id));
+    const ran = [...silent.ran, ...healthy.ran].map(({ id }) => id).filter((id) => once.includes(id));
     expect(ran.length).toEqual(new Set(ran).size);
   });
 
@@ -296,13 +296,13 @@
 
   it("send nothing to a runner whose row has an unknown state or a field of the wrong type", async () => {
     cluster = await GatewayCluster.start(1, 0, 3);
-    const [asleep, strange, staying] = cluster.services;
-    if (!asleep || !strange || !staying) throw new Error("three services were started");
+    const [asleep, malformed, staying] = cluster.services;
+    if (!asleep || !malformed || !staying) throw new Error("three services were started");
     cluster.listRunner(asleep, "api", "ready", { state: "asleep" });
-    cluster.listRunner(strange, "api", "ready", { slots: "8" });
+    cluster.listRunner(malformed, "api", "ready", { slots: "8" });
     await pause(500);
     for (let count = 0; count < 10; count += 1) await call(gateway(0), PATHS.unsafe, newRequestId());
-    expect([asleep.ran.length, strange.ran.length, staying.ran.length]).toEqual([0, 0, 10]);
+    expect([asleep.ran.length, malformed.ran.length, staying.ran.length]).toEqual([0, 0, 10]);
   });
 
   it("serve what is reserved while the store is down, and refuse other programs at once, as a single gateway", async () => {
