--- a/bench/experiment/emulated-runner.ts
+++ b/bench/experiment/emulated-runner.ts
@@ -93,7 +93,7 @@
   }
 
   #step(): void {
-    if (this.#stepping || !this.engine.busy) return;
+    if (this.#stepping || !this.engine.hasWork) return;
     this.#stepping = true;
     this.#time.after(this.engine.beginStep(), () => {
       this.#stepping = false;
--- a/bench/simulation/simulated-back-ends.ts
+++ b/bench/simulation/simulated-back-ends.ts
@@ -72,7 +72,7 @@
   }
 
   #step(): void {
-    if (this.#stepping || !this.model.busy) return;
+    if (this.#stepping || !this.model.hasWork) return;
     this.#stepping = true;
     const { model, process } = this;
     process.schedule(model.beginStep(), () => {
@@ -221,7 +221,7 @@
       const timer = this.#time.after(timeoutMs, () => end({ type: "unknown", detail: "no answer in time" }));
       const workMs = this.#serviceWorkMs();
       this.#travel(process, machine.process, () => {
-        const reply = machine.model.carryOut({
+        const reply = machine.model.execute({
           method: request.method,
           path: request.path,
           body: request.body,
--- a/standins/engine/engine-model.ts
+++ b/standins/engine/engine-model.ts
@@ -14,7 +14,7 @@
 } from "../../src/ports/engine/engine-client.ts";
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import type { TextHash } from "../../src/runtime/text-hash.ts";
-import { answerTokens, GeneratedText } from "./generated-text.ts";
+import { answerTokenCount, GeneratedText } from "./generated-text.ts";
 import { type CacheChange, CHARACTERS_PER_TOKEN, countTokens, PrefixCache } from "./prefix-cache.ts";
 
 /** Options of an {@link EngineModel}. */
@@ -59,7 +59,7 @@
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly arrivedMs: number;
-  prefillLeft: number;
+  prefillTokensLeft: number;
   generated: string;
   generatedTokens: number;
 }
@@ -75,7 +75,7 @@
   refused: number;
 }
 
-const DEFAULTS = {
+const DEFAULT_OPTIONS = {
   slots: 16,
   kvTokens: 200_000,
   stepMs: 10,
@@ -89,7 +89,7 @@
   sameTextEverywhere: true,
 };
 
-const EVENTS_KEPT = 1_000;
+const MAX_EVENTS = 1_000;
 
 /** See the module's comment. */
 export class EngineModel {
@@ -110,15 +110,15 @@
   #running: Sequence[] = [];
   #waiting: Sequence[] = [];
   #events: (CacheEvent & { readonly atMs: number })[] = [];
-  #nextEvent = 1;
-  #newestToken = 0;
+  #nextEventNumber = 1;
+  #newestFencingToken = 0;
   #leaving = false;
   #role: "mixed" | "prefill" | "decode" = "mixed";
   #reported: EngineLoad = { running: [], waiting: 0, usedKvTokens: 0, leaving: false, ageMs: 0 };
   #reportedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: EngineModelOptions, hash: TextHash) {
-    this.options = { ...DEFAULTS, ...options };
+    this.options = { ...DEFAULT_OPTIONS, ...options };
     this.#hash = hash;
     this.#random = new SeededRandomSource(hash.hash32(options.name));
     this.#cache = new PrefixCache(this.options.kvTokens, hash.hash64);
@@ -126,7 +126,7 @@
   }
 
   /** Whether a step has anything to do. */
-  get busy(): boolean {
+  get hasWork(): boolean {
     return this.#running.length > 0 || this.#waiting.length > 0;
   }
 
@@ -157,13 +157,13 @@
 
   /** Takes a request. Returns why not, when it is not taken. */
   submit(request: GenerateRequest, sink: GenerationSink, nowMs: number): EngineRefusal | undefined {
-    const refusal = this.#checkSubmit(request);
+    const refusal = this.#findRefusal(request);
     if (refusal) {
       this.totals.refused += 1;
       return refusal;
     }
-    this.#newestToken = request.fencingToken;
-    this.#waiting.push(this.#sequenceOf(request, sink, nowMs));
+    this.#newestFencingToken = request.fencingToken;
+    this.#waiting.push(this.#createSequence(request, sink, nowMs));
     return undefined;
   }
 
@@ -190,11 +190,11 @@
     const planned = this.#planPrefill();
     const prefilling = new Set(planned.map(({ sequence }) => sequence));
     for (const { sequence, tokens } of planned) {
-      sequence.prefillLeft -= tokens;
+      sequence.prefillTokensLeft -= tokens;
       this.totals.prefilledTokens += tokens;
     }
     for (const sequence of [...this.#running]) {
-      if (sequence.prefillLeft === 0 && !prefilling.has(sequence)) this.#decode(sequence, nowMs);
+      if (sequence.prefillTokensLeft === 0 && !prefilling.has(sequence)) this.#decode(sequence, nowMs);
     }
   }
 
@@ -228,8 +228,8 @@
 
   /** Carries an order out. Returns false when its token is older than the newest seen. */
   order(order: EngineOrder, fencingToken: number, nowMs: number): boolean {
-    if (fencingToken < this.#newestToken) return false;
-    this.#newestToken = fencingToken;
+    if (fencingToken < this.#newestFencingToken) return false;
+    this.#newestFencingToken = fencingToken;
     switch (order.type) {
       case "release":
         this.#publish(this.#cache.release(order.program), nowMs);
@@ -254,14 +254,14 @@
     fencingToken: number,
     nowMs: number,
   ): boolean {
-    if (fencingToken < this.#newestToken) return false;
-    this.#newestToken = fencingToken;
+    if (fencingToken < this.#newestFencingToken) return false;
+    this.#newestFencingToken = fencingToken;
     this.#publish(this.#cache.store(program, messages, nowMs), nowMs);
     return true;
   }
 
-  #checkSubmit(request: GenerateRequest): EngineRefusal | undefined {
-    if (request.fencingToken < this.#newestToken) return "stale-token";
+  #findRefusal(request: GenerateRequest): EngineRefusal | undefined {
+    if (request.fencingToken < this.#newestFencingToken) return "stale-token";
     if (this.#leaving) return "leaving";
     if (!this.#models.has(request.model)) return "unknown-model";
     const known = [...this.#running, ...this.#waiting].some(
@@ -270,7 +270,7 @@
     return known || this.#waiting.length >= this.options.maxWaiting ? "full" : undefined;
   }
 
-  #sequenceOf(request: GenerateRequest, sink: GenerationSink, nowMs: number): Sequence {
+  #createSequence(request: GenerateRequest, sink: GenerationSink, nowMs: number): Sequence {
     const { messages, resumeText, maxTokens } = request;
     const prompt = JSON.stringify(messages) + (this.options.sameTextEverywhere ? "" : this.options.name);
     const seed = this.#hash.hash32(prompt);
@@ -284,13 +284,13 @@
       sink,
       text: new GeneratedText(seed, resumed),
       targetTokens: Math.max(
-        answerTokens(messages, maxTokens, this.#hash.hash32(JSON.stringify(messages))),
+        answerTokenCount(messages, maxTokens, this.#hash.hash32(JSON.stringify(messages))),
         resumed,
       ),
       promptTokens,
       cachedTokens,
       arrivedMs: nowMs,
-      prefillLeft: promptTokens - cachedTokens + resumed,
+      prefillTokensLeft: promptTokens - cachedTokens + resumed,
       generated: resumeText,
       generatedTokens: resumed,
     };
@@ -312,7 +312,7 @@
     const planned: { sequence: Sequence; tokens: number }[] = [];
     let budget = this.options.prefillTokensPerStep;
     for (const sequence of this.#running) {
-      const tokens = Math.min(sequence.prefillLeft, budget);
+      const tokens = Math.min(sequence.prefillTokensLeft, budget);
       if (tokens <= 0) continue;
       planned.push({ sequence, tokens });
       budget -= tokens;
@@ -348,11 +348,11 @@
 
   #publish(changes: readonly CacheChange[], nowMs: number): void {
     for (const change of changes) {
-      const number = this.#nextEvent;
-      this.#nextEvent += 1;
+      const number = this.#nextEventNumber;
+      this.#nextEventNumber += 1;
       if (this.#random.unit() < this.options.eventLoss) continue;
       this.#events.push({ ...change, number, atMs: nowMs });
     }
-    if (this.#events.length > EVENTS_KEPT) this.#events = this.#events.slice(-EVENTS_KEPT);
+    if (this.#events.length > MAX_EVENTS) this.#events = this.#events.slice(-MAX_EVENTS);
   }
 }
--- a/standins/engine/generated-text.ts
+++ b/standins/engine/generated-text.ts
@@ -2,14 +2,14 @@
 import type { ChatMessage } from "../../src/scheduling/program/records.ts";
 import { CHARACTERS_PER_TOKEN } from "./prefix-cache.ts";
 
-const SHORTEST_ANSWER = 8;
-const ANSWER_SPREAD = 56;
+const MIN_ANSWER_TOKENS = 8;
+const ANSWER_TOKENS_RANGE = 56;
 const LENGTH_DIRECTIVE = /#tokens=(\d+)/;
 
 /** How many tokens the stand-in answers with: as the last message says by `#tokens=N`, else by its hash. */
-export function answerTokens(messages: readonly ChatMessage[], maxTokens: number, seed: number): number {
+export function answerTokenCount(messages: readonly ChatMessage[], maxTokens: number, seed: number): number {
   const directive = LENGTH_DIRECTIVE.exec(messages.at(-1)?.content ?? "");
-  const wanted = directive ? Number(directive[1]) : SHORTEST_ANSWER + (seed % ANSWER_SPREAD);
+  const wanted = directive ? Number(directive[1]) : MIN_ANSWER_TOKENS + (seed % ANSWER_TOKENS_RANGE);
   return Math.max(1, Math.min(wanted, maxTokens));
 }
 
--- a/standins/engine/prefix-cache.ts
+++ b/standins/engine/prefix-cache.ts
@@ -49,7 +49,7 @@
   /** Tokens of a prompt that are held, from its beginning. */
   match(messages: readonly ChatMessage[], nowMs: number): number {
     let tokens = 0;
-    for (const key of this.#keysOf(messages)) {
+    for (const key of this.#prefixKeys(messages)) {
       const node = this.#nodes.get(key);
       if (!node) break;
       node.lastUsedMs = nowMs;
@@ -63,7 +63,7 @@
     const changes: CacheChange[] = [];
     let parent: CacheNode | undefined;
     let stored = 0;
-    for (const [position, key] of this.#keysOf(messages).entries()) {
+    for (const [position, key] of this.#prefixKeys(messages).entries()) {
       const node: CacheNode = this.#nodes.get(key) ?? this.#add(key, parent, messages[position], nowMs);
       node.programs.add(program);
       node.lastUsedMs = nowMs;
@@ -136,7 +136,7 @@
     if (node.parent) node.parent.children -= 1;
   }
 
-  #keysOf(messages: readonly ChatMessage[]): string[] {
+  #prefixKeys(messages: readonly ChatMessage[]): string[] {
     let key = "";
     return messages.map(({ role, content }) => {
       key = this.#hash(`${key}|${role}|${content}`);
--- a/standins/http/engine-standin.ts
+++ b/standins/http/engine-standin.ts
@@ -2,7 +2,7 @@
 import type { EngineOrder, GenerateRequest } from "../../src/ports/engine/engine-client.ts";
 import type { TextHash } from "../../src/runtime/text-hash.ts";
 import { EngineModel, type EngineModelOptions } from "../engine/engine-model.ts";
-import { HttpStandin, jsonOf, type StandinAnswer, type StandinRequest } from "./http-standin.ts";
+import { HttpStandin, parseJsonBody, type StandinAnswer, type StandinRequest } from "./http-standin.ts";
 
 const OK = 200;
 const CONFLICT = 409;
@@ -13,8 +13,8 @@
 export class EngineStandin {
   readonly model: EngineModel;
   readonly http: HttpStandin;
-  readonly #exported = new Map<string, GenerateRequest["messages"]>();
-  #stepping = false;
+  readonly #messagesByProgram = new Map<string, GenerateRequest["messages"]>();
+  #stepScheduled = false;
 
   constructor(options: EngineModelOptions, hash: TextHash) {
     this.model = new EngineModel(options, hash);
@@ -35,7 +35,7 @@
     const nowMs = performance.now();
     switch (`${request.method} ${request.path}`) {
       case "POST /v1/completions":
-        return this.#generate(jsonOf<GenerateRequest>(request), response);
+        return this.#generate(parseJsonBody<GenerateRequest>(request), response);
       case "GET /load":
         return { status: OK, body: this.model.load(nowMs) };
       case "GET /holds":
@@ -47,11 +47,11 @@
       case "POST /orders":
         return this.#order(request, nowMs);
       case "POST /cache/export":
-        return this.#exportCache(jsonOf<{ program: string }>(request).program);
+        return this.#exportCache(parseJsonBody<{ program: string }>(request).program);
       case "POST /cache/import":
         return this.#importCache(request, nowMs);
       case "POST /leaving":
-        this.model.setLeaving(jsonOf<{ leaving: boolean }>(request).leaving);
+        this.model.setLeaving(parseJsonBody<{ leaving: boolean }>(request).leaving);
         return { status: OK };
       default:
         return this.#cancel(request);
@@ -68,26 +68,26 @@
     };
     const refusal = this.model.submit(request, sink, performance.now());
     if (refusal) return { status: refusalStatus(refusal), body: { error: refusal } };
-    this.#exported.set(request.program, request.messages);
+    this.#messagesByProgram.set(request.program, request.messages);
     response.writeHead(OK, { "content-type": "text/event-stream" });
     response.flushHeaders();
     response.on("close", () => this.model.cancel(request.requestId));
-    this.#step();
+    this.#scheduleStep();
     return "streaming";
   }
 
-  #step(): void {
-    if (this.#stepping || !this.model.busy) return;
-    this.#stepping = true;
+  #scheduleStep(): void {
+    if (this.#stepScheduled || !this.model.hasWork) return;
+    this.#stepScheduled = true;
     setTimeout(() => {
-      this.#stepping = false;
+      this.#stepScheduled = false;
       this.model.finishStep(performance.now());
-      this.#step();
+      this.#scheduleStep();
     }, this.model.beginStep());
   }
 
   #order(request: StandinRequest, nowMs: number): StandinAnswer {
-    const { order, fencingToken } = jsonOf<{ order: EngineOrder; fencingToken: number }>(request);
+    const { order, fencingToken } = parseJsonBody<{ order: EngineOrder; fencingToken: number }>(request);
     if (!this.model.order(order, fencingToken, nowMs))
       return { status: CONFLICT, body: { error: "stale-token" } };
     return { status: OK };
@@ -100,15 +100,17 @@
   }
 
   #exportCache(program: string): StandinAnswer | undefined {
-    const messages = this.#exported.get(program);
+    const messages = this.#messagesByProgram.get(program);
     if (!messages) return undefined;
     return { status: OK, body: { cache: Buffer.from(JSON.stringify(messages)).toString("base64") } };
   }
 
   #importCache(request: StandinRequest, nowMs: number): StandinAnswer {
-    const { program, cache, fencingToken } = jsonOf<{ program: string; cache: string; fencingToken: number }>(
-      request,
-    );
+    const { program, cache, fencingToken } = parseJsonBody<{
+      program: string;
+      cache: string;
+      fencingToken: number;
+    }>(request);
     const messages = JSON.parse(Buffer.from(cache, "base64").toString()) as GenerateRequest["messages"];
     const taken = this.model.importCache(program, messages, fencingToken, nowMs);
     return taken ? { status: OK } : { status: CONFLICT, body: { error: "stale-token" } };
--- a/standins/http/http-standin.ts
+++ b/standins/http/http-standin.ts
@@ -84,15 +84,15 @@
     try {
       const read = await readRequest(request);
       if (read.path === "/faults") return this.#setFaults(read, response);
-      await this.#misbehaveBefore();
+      await this.#applyDelay();
       if (this.faults.outage) return void request.socket.destroy();
-      if (this.#overRate())
-        return answer(response, { status: TOO_MANY_REQUESTS, body: { error: "rate-limit" } });
+      if (this.#isOverRateLimit())
+        return sendAnswer(response, { status: TOO_MANY_REQUESTS, body: { error: "rate-limit" } });
       this.requests += 1;
       const result = this.#handler(read, response);
       if (result === "streaming") return;
       if (this.faults.loseWriteAnswers && read.method !== "GET") return void request.socket.destroy();
-      answer(response, result ?? { status: NOT_FOUND, body: { error: "not-found" } });
+      sendAnswer(response, result ?? { status: NOT_FOUND, body: { error: "not-found" } });
     } catch {
       request.socket.destroy();
     }
@@ -100,14 +100,14 @@
 
   #setFaults(request: StandinRequest, response: ServerResponse): void {
     if (request.method === "POST") Object.assign(this.faults, JSON.parse(request.body.toString()));
-    answer(response, { status: OK, body: this.faults });
+    sendAnswer(response, { status: OK, body: this.faults });
   }
 
-  async #misbehaveBefore(): Promise<void> {
+  async #applyDelay(): Promise<void> {
     if (this.faults.delayMs > 0) await new Promise((resolve) => setTimeout(resolve, this.faults.delayMs));
   }
 
-  #overRate(): boolean {
+  #isOverRateLimit(): boolean {
     if (this.faults.requestsPerSecond === 0) return false;
     const nowMs = performance.now();
     if (nowMs - this.#windowStartMs > RATE_WINDOW_MS) {
@@ -120,7 +120,7 @@
 }
 
 /** Reads JSON out of a request. */
-export function jsonOf<Value>(request: StandinRequest): Value {
+export function parseJsonBody<Value>(request: StandinRequest): Value {
   return JSON.parse(request.body.toString("utf8")) as Value;
 }
 
@@ -137,7 +137,7 @@
   };
 }
 
-function answer(response: ServerResponse, { status, body, bytes, contentType }: StandinAnswer): void {
+function sendAnswer(response: ServerResponse, { status, body, bytes, contentType }: StandinAnswer): void {
   const content = bytes ?? Buffer.from(JSON.stringify(body ?? {}));
   response.writeHead(status, {
     "content-type": contentType ?? "application/json",
--- a/standins/http/platform-standins.ts
+++ b/standins/http/platform-standins.ts
@@ -5,7 +5,7 @@
 import { ObjectModel } from "../objects/object-model.ts";
 import { ServiceModel } from "../service/service-model.ts";
 import { TableModel } from "../table/table-model.ts";
-import { HttpStandin, jsonOf, type StandinAnswer, type StandinRequest } from "./http-standin.ts";
+import { HttpStandin, parseJsonBody, type StandinAnswer, type StandinRequest } from "./http-standin.ts";
 
 const OK = 200;
 const CONFLICT = 409;
@@ -15,7 +15,8 @@
   return new HttpStandin((request) => {
     if (request.path === "/transactions") return transact(model, request);
     if (request.path === "/rows") return { status: OK, body: listRows(model, request) };
-    if (request.path.startsWith("/rows/")) return { status: OK, body: model.get(restOf(request, "/rows/")) };
+    if (request.path.startsWith("/rows/"))
+      return { status: OK, body: model.get(keyAfterPrefix(request, "/rows/")) };
     return undefined;
   });
 }
@@ -29,7 +30,7 @@
   const standin = new HttpStandin((request) => {
     if (request.path === "/machines") return { status: OK, body: model.read(performance.now()) };
     if (!request.path.startsWith("/machines/")) return undefined;
-    const machine = jsonOf<Machine>(request);
+    const machine = parseJsonBody<Machine>(request);
     if (machine.kind === "node") model.report(machine, performance.now());
     else model.put(machine, performance.now());
     return { status: OK };
@@ -43,7 +44,7 @@
     if (request.path === "/objects")
       return { status: OK, body: model.list(request.query.get("prefix") ?? "") };
     if (!request.path.startsWith("/objects/")) return undefined;
-    return objectAnswer(model, request, restOf(request, "/objects/"));
+    return handleObjectRequest(model, request, keyAfterPrefix(request, "/objects/"));
   });
 }
 
@@ -51,7 +52,7 @@
 export function serviceStandin(model: ServiceModel = new ServiceModel()): HttpStandin {
   return new HttpStandin((request) => {
     if (request.path === "/ledger") return { status: OK, body: model.ledger };
-    const reply = model.carryOut({
+    const reply = model.execute({
       method: request.method,
       path: request.path,
       body: request.body.toString("utf8"),
@@ -70,7 +71,7 @@
 }
 
 function transact(model: TableModel, request: StandinRequest): StandinAnswer {
-  const result = model.transact(jsonOf<Transaction>(request));
+  const result = model.transact(parseJsonBody<Transaction>(request));
   if (result.type === "committed") return { status: OK, body: {} };
   return { status: CONFLICT, body: { rows: result.rows } };
 }
@@ -83,7 +84,11 @@
   );
 }
 
-function objectAnswer(model: ObjectModel, request: StandinRequest, key: string): StandinAnswer | undefined {
+function handleObjectRequest(
+  model: ObjectModel,
+  request: StandinRequest,
+  key: string,
+): StandinAnswer | undefined {
   switch (request.method) {
     case "PUT":
       return model.put(key, request.body) ? { status: OK } : { status: CONFLICT, body: { error: "exists" } };
@@ -97,6 +102,6 @@
   }
 }
 
-function restOf(request: StandinRequest, prefix: string): string {
+function keyAfterPrefix(request: StandinRequest, prefix: string): string {
   return decodeURIComponent(request.path.slice(prefix.length));
 }
--- a/standins/machine-list/machine-list-model.ts
+++ b/standins/machine-list/machine-list-model.ts
@@ -20,7 +20,7 @@
   readonly #lagMs: number;
   readonly #expiryMs: number;
   readonly #machines = new Map<string, ListedMachine>();
-  #published: { readonly atMs: number; readonly machines: readonly Machine[] }[] = [
+  #snapshots: { readonly atMs: number; readonly machines: readonly Machine[] }[] = [
     { atMs: 0, machines: [] },
   ];
 
@@ -50,8 +50,8 @@
   /** The list as it was a while ago. */
   read(nowMs: number): readonly Machine[] {
     this.#publish(nowMs);
-    const visible = this.#published.findLast(({ atMs }) => atMs <= nowMs - this.#lagMs) ?? this.#published[0];
-    this.#published = this.#published.slice(this.#published.indexOf(visible));
+    const visible = this.#snapshots.findLast(({ atMs }) => atMs <= nowMs - this.#lagMs) ?? this.#snapshots[0];
+    this.#snapshots = this.#snapshots.slice(this.#snapshots.indexOf(visible));
     return visible.machines;
   }
 
@@ -60,6 +60,6 @@
     for (const { machine, reportedAtMs, permanent } of this.#machines.values()) {
       if (permanent || nowMs - reportedAtMs <= this.#expiryMs) machines.push(machine);
     }
-    this.#published.push({ atMs: nowMs, machines });
+    this.#snapshots.push({ atMs: nowMs, machines });
   }
 }
--- a/standins/main.ts
+++ b/standins/main.ts
@@ -16,7 +16,7 @@
   weightStandin,
 } from "./http/platform-standins.ts";
 
-const FOREVER = new Promise<number>(() => undefined);
+const NEVER_RESOLVES = new Promise<number>(() => undefined);
 
 abstract class StandinCommand extends Command {
   listen = Option.String("--listen", "127.0.0.1:0", { description: "IP:port; port 0 takes a free one" });
@@ -27,7 +27,7 @@
   override async execute(): Promise<number> {
     const address = await this.start(JSON.parse(this.options));
     this.context.stdout.write(`${JSON.stringify({ address })}\n`);
-    return FOREVER;
+    return NEVER_RESOLVES;
   }
 }
 
--- a/standins/platform/row-store-model.ts
+++ b/standins/platform/row-store-model.ts
@@ -21,7 +21,7 @@
 }
 
 /** Whether a transaction was carried out. */
-export interface ModelOutcome {
+export interface ModelTransactionResult {
   readonly committed: boolean;
   readonly version: number;
   /** The rows of the conditions, when one did not hold. */
@@ -32,24 +32,24 @@
 export class RowStoreModel {
   readonly #rows = new Map<string, ModelRow>();
   /** The same rows by table and part, so that a read does not go through all of them. */
-  readonly #ranges = new Map<string, Map<string, ModelRow>>();
+  readonly #rowsByPart = new Map<string, Map<string, ModelRow>>();
   #changes: ModelRow[] = [];
   #version = 0;
   /** Changes up to this version are forgotten. */
-  #forgottenVersion = 0;
-  #waiting: (() => void)[] = [];
+  #compactedVersion = 0;
+  #changeListeners: (() => void)[] = [];
 
   /** The newest version. */
   get version(): number {
     return this.#version;
   }
 
-  transact(transaction: ModelTransaction): ModelOutcome {
+  transact(transaction: ModelTransaction): ModelTransactionResult {
     const holds = transaction.conditions.every(
       (condition) => this.#versionOf(condition) === condition.version,
     );
     if (!holds) {
-      const rows = transaction.conditions.flatMap((condition) => this.#rows.get(nameOf(condition)) ?? []);
+      const rows = transaction.conditions.flatMap((condition) => this.#rows.get(rowId(condition)) ?? []);
       return { committed: false, version: this.#version, rows };
     }
     this.#version += 1;
@@ -58,15 +58,15 @@
     for (const key of transaction.removes) {
       this.#set({ ...keyOf(key), value: undefined, version: this.#version });
     }
-    const waiting = this.#waiting;
-    this.#waiting = [];
+    const waiting = this.#changeListeners;
+    this.#changeListeners = [];
     for (const wake of waiting) wake();
     return { committed: true, version: this.#version, rows: [] };
   }
 
   /** Rows of one table and part, by key. */
   read(table: string, part: string, from: string, until: string | undefined): ModelRow[] {
-    return [...(this.#ranges.get(rangeOf({ table, part }))?.values() ?? [])]
+    return [...(this.#rowsByPart.get(partId({ table, part }))?.values() ?? [])]
       .filter((row) => row.key >= from && (until === undefined || row.key < until))
       .sort((left, right) => (left.key < right.key ? -1 : 1));
   }
@@ -78,7 +78,7 @@
 
   /** Changes of a table after a version; undefined when they are forgotten. */
   changes(table: string, afterVersion: number): ModelRow[] | undefined {
-    if (afterVersion < this.#forgottenVersion) return undefined;
+    if (afterVersion < this.#compactedVersion) return undefined;
     let first = this.#changes.length;
     while (first > 0 && (this.#changes[first - 1]?.version ?? 0) > afterVersion) first -= 1;
     return this.#changes.slice(first).filter((change) => change.table === table);
@@ -86,41 +86,41 @@
 
   /** Calls `wake` at the next transaction. */
   onNextChange(wake: () => void): void {
-    this.#waiting.push(wake);
+    this.#changeListeners.push(wake);
   }
 
   /** Forgets all history; those that wait for changes are woken. */
   compact(): void {
-    this.#forgottenVersion = this.#version;
+    this.#compactedVersion = this.#version;
     this.#changes = [];
-    const waiting = this.#waiting;
-    this.#waiting = [];
+    const waiting = this.#changeListeners;
+    this.#changeListeners = [];
     for (const wake of waiting) wake();
   }
 
   #versionOf(key: ModelKey): number {
-    return this.#rows.get(nameOf(key))?.version ?? 0;
+    return this.#rows.get(rowId(key))?.version ?? 0;
   }
 
   #set(row: ModelRow): void {
-    const range = this.#ranges.get(rangeOf(row)) ?? new Map<string, ModelRow>();
-    this.#ranges.set(rangeOf(row), range);
+    const range = this.#rowsByPart.get(partId(row)) ?? new Map<string, ModelRow>();
+    this.#rowsByPart.set(partId(row), range);
     if (row.value === undefined) {
-      this.#rows.delete(nameOf(row));
+      this.#rows.delete(rowId(row));
       range.delete(row.key);
     } else {
-      this.#rows.set(nameOf(row), row);
+      this.#rows.set(rowId(row), row);
       range.set(row.key, row);
     }
     this.#changes.push(row);
   }
 }
 
-function nameOf({ table, part, key }: ModelKey): string {
+function rowId({ table, part, key }: ModelKey): string {
   return JSON.stringify([table, part, key]);
 }
 
-function rangeOf({ table, part }: Pick<ModelKey, "table" | "part">): string {
+function partId({ table, part }: Pick<ModelKey, "table" | "part">): string {
   return JSON.stringify([table, part]);
 }
 
--- a/standins/platform/row-store-standin.ts
+++ b/standins/platform/row-store-standin.ts
@@ -85,8 +85,8 @@
     if (fault === "silent") return;
     if (this.delayMs > 0) await pause(this.delayMs);
     if (fault === "busy" || fault === "throttled") this.refused += 1;
-    if (fault === "busy") return answer(response, 503, { error: "busy" });
-    if (fault === "throttled") return answer(response, 429, { error: "throttled" });
+    if (fault === "busy") return sendJson(response, 503, { error: "busy" });
+    if (fault === "throttled") return sendJson(response, 429, { error: "throttled" });
     switch (url.pathname) {
       case "/tulipwheel/rows-tx":
         return this.#transact(JSON.parse(body) as WireTransaction, response, fault);
@@ -95,7 +95,7 @@
       case "/tulipwheel/rows-feed":
         return this.#watch(url.searchParams, response);
       default:
-        return answer(response, 404, { error: "no such call" });
+        return sendJson(response, 404, { error: "no such call" });
     }
   }
 
@@ -106,7 +106,7 @@
     const removes = wire.remove ?? [];
     const entries = [...conditions, ...puts, ...removes];
     const parts = new Set(entries.map((entry) => entry.part));
-    if (entries.length > MAX_ENTRIES || parts.size > 1) return answer(response, 400, { error: "too much" });
+    if (entries.length > MAX_ENTRIES || parts.size > 1) return sendJson(response, 400, { error: "too much" });
     if (fault === "lateWrite") await pause(this.lateWriteMs);
     const outcome = this.model.transact({
       conditions: conditions.map((entry) => ({ ...keyOf(entry), version: entry.ver })),
@@ -114,8 +114,8 @@
       removes: removes.map(keyOf),
     });
     if (fault === "lostAnswer" || fault === "lateWrite") return;
-    if (outcome.committed) return answer(response, 200, { ver: outcome.version });
-    answer(response, 412, { ver: outcome.version, rows: outcome.rows.map(wireRow) });
+    if (outcome.committed) return sendJson(response, 200, { ver: outcome.version });
+    sendJson(response, 412, { ver: outcome.version, rows: outcome.rows.map(toWireRow) });
   }
 
   #read(query: URLSearchParams, response: ServerResponse): void {
@@ -129,7 +129,7 @@
       until,
     );
     const more = rows.length > limit;
-    answer(response, 200, { rows: rows.slice(0, limit).map(wireRow), more, ver: this.model.version });
+    sendJson(response, 200, { rows: rows.slice(0, limit).map(toWireRow), more, ver: this.model.version });
   }
 
   async #watch(query: URLSearchParams, response: ServerResponse): Promise<void> {
@@ -139,10 +139,10 @@
     const untilMs = performance.now() + Number(query.get("wait-ms"));
     for (;;) {
       const changes = this.model.changes(table, after);
-      if (!changes) return answer(response, 410, { error: "history gone" });
+      if (!changes) return sendJson(response, 410, { error: "history gone" });
       const leftMs = untilMs - performance.now();
       if (changes.length > 0 || leftMs <= 0) {
-        return answer(response, 200, { rows: changes.map(wireRow), ver: this.model.version });
+        return sendJson(response, 200, { rows: changes.map(toWireRow), ver: this.model.version });
       }
       await Promise.race([pause(leftMs), new Promise<void>((wake) => this.model.onNextChange(wake))]);
     }
@@ -160,12 +160,12 @@
   return { table: entry.table, part: entry.part, key: entry["tls-key"] };
 }
 
-function wireRow({ table, part, key, value, version }: ModelRow) {
+function toWireRow({ table, part, key, value, version }: ModelRow) {
   const row = { table, part, "tls-key": key, ver: version };
   return value === undefined ? { ...row, gone: true } : { ...row, value };
 }
 
-function answer(response: ServerResponse, status: number, body: unknown): void {
+function sendJson(response: ServerResponse, status: number, body: unknown): void {
   response.writeHead(status, { "Content-Type": "application/json" }).end(JSON.stringify(body));
 }
 
--- a/standins/platform/runner-standin.ts
+++ b/standins/platform/runner-standin.ts
@@ -31,7 +31,7 @@
   | "error";
 
 /** A request that a runner has run. */
-export interface RanRequest {
+export interface ExecutedRequest {
   readonly id: string;
   readonly method: string;
   readonly target: string;
@@ -45,24 +45,24 @@
 
 const MISDIRECTED = 421;
 /** With it a test asks for so many bytes more in each event or answer. */
-const FILLING_HEADER = "x-test-filling-bytes";
+const PADDING_BYTES_HEADER = "x-test-filling-bytes";
 
 /** See the module's comment. */
 export class RunnerStandin {
   readonly id: string;
   fault: RunnerFault = "none";
   /** How many requests more the fault strikes. */
-  faultCount = Number.POSITIVE_INFINITY;
+  remainingFaults = Number.POSITIVE_INFINITY;
   /** Events of a stream. */
   events = 4;
   /** Time between events, and before a plain answer, in ms. */
   stepMs = 1;
   /** How long a stream may stay unread until it is reset, in ms. */
-  unreadMs = 5_000;
-  readonly ran: RanRequest[] = [];
+  unreadTimeoutMs = 5_000;
+  readonly executedRequests: ExecutedRequest[] = [];
   /** The most requests that ran at once. */
-  mostBusy = 0;
-  #busy = 0;
+  maxRunningCount = 0;
+  #runningCount = 0;
   readonly #server: Server;
 
   constructor(id: string) {
@@ -79,8 +79,8 @@
   }
 
   /** Requests that run now. */
-  get busy(): number {
-    return this.#busy;
+  get runningCount(): number {
+    return this.#runningCount;
   }
 
   close(): void {
@@ -108,25 +108,30 @@
       response.writeHead(503, { "X-Request-Id": requestId, "X-Not-Executed": "1" }).end();
       return;
     }
-    const ran = this.#run(request, requestId, body, response);
+    const executed = this.#recordRequest(request, requestId, body, response);
     if (fault === "lostAnswer") return void request.socket.resetAndDestroy();
     if (fault === "silent") return;
     if (fault === "error") return void response.writeHead(500, base).end("failed");
     if (fault === "otherRequest") base["X-Request-Id"] = "another";
-    if (request.headers["x-token-usage"] !== undefined) return this.#stream(ran, base, fault, response);
+    if (request.headers["x-token-usage"] !== undefined) return this.#stream(executed, base, fault, response);
     await pause(this.stepMs);
-    this.#answerPlain(`done ${requestId}${fillingOf(ran)}`, base, fault, response);
+    this.#answerPlain(`done ${requestId}${paddingOf(executed)}`, base, fault, response);
   }
 
   #takeFault(): RunnerFault {
-    if (this.fault === "none" || this.faultCount <= 0) return "none";
-    this.faultCount -= 1;
+    if (this.fault === "none" || this.remainingFaults <= 0) return "none";
+    this.remainingFaults -= 1;
     return this.fault;
   }
 
-  #run(request: IncomingMessage, id: string, body: string, response: ServerResponse): RanRequest {
+  #recordRequest(
+    request: IncomingMessage,
+    id: string,
+    body: string,
+    response: ServerResponse,
+  ): ExecutedRequest {
     const lastEventId = request.headers["last-event-id"];
-    const ran: RanRequest = {
+    const executed: ExecutedRequest = {
       id,
       method: request.method ?? "",
       target: request.url ?? "",
@@ -136,29 +141,29 @@
       lastEventId: lastEventId === undefined ? undefined : Number(lastEventId),
       cancelled: false,
     };
-    this.ran.push(ran);
-    this.#busy += 1;
-    this.mostBusy = Math.max(this.mostBusy, this.#busy);
+    this.executedRequests.push(executed);
+    this.#runningCount += 1;
+    this.maxRunningCount = Math.max(this.maxRunningCount, this.#runningCount);
     response.on("close", () => {
-      this.#busy -= 1;
-      ran.cancelled = !response.writableFinished;
+      this.#runningCount -= 1;
+      executed.cancelled = !response.writableFinished;
     });
-    return ran;
+    return executed;
   }
 
   async #stream(
-    ran: RanRequest,
+    executed: ExecutedRequest,
     headers: Record<string, string>,
     fault: RunnerFault,
     response: ServerResponse,
   ): Promise<void> {
     response.writeHead(200, { ...headers, "Content-Type": "text/event-stream" });
-    const first = (ran.lastEventId ?? 0) + 1;
-    const filling = fillingOf(ran);
+    const first = (executed.lastEventId ?? 0) + 1;
+    const padding = paddingOf(executed);
     for (let event = first; event <= this.events; event += 1) {
       await pause(this.stepMs);
       if (response.destroyed) return;
-      const text = `id: ${event}\ndata: ${RunnerStandin.eventData(ran.id, event)}${filling}\n\n`;
+      const text = `id: ${event}\ndata: ${RunnerStandin.eventData(executed.id, event)}${padding}\n\n`;
       if (fault === "breakStream" && event > this.events / 2) {
         response.write(text.slice(0, text.length / 2));
         await pause(this.stepMs);
@@ -173,7 +178,7 @@
   /** Waits until the answer is read on; false when it was not in time, or its connection has ended. */
   #drained(response: ServerResponse): Promise<boolean> {
     return new Promise((resolve) => {
-      const timer = setTimeout(() => response.socket?.resetAndDestroy(), this.unreadMs);
+      const timer = setTimeout(() => response.socket?.resetAndDestroy(), this.unreadTimeoutMs);
       const settle = () => {
         clearTimeout(timer);
         response.off("drain", settle).off("close", settle);
@@ -205,8 +210,8 @@
   }
 }
 
-function fillingOf({ headers }: RanRequest): string {
-  return "x".repeat(Number(headers[FILLING_HEADER] ?? 0));
+function paddingOf({ headers }: ExecutedRequest): string {
+  return "x".repeat(Number(headers[PADDING_BYTES_HEADER] ?? 0));
 }
 
 function pause(delayMs: number): Promise<void> {
--- a/standins/platform/sample-call.ts
+++ b/standins/platform/sample-call.ts
@@ -1,10 +1,10 @@
 import type { SampleRequest } from "./sample-request.ts";
 import { SAMPLE_ROUTES } from "./sample-routes.ts";
 
-const BYTES = 600;
+const BODY_BYTES = 600;
 
 /** A plain call, with the size that calls of tools have on the users' large deployments. */
 export function sampleCall(index: number): SampleRequest {
   const headers = { host: SAMPLE_ROUTES.host, "X-Request-Id": `call-${index}`, "X-Deadline-Ms": "2000" };
-  return { path: SAMPLE_ROUTES.callPath, headers, body: "x".repeat(BYTES) };
+  return { path: SAMPLE_ROUTES.callPath, headers, body: "x".repeat(BODY_BYTES) };
 }
--- a/standins/service/service-model.ts
+++ b/standins/service/service-model.ts
@@ -30,7 +30,7 @@
   }
 
   /** Carries a request out. */
-  carryOut(call: ServiceCall): ServiceReply {
+  execute(call: ServiceCall): ServiceReply {
     this.#ledger.push(call);
     const receipt = { receipt: this.#ledger.length, method: call.method, path: call.path };
     return { status: OK, contentType: "application/json", body: JSON.stringify(receipt) };
--- a/test/contract/runner-connections.test.ts
+++ b/test/contract/runner-connections.test.ts
@@ -64,7 +64,7 @@
     const clock = new SystemClock();
     const sentMs = clock.monotonicMs();
     const ended = ask();
-    while (runner.ran.length === 0) await new Promise((resolve) => setTimeout(resolve, 5));
+    while (runner.executedRequests.length === 0) await new Promise((resolve) => setTimeout(resolve, 5));
     act();
     const end = await ended;
     return { end, afterMs: clock.monotonicMs() - sentMs };
--- a/test/process/builds-side-by-side.test.ts
+++ b/test/process/builds-side-by-side.test.ts
@@ -183,7 +183,7 @@
 
 /** Nothing ran twice, what was refused never, and what was answered once. */
 function expectCallsOnce(cluster: RollingCluster, { calls }: Load): void {
-  const ran = cluster.services.flatMap((service) => service.ran.map(({ id }) => id));
+  const ran = cluster.services.flatMap((service) => service.executedRequests.map(({ id }) => id));
   expect(new Set(ran).size).toEqual(ran.length);
   for (const [id, status] of calls) {
     if (status === OK) expect(ran.includes(id)).toEqual(true);
@@ -199,7 +199,7 @@
 function expectChainKept(cluster: RollingCluster, { kept, keptStatuses }: Load): void {
   expect(keptStatuses.filter((status) => ![OK, UNAVAILABLE, 0].includes(status))).toEqual([]);
   const last = kept.at(-1);
-  const run = cluster.engines.flatMap((engine) => engine.ran).findLast(({ id }) => id === last);
+  const run = cluster.engines.flatMap((engine) => engine.executedRequests).findLast(({ id }) => id === last);
   const before = kept.slice(0, -1).map((id) => `input of ${id}\n${keptOutput(id)}`);
   expect(run?.body === `${before.join("")}input of ${last}\n`).toEqual(true);
 }
--- a/test/process/gateway.test.ts
+++ b/test/process/gateway.test.ts
@@ -48,7 +48,7 @@
     const plain = await call(gateway(0), `${PATHS.unsafe}x?y=1`, id);
     expect([plain.status, plain.body]).toEqual([200, `done ${id}`]);
     expect(plain.headers["x-response-signature"]).toEqual(`api-0.${id}`);
-    const [ran] = cluster.services[0]?.ran ?? [];
+    const [ran] = cluster.services[0]?.executedRequests ?? [];
     expect([ran?.method, ran?.target, ran?.body]).toEqual(["POST", `${PATHS.unsafe}x?y=1`, `input of ${id}`]);
     expect((ran?.deadlineMs ?? 0) <= 3_000).toEqual(true);
     const streamed = await turn(gateway(0), PATHS.turn, newRequestId(), { program: "p" });
@@ -105,7 +105,7 @@
     const answer = await insist(() => turn(gateway(1), PATHS.kept, second, next));
     expect(answer.status).toEqual(200);
     const output = [1, 2, 3, 4].map((event) => `${RunnerStandin.eventData(first, event)}\n`).join("");
-    const ran = cluster.engines[0]?.ran.find((one) => one.id === second);
+    const ran = cluster.engines[0]?.executedRequests.find((one) => one.id === second);
     expect(ran?.body).toEqual(`input of ${first}\n${output}input of ${second}\n`);
     const foreign = { program: "another program", previous: second };
     expect((await insist(() => turn(gateway(0), PATHS.kept, newRequestId(), foreign))).status).toEqual(200);
@@ -119,14 +119,14 @@
     cluster = await GatewayCluster.start(1, 2, 0);
     for (const engine of cluster.engines) {
       engine.fault = "breakStream";
-      engine.faultCount = 1;
+      engine.remainingFaults = 1;
     }
     const id = newRequestId();
     const answer = await turn(gateway(0), PATHS.turn, id, { program: "p" });
     expect([answer.status, answer.body]).toEqual([200, wholeStream(id, 4)]);
-    const runners = cluster.engines.filter((engine) => engine.ran.some((one) => one.id === id));
+    const runners = cluster.engines.filter((engine) => engine.executedRequests.some((one) => one.id === id));
     expect(runners.length).toEqual(1);
-    expect(runners[0]?.ran.map((one) => one.lastEventId)).toEqual([undefined, 2]);
+    expect(runners[0]?.executedRequests.map((one) => one.lastEventId)).toEqual([undefined, 2]);
   });
 
   it("run what may not be repeated at most once, and promise nothing when its answer is lost", async () => {
@@ -137,7 +137,9 @@
       const id = newRequestId();
       const { status } = await call(gateway(0), PATHS.unsafe, id);
       expect([fault, status]).toEqual([fault, 502]);
-      const runs = cluster.services.flatMap((service) => service.ran.filter((one) => one.id === id));
+      const runs = cluster.services.flatMap((service) =>
+        service.executedRequests.filter((one) => one.id === id),
+      );
       expect(runs.length).toEqual(1);
     }
   });
@@ -146,7 +148,7 @@
     cluster = await GatewayCluster.start(1, 0, 2);
     for (const service of cluster.services) {
       service.fault = "lostAnswer";
-      service.faultCount = 1;
+      service.remainingFaults = 1;
     }
     const id = newRequestId();
     // One runner loses the answer, the other would as well: two attempts are all that the route allows.
@@ -164,10 +166,12 @@
     const answers = await Promise.all(ids.map((id) => call(gateway(0), PATHS.safe, id)));
     expect(answers.map(({ status }) => status)).toEqual(ids.map(() => 200));
     expect(performance.now() - startedMs < 2_000).toEqual(true);
-    expect(silent.ran.length > 0).toEqual(true);
+    expect(silent.executedRequests.length > 0).toEqual(true);
     const once = Array.from({ length: 8 }, () => newRequestId());
     await Promise.all(once.map((id) => call(gateway(0), PATHS.unsafe, id)));
-    const ran = [...silent.ran, ...sound.ran].map(({ id }) => id).filter((id) => once.includes(id));
+    const ran = [...silent.executedRequests, ...sound.executedRequests]
+      .map(({ id }) => id)
+      .filter((id) => once.includes(id));
     expect(ran.length).toEqual(new Set(ran).size);
   });
 
@@ -188,7 +192,7 @@
     const answer = await call(gateway(0), PATHS.unsafe, newRequestId());
     expect(answer.status).toEqual(503);
     expect(Number(answer.headers["retry-after"]) > 0).toEqual(true);
-    expect(cluster.services.flatMap((service) => service.ran)).toEqual([]);
+    expect(cluster.services.flatMap((service) => service.executedRequests)).toEqual([]);
   });
 
   it("end a request at its route's time, and the runner's work with it", async () => {
@@ -201,8 +205,8 @@
     expect((await turn(gateway(0), PATHS.turn, newRequestId(), { program: "p" })).status).toEqual(504);
     expect(performance.now() - startedMs < 1_500).toEqual(true);
     await pause(100);
-    expect(cluster.services[0]?.ran.map((one) => one.cancelled)).toEqual([true]);
-    expect(cluster.engines[0]?.ran.map((one) => one.cancelled)).toEqual([true]);
+    expect(cluster.services[0]?.executedRequests.map((one) => one.cancelled)).toEqual([true]);
+    expect(cluster.engines[0]?.executedRequests.map((one) => one.cancelled)).toEqual([true]);
   });
 
   it("stop the runner when the caller leaves", async () => {
@@ -218,7 +222,7 @@
     leaving.abort();
     await asked;
     await pause(300);
-    expect(service?.ran.map((one) => one.cancelled)).toEqual([true]);
+    expect(service?.executedRequests.map((one) => one.cancelled)).toEqual([true]);
   });
 
   it("stop as planned without cutting a request, and leave the directory at once", async () => {
@@ -265,7 +269,7 @@
     cluster.listRunner(leaving, "api", "draining");
     await pause(500);
     for (let count = 0; count < 10; count += 1) await call(gateway(0), PATHS.unsafe, newRequestId());
-    expect([leaving.ran.length, staying.ran.length]).toEqual([0, 10]);
+    expect([leaving.executedRequests.length, staying.executedRequests.length]).toEqual([0, 10]);
   });
 
   it("take a stream at once from a runner that has started again under its name", async () => {
@@ -275,15 +279,18 @@
     cluster.listRunner(engine, "engine", "ready", { born: 1_000 });
     await pause(500);
     engine.fault = "silent";
-    engine.faultCount = 1;
+    engine.remainingFaults = 1;
     const id = newRequestId();
     const startedMs = performance.now();
     const asked = turn(gateway(0), PATHS.turn, id, { program: "p" });
-    while (engine.ran.length === 0) await pause(10);
+    while (engine.executedRequests.length === 0) await pause(10);
     cluster.listRunner(engine, "engine", "ready", { born: 2_000 });
     expect(await asked.then(({ status, body }) => [status, body])).toEqual([200, wholeStream(id, 4)]);
     expect(performance.now() - startedMs < 2_000).toEqual(true);
-    expect(engine.ran.map((ran) => ran.headers["x-expect-instance"])).toEqual([engine.id, engine.id]);
+    expect(engine.executedRequests.map((ran) => ran.headers["x-expect-instance"])).toEqual([
+      engine.id,
+      engine.id,
+    ]);
   });
 
   it("send nothing to a runner of whose row another writer has left something else", async () => {
@@ -294,7 +301,11 @@
     cluster.listRunner(strange, "api", "ready", { slots: "8" });
     await pause(500);
     for (let count = 0; count < 10; count += 1) await call(gateway(0), PATHS.unsafe, newRequestId());
-    expect([asleep.ran.length, strange.ran.length, staying.ran.length]).toEqual([0, 0, 10]);
+    expect([
+      asleep.executedRequests.length,
+      strange.executedRequests.length,
+      staying.executedRequests.length,
+    ]).toEqual([0, 0, 10]);
   });
 
   it("without others, go on within what is reserved while the store is down, and answer at once beyond it", async () => {
--- a/test/process/place-delays.test.ts
+++ b/test/process/place-delays.test.ts
@@ -52,7 +52,7 @@
     expect(late.map(({ status }) => status).filter((status) => status !== 503)).toEqual([]);
     expect(late.every(({ headers }) => Number(headers["retry-after"]) > 0)).toEqual(true);
     expect(tookMs).toBeLessThan(HELD_UP_MS);
-    expect(service.ran.filter(({ id }) => id.startsWith("late-"))).toEqual([]);
+    expect(service.executedRequests.filter(({ id }) => id.startsWith("late-"))).toEqual([]);
   });
 
   // Guards against 503 for calls that have time, after calls that took long have ended.
@@ -62,7 +62,7 @@
     // Each gateway notices that places are scarce, and takes them for scarce some seconds longer.
     for (const index of cluster.gateways.keys())
       void call(gateway(index), PATHS.unsafe, newRequestId(), GIVEN_UP_MS);
-    while (service.busy > 0) await pause(20);
+    while (service.runningCount > 0) await pause(20);
     const answers = await Promise.all(
       Array.from({ length: 40 }, (_, index) => call(gateway(index), PATHS.unsafe, newRequestId(), 5_000)),
     );
--- a/test/process/places.test.ts
+++ b/test/process/places.test.ts
@@ -58,13 +58,15 @@
     expect(answers.filter(({ status }) => status !== 200 && status !== 503)).toEqual([]);
     expect(answers.filter(({ status }) => status === 200).length).toBeGreaterThan(20);
     await pause(FLUSHED_MS);
-    expect(new Set(service.ran.map(({ id }) => id)).size).toEqual(service.ran.length);
-    expect(service.ran.filter(({ id }) => id.startsWith("late-"))).toEqual([]);
+    expect(new Set(service.executedRequests.map(({ id }) => id)).size).toEqual(
+      service.executedRequests.length,
+    );
+    expect(service.executedRequests.filter(({ id }) => id.startsWith("late-"))).toEqual([]);
     const granted = linesOf("waits-").flatMap(({ places = [] }) => places);
     expect(granted.filter(({ verdict }) => verdict === "granted").length).toBeGreaterThan(20);
     // On a busy machine an answer of the dispatcher may come too late for some: these are placed beside it.
     const alone = granted.filter(({ verdict }) => verdict === "alone").length;
-    expect(service.mostBusy).toBeLessThanOrEqual(SLOTS + alone);
+    expect(service.maxRunningCount).toBeLessThanOrEqual(SLOTS + alone);
     expect(new Set(granted.map(({ dispatcher }) => dispatcher)).size).toEqual(1);
     expect(Math.max(...granted.map(({ waitedMs }) => waitedMs))).toBeGreaterThan(100);
   });
@@ -83,6 +85,6 @@
     const alone = linesOf("").flatMap(({ places = [] }) =>
       places.filter(({ verdict }) => verdict === "alone"),
     );
-    expect(engine.mostBusy).toBeLessThanOrEqual(SLOTS + ON_TOP + alone.length);
+    expect(engine.maxRunningCount).toBeLessThanOrEqual(SLOTS + ON_TOP + alone.length);
   });
 });
--- a/test/process/slow-readers.test.ts
+++ b/test/process/slow-readers.test.ts
@@ -207,7 +207,7 @@
     beginBodies();
     const refused = await firstWith(UNAVAILABLE);
     expect(Number(refused.answer.headers["retry-after"]) > 0).toEqual(true);
-    expect(service?.ran.some(({ id }) => id === refused.id)).toEqual(false);
+    expect(service?.executedRequests.some(({ id }) => id === refused.id)).toEqual(false);
     expect((await firstWith(OK)).answer.status).toEqual(OK);
     endAll();
     await pause(500);
--- a/test/process/tenants.test.ts
+++ b/test/process/tenants.test.ts
@@ -56,19 +56,19 @@
     expect(await until(() => callWith("key-of-shop"), 200, 3_000)).toEqual(200);
     expect(await until(() => callWith("key-of-nobody"), UNKNOWN_KEY, 3_000)).toEqual(UNKNOWN_KEY);
     const [service] = cluster.services;
-    service?.ran.splice(0);
+    service?.executedRequests.splice(0);
     const claims = { "X-Tenant": "bank", "X-Hold": "h", "X-Pin-Ms": "9", "X-Kv-Backup": "b", "Kv-From": "f" };
     expect((await callWith("second-key-of-shop", PATHS.unsafe, claims)).status).toEqual(200);
     expect((await callWith("key-of-bank")).status).toEqual(200);
     expect((await callWith("key-of-shop", PATHS.public, claims)).status).toEqual(200);
     expect((await callWith(undefined, PATHS.public)).status).toEqual(200);
-    expect(service?.ran.map(({ headers }) => headers["x-tenant"])).toEqual([
+    expect(service?.executedRequests.map(({ headers }) => headers["x-tenant"])).toEqual([
       "shop",
       "bank",
       undefined,
       undefined,
     ]);
-    for (const { headers } of service?.ran ?? []) {
+    for (const { headers } of service?.executedRequests ?? []) {
       const kept = ["authorization", "x-hold", "x-pin-ms", "x-kv-backup", "kv-from"].filter(
         (name) => name in headers,
       );
@@ -83,13 +83,13 @@
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants: [SHOP] });
     expect(await until(() => callWith(undefined), UNKNOWN_KEY, 3_000)).toEqual(UNKNOWN_KEY);
     const [service] = cluster.services;
-    service?.ran.splice(0);
+    service?.executedRequests.splice(0);
     for (const key of [undefined, "key-of-nobody", "key-of-bank", "shop", ""])
       expect((await callWith(key)).status).toEqual(UNKNOWN_KEY);
     expect((await callWith(undefined, PATHS.unsafe, { Authorization: "Basic key-of-shop" })).status).toEqual(
       UNKNOWN_KEY,
     );
-    expect(service?.ran).toEqual([]);
+    expect(service?.executedRequests).toEqual([]);
     expect((await callWith("key-of-shop")).status).toEqual(200);
   });
 
--- a/test/soak/check-retained.ts
+++ b/test/soak/check-retained.ts
@@ -112,5 +112,7 @@
   const { status, whole } = await soakRequest(reached, PATHS.kept, headers, input, TIMEOUT_MS);
   ledger.note({ id, kind: "turn", gateway: gateway.name, status, whole });
   statuses.push(status);
-  return cluster.engines.some(({ ran }) => ran.some((run) => run.id === id && run.body === prompt));
+  return cluster.engines.some(({ executedRequests }) =>
+    executedRequests.some((run) => run.id === id && run.body === prompt),
+  );
 }
--- a/test/soak/check-runners.ts
+++ b/test/soak/check-runners.ts
@@ -1,5 +1,5 @@
 /** What runners saw during a soak, against what callers were told. */
-import type { RanRequest } from "../../standins/platform/runner-standin.ts";
+import type { ExecutedRequest } from "../../standins/platform/runner-standin.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
 import type { SoakLedger } from "./soak-ledger.ts";
 
@@ -7,12 +7,12 @@
 
 /** Checks order and history, at most once, and true refusals. Call it when nothing is under way any more. */
 export function checkRunners(cluster: SoakCluster, ledger: SoakLedger): void {
-  const ran = [...cluster.engines, ...cluster.services].flatMap((runner) => runner.ran);
+  const ran = [...cluster.engines, ...cluster.services].flatMap((runner) => runner.executedRequests);
   checkPrompts(ran, ledger);
   checkOnce(ran, ledger);
 }
 
-function checkPrompts(ran: readonly RanRequest[], ledger: SoakLedger): void {
+function checkPrompts(ran: readonly ExecutedRequest[], ledger: SoakLedger): void {
   for (const { id, body } of ran) {
     const prompt = ledger.prompts.get(id);
     if (prompt !== undefined && prompt !== body)
@@ -20,7 +20,7 @@
   }
 }
 
-function checkOnce(ran: readonly RanRequest[], ledger: SoakLedger): void {
+function checkOnce(ran: readonly ExecutedRequest[], ledger: SoakLedger): void {
   const counts = new Map<string, number>();
   for (const { id } of ran) counts.set(id, (counts.get(id) ?? 0) + 1);
   const known = new Set<string>();
--- a/test/soak/tenant-watch.ts
+++ b/test/soak/tenant-watch.ts
@@ -52,7 +52,7 @@
 
   /** Checks what runners ran. Call it when nothing is under way any more. */
   check(): void {
-    const ran = this.#cluster.services.flatMap((runner) => runner.ran);
+    const ran = this.#cluster.services.flatMap((runner) => runner.executedRequests);
     const wildAtMs: number[] = [];
     for (const { id, headers } of ran) {
       const sent = this.#sent.get(id);
