--- a/standins/engine/engine-model.ts
+++ b/standins/engine/engine-model.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine without a model: continuous batching over steps, chunked prefill, a prefix cache in limited memory,
- * priorities, resumption, cancellation, fenced orders, and reports that lag. Pure: time comes in as a value, so the
- * same engine serves HTTP, the simulation and the emulator.
+ * Simulates an inference engine without running a model: continuous batching in steps, chunked prefill, a prefix cache
+ * of limited size, priorities, resumption, cancellation, orders with fencing tokens, and delayed load reports. It does
+ * no I/O and takes the time as an argument, so the HTTP stand-in, the simulation and the emulator share it.
  */
 import type {
   CacheEvent,
@@ -21,31 +21,31 @@
 export interface EngineModelOptions {
   readonly name: string;
   readonly models: readonly string[];
-  /** Sequences in a batch. Default 16. */
+  /** Maximum number of sequences in a batch. Default 16. */
   readonly slots?: number;
-  /** Tokens of key-value memory for the prefix cache. Default 200,000. */
+  /** Capacity of the prefix cache, in tokens of key-value memory. Default 200,000. */
   readonly kvTokens?: number;
-  /** Time of a step with an empty batch, in ms. Default 10. */
+  /** Duration of a step with an empty batch, in ms. Default 10. */
   readonly stepMs?: number;
-  /** Time that each further sequence adds to a step, in ms. Default 0.1. */
+  /** Time that each sequence adds to a step, in ms. Default 0.1. */
   readonly stepMsPerSequence?: number;
-  /** Prompt tokens worked on in a step. Default 2,048. */
+  /** Maximum number of prompt tokens processed in a step. Default 2,048. */
   readonly prefillTokensPerStep?: number;
   /** Time that each prompt token adds to a step, in ms. Default 0.01. */
   readonly prefillMsPerToken?: number;
-  /** Age of the load that is reported, in ms. Default 500. */
+  /** Maximum age of the reported load, in ms. Default 500. */
   readonly loadLagMs?: number;
-  /** Time until a cache event can be read, in ms. Default 1,000. */
+  /** Delay before a cache event can be read, in ms. Default 1,000. */
   readonly eventDelayMs?: number;
-  /** Part of the cache events that are lost. Default 0.05. */
+  /** Fraction of the cache events that are lost. Default 0.05. */
   readonly eventLoss?: number;
-  /** Requests that may wait inside the engine. Default 64. */
+  /** Maximum number of requests in the engine's queue. Default 64. */
   readonly maxWaiting?: number;
-  /** Whether two engines answer the same prompt alike. Default true. */
+  /** Whether all engines generate the same text for the same prompt. Default true. */
   readonly sameTextEverywhere?: boolean;
 }
 
-/** Who is told of a generation's progress. */
+/** Receives the progress of a generation. */
 export interface GenerationSink {
   onChunk(offset: number, text: string): void;
   onEnd(result: Extract<GenerateResult, { type: "completed" }>): void;
@@ -64,7 +64,7 @@
   generatedTokens: number;
 }
 
-/** Totals since the engine's start. */
+/** Totals since the engine started. */
 export interface EngineTotals {
   promptTokens: number;
   cachedTokens: number;
@@ -91,7 +91,7 @@
 
 const MAX_EVENTS = 1_000;
 
-/** See the module's comment. */
+/** An engine's queue, batch, prefix cache and reports. */
 export class EngineModel {
   readonly options: Required<EngineModelOptions>;
   readonly totals: EngineTotals = {
@@ -125,37 +125,37 @@
     this.#models = new Set(options.models);
   }
 
-  /** Whether a step has anything to do. */
+  /** Whether any request is running or waiting. */
   get hasWork(): boolean {
     return this.#running.length > 0 || this.#waiting.length > 0;
   }
 
-  /** Sequences in the batch. */
+  /** Number of sequences in the batch. */
   get runningCount(): number {
     return this.#running.length;
   }
 
-  /** What the engine is used for at present. */
+  /** The engine's current role. */
   get role(): "mixed" | "prefill" | "decode" {
     return this.#role;
   }
 
-  /** The models that can be asked for. */
+  /** The models that are loaded. */
   get models(): readonly string[] {
     return [...this.#models];
   }
 
-  /** Whether the engine refuses new work. */
+  /** Whether the engine is leaving and refuses new requests. */
   get leaving(): boolean {
     return this.#leaving;
   }
 
-  /** From now on new requests are refused, or taken again. */
+  /** Sets whether the engine is leaving. While it is, new requests are refused. */
   setLeaving(leaving: boolean): void {
     this.#leaving = leaving;
   }
 
-  /** Takes a request. Returns why not, when it is not taken. */
+  /** Adds a request to the queue. Returns the reason if the request is refused. */
   submit(request: GenerateRequest, sink: GenerationSink, nowMs: number): EngineRefusal | undefined {
     const refusal = this.#findRefusal(request);
     if (refusal) {
@@ -167,7 +167,7 @@
     return undefined;
   }
 
-  /** Takes a request out, wherever it is. */
+  /** Removes a request from the batch or the queue. Returns whether it was found. */
   cancel(requestId: string): boolean {
     const before = this.#running.length + this.#waiting.length;
     this.#running = this.#running.filter((sequence) => sequence.request.requestId !== requestId);
@@ -177,7 +177,7 @@
     return cancelled;
   }
 
-  /** Begins a step and returns how long it takes, in ms; {@link finishStep} must follow after that time. */
+  /** Begins a step and returns its duration, in ms. Call {@link finishStep} after that time. */
   beginStep(): number {
     this.#fillBatch();
     const { stepMs, stepMsPerSequence, prefillMsPerToken } = this.options;
@@ -185,7 +185,7 @@
     return stepMs + stepMsPerSequence * this.#running.length + prefillMsPerToken * prefill;
   }
 
-  /** Ends a step: prompts get on, and every other sequence has one token more. */
+  /** Ends a step: advances the prefill of prompts, and generates one token for every other sequence. */
   finishStep(nowMs: number): void {
     const planned = this.#planPrefill();
     const prefilling = new Set(planned.map(({ sequence }) => sequence));
@@ -198,7 +198,7 @@
     }
   }
 
-  /** Load as it was a while ago. */
+  /** The load as of the last refresh, up to `loadLagMs` old. */
   load(nowMs: number): EngineLoad {
     if (nowMs - this.#reportedAtMs >= this.options.loadLagMs) {
       this.#reportedAtMs = nowMs;
@@ -213,12 +213,12 @@
     return { ...this.#reported, leaving: this.#leaving, ageMs: nowMs - this.#reportedAtMs };
   }
 
-  /** What is held for programs. */
+  /** Cached tokens per program. */
   holds(): EngineHold[] {
     return [...this.#cache.holds()].map(([program, tokens]) => ({ program, tokens }));
   }
 
-  /** Cache events that can be read by now. */
+  /** Cache events with a number above `after` that are old enough to be read. */
   cacheEvents(after: number, nowMs: number): CacheEvent[] {
     const readable = this.#events.filter(
       (event) => event.number > after && nowMs - event.atMs >= this.options.eventDelayMs,
@@ -226,7 +226,7 @@
     return readable.map(({ number, type, program, tokens }) => ({ number, type, program, tokens }));
   }
 
-  /** Carries an order out. Returns false when its token is older than the newest seen. */
+  /** Executes an order. Returns false if its fencing token is older than the newest one seen. */
   order(order: EngineOrder, fencingToken: number, nowMs: number): boolean {
     if (fencingToken < this.#newestFencingToken) return false;
     this.#newestFencingToken = fencingToken;
@@ -247,7 +247,7 @@
     return true;
   }
 
-  /** Puts another engine's cache of a program in. */
+  /** Imports a program's cache from another engine. Returns false if the fencing token is stale. */
   importCache(
     program: string,
     messages: GenerateRequest["messages"],
--- a/standins/engine/prefix-cache.ts
+++ b/standins/engine/prefix-cache.ts
@@ -1,18 +1,18 @@
 /**
- * The stand-in engine's cache of prompt prefixes: a tree of messages, shared between programs whose histories
- * begin alike, within a bound on tokens. Least recently used leaves go first.
+ * The stand-in engine's cache of prompt prefixes: a tree of messages with a limited number of tokens. Programs whose
+ * histories begin with the same messages share nodes. The least recently used leaves are evicted first.
  */
 import type { ChatMessage } from "../../src/scheduling/program/records.ts";
 
-/** Characters per token in the stand-in. */
+/** Characters per token in the stand-in engine. */
 export const CHARACTERS_PER_TOKEN = 4;
 
-/** Tokens of a text, as the stand-in counts them. */
+/** Number of tokens of a text in the stand-in engine. */
 export function countTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
 
-/** A change of the cache. */
+/** Tokens of a program that were stored in the cache or evicted from it. */
 export interface CacheChange {
   readonly type: "stored" | "evicted";
   readonly program: string;
@@ -28,7 +28,7 @@
   lastUsedMs: number;
 }
 
-/** See the module's comment. */
+/** Stores, matches and evicts prompt prefixes. */
 export class PrefixCache {
   readonly #capacity: number;
   readonly #hash: (text: string) => string;
@@ -41,12 +41,12 @@
     this.#hash = hash;
   }
 
-  /** Tokens held. */
+  /** Number of tokens in the cache. */
   get usedTokens(): number {
     return this.#used;
   }
 
-  /** Tokens of a prompt that are held, from its beginning. */
+  /** Number of tokens of the longest cached prefix of a prompt. */
   match(messages: readonly ChatMessage[], nowMs: number): number {
     let tokens = 0;
     for (const key of this.#prefixKeys(messages)) {
@@ -58,7 +58,7 @@
     return tokens;
   }
 
-  /** Stores a prompt for a program and makes room for it. */
+  /** Stores a prompt for a program, and evicts other nodes if the cache exceeds its capacity. */
   store(program: string, messages: readonly ChatMessage[], nowMs: number): CacheChange[] {
     const changes: CacheChange[] = [];
     let parent: CacheNode | undefined;
@@ -75,7 +75,7 @@
     return changes;
   }
 
-  /** Drops what is held for a program alone. */
+  /** Removes the nodes that only this program uses. */
   release(program: string): CacheChange[] {
     let tokens = 0;
     const held = [...this.#nodes.values()].filter((node) => node.programs.delete(program));
@@ -87,7 +87,7 @@
     return tokens > 0 ? [{ type: "evicted", program, tokens }] : [];
   }
 
-  /** Tokens held per program; shared ones count for each. */
+  /** Cached tokens per program. Shared nodes count for each of their programs. */
   holds(): Map<string, number> {
     const holds = new Map<string, number>();
     for (const { programs, tokens } of this.#nodes.values()) {
@@ -96,7 +96,7 @@
     return holds;
   }
 
-  /** Makes room until at most `limit` tokens are held. */
+  /** Evicts leaves until at most `limit` tokens are cached. Nodes used at `nowMs` stay. */
   #evictTo(limit: number, nowMs: number): CacheChange[] {
     if (this.#used <= limit) return [];
     const evicted = new Map<string, number>();
--- a/standins/http/engine-standin.ts
+++ b/standins/http/engine-standin.ts
@@ -9,7 +9,7 @@
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
-/** An {@link EngineModel} behind HTTP, on the real clock. */
+/** Serves an {@link EngineModel} over HTTP, on the real clock. */
 export class EngineStandin {
   readonly model: EngineModel;
   readonly http: HttpStandin;
@@ -21,12 +21,12 @@
     this.http = new HttpStandin((request, response) => this.#handle(request, response));
   }
 
-  /** Listens; returns the address. */
+  /** Starts listening and returns the address. */
   listen(address: string): Promise<string> {
     return this.http.listen(address);
   }
 
-  /** Ends at once; streams break. */
+  /** Stops immediately and breaks open streams. */
   close(): Promise<void> {
     return this.http.close();
   }
--- a/standins/http/http-standin.ts
+++ b/standins/http/http-standin.ts
@@ -1,24 +1,24 @@
 /**
- * What all stand-ins have in common: a small JSON server on loopback whose answers can be made late, lost or
- * refused while it runs, by `POST /faults`.
+ * The server that the HTTP stand-ins share: JSON over HTTP, with faults that `POST /faults` sets at run time. Responses
+ * can be delayed, lost or refused.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { listenAt } from "../../src/runtime/listen-at.ts";
 
-/** How a stand-in misbehaves. */
+/** The faults that a stand-in injects. */
 export interface Faults {
-  /** Answers nothing and carries nothing out. */
+  /** Drops each request's connection without executing the request. */
   outage: boolean;
-  /** Waits before each request is carried out, in ms. */
+  /** Delay before each request is executed, in ms. */
   delayMs: number;
-  /** Carries writes out, and then drops the connection instead of answering. */
+  /** Executes writes, but drops the connection instead of responding. */
   loseWriteAnswers: boolean;
-  /** Requests a second that are answered; more get status 429. 0 for no limit. */
+  /** Maximum number of requests per second; further requests get status 429. 0 means no limit. */
   requestsPerSecond: number;
 }
 
-/** One request, read whole. */
+/** A request whose body has been read completely. */
 export interface StandinRequest {
   readonly method: string;
   readonly path: string;
@@ -27,13 +27,13 @@
   readonly headers: IncomingMessage["headers"];
 }
 
-/** Answers a request; `undefined` for status 404. */
+/** Handles a request. Returns `undefined` for status 404, or `streaming` if it writes the response itself. */
 export type StandinHandler = (
   request: StandinRequest,
   response: ServerResponse,
 ) => StandinAnswer | undefined | "streaming";
 
-/** A whole answer. */
+/** A complete response. */
 export interface StandinAnswer {
   readonly status: number;
   readonly body?: unknown;
@@ -46,7 +46,7 @@
 const NOT_FOUND = 404;
 const TOO_MANY_REQUESTS = 429;
 
-/** See the module's comment. */
+/** An HTTP server that passes requests to a handler and injects faults. */
 export class HttpStandin {
   readonly faults: Faults = { outage: false, delayMs: 0, loseWriteAnswers: false, requestsPerSecond: 0 };
   readonly #server: Server;
@@ -54,7 +54,7 @@
   readonly #handler: StandinHandler;
   #windowStartMs = 0;
   #windowRequests = 0;
-  /** Requests carried out. */
+  /** Number of requests executed. */
   requests = 0;
 
   constructor(handler: StandinHandler) {
@@ -67,12 +67,12 @@
     });
   }
 
-  /** Listens at `IP:port`; port 0 takes a free one. Returns the address. */
+  /** Starts listening at `IP:port` and returns the address. Port 0 selects a free port. */
   listen(address: string): Promise<string> {
     return listenAt(this.#server, address);
   }
 
-  /** Ends at once, with all connections. */
+  /** Stops immediately and closes all connections. */
   close(): Promise<void> {
     for (const socket of this.#sockets) socket.destroy();
     return new Promise((resolve) => {
@@ -119,7 +119,7 @@
   }
 }
 
-/** Reads JSON out of a request. */
+/** Parses a request's body as JSON. */
 export function parseJsonBody<Value>(request: StandinRequest): Value {
   return JSON.parse(request.body.toString("utf8")) as Value;
 }
--- a/standins/http/platform-standins.ts
+++ b/standins/http/platform-standins.ts
@@ -10,7 +10,7 @@
 const OK = 200;
 const CONFLICT = 409;
 
-/** The table service over HTTP. */
+/** Serves the table over HTTP. */
 export function tableStandin(model: TableModel = new TableModel()): HttpStandin {
   return new HttpStandin((request) => {
     if (request.path === "/transactions") return transact(model, request);
@@ -21,7 +21,7 @@
   });
 }
 
-/** The machine list over HTTP. */
+/** Serves the machine list over HTTP. */
 export function machineListStandin(options: MachineListModelOptions = {}): {
   standin: HttpStandin;
   model: MachineListModel;
@@ -38,7 +38,7 @@
   return { standin, model };
 }
 
-/** The object store over HTTP. */
+/** Serves the object store over HTTP. */
 export function objectStandin(model: ObjectModel = new ObjectModel()): HttpStandin {
   return new HttpStandin((request) => {
     if (request.path === "/objects")
@@ -48,7 +48,7 @@
   });
 }
 
-/** A service over HTTP; `GET /ledger` shows what it carried out. */
+/** Serves a service over HTTP. `GET /ledger` returns the requests that it has executed. */
 export function serviceStandin(model: ServiceModel = new ServiceModel()): HttpStandin {
   return new HttpStandin((request) => {
     if (request.path === "/ledger") return { status: OK, body: model.ledger };
@@ -63,7 +63,7 @@
   });
 }
 
-/** The weight store over HTTP: `GET /weights`. */
+/** Serves the weight store over HTTP, at `GET /weights`. */
 export function weightStandin(weights: readonly WeightSet[]): HttpStandin {
   return new HttpStandin((request) =>
     request.path === "/weights" ? { status: OK, body: weights } : undefined,
--- a/standins/machine-list/machine-list-model.ts
+++ b/standins/machine-list/machine-list-model.ts
@@ -2,20 +2,20 @@
 
 /** Options of a {@link MachineListModel}. */
 export interface MachineListModelOptions {
-  /** How far the list lags behind the truth, in ms. Default 300. */
+  /** Delay before a change becomes visible in the list, in ms. Default 300. */
   readonly lagMs?: number;
-  /** Time after which a node that does not report is taken off, in ms. Default 3,000. */
+  /** Time after which a node that does not report is removed, in ms. Default 3,000. */
   readonly expiryMs?: number;
 }
 
 interface ListedMachine {
   readonly machine: Machine;
   readonly reportedAtMs: number;
-  /** Runners and services stay until they are taken off. */
+  /** Whether the machine stays until it is removed, as runners and services do. */
   readonly permanent: boolean;
 }
 
-/** The platform's list of machines: it lags, and nodes that fall silent stay on it for a while. */
+/** The platform's list of machines. It is stale by `lagMs`, and nodes that stop reporting stay until they expire. */
 export class MachineListModel {
   readonly #lagMs: number;
   readonly #expiryMs: number;
@@ -29,25 +29,25 @@
     this.#expiryMs = options.expiryMs ?? 3_000;
   }
 
-  /** Puts a machine on the list for good, or changes it. */
+  /** Adds or updates a machine that stays until it is removed. */
   put(machine: Machine, nowMs: number): void {
     this.#machines.set(machine.name, { machine, reportedAtMs: nowMs, permanent: true });
     this.#publish(nowMs);
   }
 
-  /** A machine says that it is there. */
+  /** Records a machine's report that it is running. */
   report(machine: Machine, nowMs: number): void {
     this.#machines.set(machine.name, { machine, reportedAtMs: nowMs, permanent: false });
     this.#publish(nowMs);
   }
 
-  /** Takes a machine off. */
+  /** Removes a machine. */
   remove(name: string, nowMs: number): void {
     this.#machines.delete(name);
     this.#publish(nowMs);
   }
 
-  /** The list as it was a while ago. */
+  /** The list as it was `lagMs` ago. */
   read(nowMs: number): readonly Machine[] {
     this.#publish(nowMs);
     const visible = this.#snapshots.findLast(({ atMs }) => atMs <= nowMs - this.#lagMs) ?? this.#snapshots[0];
--- a/standins/main.ts
+++ b/standins/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one stand-in as a process of its own: prints its address as JSON, and serves until it is ended.
+ * Runs one stand-in as a separate process: prints its address as JSON and serves until the process is terminated.
  *
  *     node --import tsx standins/main.ts table --listen 127.0.0.1:0
  *     node --import tsx standins/main.ts engine --listen 127.0.0.1:0 --options '{"name":"runner-1","models":["agent-llm"]}'
@@ -19,7 +19,7 @@
 const NEVER_RESOLVES = new Promise<number>(() => undefined);
 
 abstract class StandinCommand extends Command {
-  listen = Option.String("--listen", "127.0.0.1:0", { description: "IP:port; port 0 takes a free one" });
+  listen = Option.String("--listen", "127.0.0.1:0", { description: "IP:port; port 0 selects a free port" });
   options = Option.String("--options", "{}", { description: "Options as JSON" });
 
   protected abstract start(options: unknown): Promise<string>;
--- a/standins/objects/object-model.ts
+++ b/standins/objects/object-model.ts
@@ -1,8 +1,8 @@
-/** The platform's object store, in memory. */
+/** An in-memory version of the platform's object store. Objects are immutable. */
 export class ObjectModel {
   readonly #objects = new Map<string, Uint8Array>();
 
-  /** Writes an object. Returns false when another one is there already. */
+  /** Writes an object. Returns false if the key already has different content. */
   put(key: string, bytes: Uint8Array): boolean {
     const existing = this.#objects.get(key);
     if (existing && Buffer.compare(existing, bytes) !== 0) return false;
@@ -10,7 +10,7 @@
     return true;
   }
 
-  /** An object. */
+  /** An object's bytes, or undefined if it does not exist. */
   get(key: string): Uint8Array | undefined {
     return this.#objects.get(key);
   }
@@ -20,7 +20,7 @@
     this.#objects.delete(key);
   }
 
-  /** Keys with a prefix, in order. */
+  /** Keys that start with a prefix, sorted. */
   list(prefix: string): string[] {
     return [...this.#objects.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
--- a/standins/platform/put-sample-configuration.ts
+++ b/standins/platform/put-sample-configuration.ts
@@ -1,10 +1,10 @@
-/** A configuration with a route of turns and one of plain calls, for gateways whose costs are measured. */
+/** A configuration with one route for turns and one for plain calls, for benchmarks of gateways. */
 import type { RowStoreStandin } from "./row-store-standin.ts";
 import { SAMPLE_ROUTES } from "./sample-routes.ts";
 
 const ROUTE_TIMEOUT_MS = 3_000;
 
-/** Writes the operators' configuration. */
+/** Writes the sample configuration to the store, as operators do. */
 export function putSampleConfiguration(store: RowStoreStandin): void {
   const route = (name: string, path: string, kind: string, service: string, more: object) => ({
     name,
--- a/standins/platform/row-store-model.ts
+++ b/standins/platform/row-store-model.ts
@@ -1,45 +1,48 @@
-/** The platform's transactional rows, in memory: versions, conditions, changes with a bounded history. Pure. */
+/**
+ * An in-memory version of the platform's transactional row store: row versions, conditions, and a change history that
+ * can be compacted. It does no I/O.
+ */
 
-/** A row, as it stands or as it changed. */
+/** A row's current state, or its state after a change. */
 export interface ModelRow {
   readonly table: string;
   readonly part: string;
   readonly key: string;
-  /** Base 64; undefined once the row is gone. */
+  /** The value in base 64; undefined if the row was removed. */
   readonly value: string | undefined;
   readonly version: number;
 }
 
-/** Names a row. */
+/** Identifies a row. */
 export type ModelKey = Pick<ModelRow, "table" | "part" | "key">;
 
-/** A transaction: everything happens, or nothing. */
+/** An atomic transaction. Its writes apply only if every row of the conditions has the given version. */
 export interface ModelTransaction {
   readonly conditions: readonly (ModelKey & { readonly version: number })[];
   readonly puts: readonly (ModelKey & { readonly value: string })[];
   readonly removes: readonly ModelKey[];
 }
 
-/** Whether a transaction was carried out. */
+/** The result of a transaction. */
 export interface ModelTransactionResult {
   readonly committed: boolean;
   readonly version: number;
-  /** The rows of the conditions, when one did not hold. */
+  /** The rows that the conditions name, if the transaction was not committed. */
   readonly rows: readonly ModelRow[];
 }
 
-/** See the module's comment. */
+/** Holds the rows and the change history. */
 export class RowStoreModel {
   readonly #rows = new Map<string, ModelRow>();
-  /** The same rows by table and part, so that a read does not go through all of them. */
+  /** The same rows by table and part, so that a read does not scan all rows. */
   readonly #rowsByPart = new Map<string, Map<string, ModelRow>>();
   #changes: ModelRow[] = [];
   #version = 0;
-  /** Changes up to this version are forgotten. */
+  /** Changes up to this version have been compacted away. */
   #compactedVersion = 0;
   #changeListeners: (() => void)[] = [];
 
-  /** The newest version. */
+  /** The version of the newest transaction. */
   get version(): number {
     return this.#version;
   }
@@ -64,19 +67,19 @@
     return { committed: true, version: this.#version, rows: [] };
   }
 
-  /** Rows of one table and part, by key. */
+  /** Rows of one table and part, sorted by key, from `from` up to but not including `until`. */
   read(table: string, part: string, from: string, until: string | undefined): ModelRow[] {
     return [...(this.#rowsByPart.get(partId({ table, part }))?.values() ?? [])]
       .filter((row) => row.key >= from && (until === undefined || row.key < until))
       .sort((left, right) => (left.key < right.key ? -1 : 1));
   }
 
-  /** Names of the parts that have rows, in order. */
+  /** Names of the parts that have rows, sorted. */
   parts(): string[] {
     return [...new Set([...this.#rows.values()].map(({ part }) => part))].sort();
   }
 
-  /** Changes of a table after a version; undefined when they are forgotten. */
+  /** Changes of a table after a version; undefined if they have been compacted away. */
   changes(table: string, afterVersion: number): ModelRow[] | undefined {
     if (afterVersion < this.#compactedVersion) return undefined;
     let first = this.#changes.length;
@@ -84,12 +87,12 @@
     return this.#changes.slice(first).filter((change) => change.table === table);
   }
 
-  /** Calls `wake` at the next transaction. */
+  /** Calls `wake` after the next committed transaction or compaction. */
   onNextChange(wake: () => void): void {
     this.#changeListeners.push(wake);
   }
 
-  /** Forgets all history; those that wait for changes are woken. */
+  /** Discards the change history and wakes all waiting watchers. */
   compact(): void {
     this.#compactedVersion = this.#version;
     this.#changes = [];
--- a/standins/platform/row-store-standin.ts
+++ b/standins/platform/row-store-standin.ts
@@ -1,22 +1,22 @@
-/** The platform's metadata store over HTTP, with faults that tests switch on. */
+/** Serves the platform's metadata store over HTTP, with faults that tests enable. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { type ModelKey, type ModelRow, RowStoreModel } from "./row-store-model.ts";
 
-/** What may go wrong with the calls to come. */
+/** A fault that affects the following calls. */
 export type StoreFault =
   | "none"
-  /** 503: nothing is done. */
+  /** Responds with 503 and does not execute the call. */
   | "busy"
-  /** 429: nothing is done. */
+  /** Responds with 429 and does not execute the call. */
   | "throttled"
-  /** Nothing is done, and no answer comes. */
+  /** Neither executes the call nor responds. */
   | "silent"
-  /** The connection is reset, and nothing is done. */
+  /** Resets the connection without executing the call. */
   | "reset"
-  /** Writes are done, and no answer comes. */
+  /** Executes writes, but does not respond. */
   | "lostAnswer"
-  /** Writes are done after a while, and no answer comes. */
+  /** Executes writes after a delay, and does not respond. */
   | "lateWrite";
 
 interface WireKey {
@@ -34,19 +34,19 @@
 const MAX_ENTRIES = 100;
 const MAX_ROWS_READ = 500;
 
-/** See the module's comment. */
+/** An HTTP server in front of a {@link RowStoreModel}. */
 export class RowStoreStandin {
   readonly model = new RowStoreModel();
-  /** Delay of every answer, in ms. */
+  /** Delay before each call is executed, in ms. */
   delayMs = 0;
   /** Delay of a write under the fault `lateWrite`, in ms. */
   lateWriteMs = 200;
   fault: StoreFault = "none";
-  /** What goes wrong with calls of single parts, in place of {@link fault}. */
+  /** Faults of calls to individual parts; they take precedence over {@link fault}. */
   readonly partFaults = new Map<string, StoreFault>();
-  /** Calls that were taken, by kind. */
+  /** Number of calls accepted, by kind. */
   readonly counts = { writes: 0, reads: 0, watches: 0 };
-  /** Calls that were answered with 503 or 429. */
+  /** Number of calls that got 503 or 429. */
   refused = 0;
   readonly #server: Server;
 
@@ -54,7 +54,7 @@
     this.#server = createServer((request, response) => void this.#serve(request, response));
   }
 
-  /** Listens on a free port of the loopback; returns `IP:port`. */
+  /** Listens on the loopback interface and returns `IP:port`. Port 0 selects a free port. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>((resolve) => this.#server.listen(port, "127.0.0.1", resolve));
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
@@ -65,14 +65,14 @@
     this.#server.closeAllConnections();
   }
 
-  /** Writes a row with an empty part, as operators and runners do. */
+  /** Writes a row with an empty part name, as operators and runners do. */
   put(table: string, key: string, value: unknown): number {
     const text = Buffer.from(JSON.stringify(value)).toString("base64");
     return this.model.transact({ conditions: [], puts: [{ table, part: "", key, value: text }], removes: [] })
       .version;
   }
 
-  /** Takes a row with an empty part away. */
+  /** Removes a row with an empty part name. */
   remove(table: string, key: string): void {
     this.model.transact({ conditions: [], puts: [], removes: [{ table, part: "", key }] });
   }
@@ -149,7 +149,7 @@
   }
 }
 
-/** The part that a call is about; no part where it names none. */
+/** The part that a call addresses, or an empty string if it names none. */
 function partOf(url: URL, body: string): string {
   if (body === "") return url.searchParams.get("part") ?? "";
   const { put = [], remove = [], "expected-rev": expected = [] } = JSON.parse(body) as WireTransaction;
--- a/standins/platform/runner-standin.ts
+++ b/standins/platform/runner-standin.ts
@@ -1,4 +1,4 @@
-/** A runner over HTTP: plain answers and streams of events, with faults that tests switch on. */
+/** A runner over HTTP that sends plain responses and event streams, with faults that tests enable. */
 import {
   createServer,
   type IncomingHttpHeaders,
@@ -8,29 +8,29 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** What may go wrong with the requests to come. */
+/** A fault that affects the following requests. */
 export type RunnerFault =
   | "none"
-  /** 503, not run. */
+  /** Responds with 503 and does not execute the request. */
   | "full"
-  /** The request runs, and the connection is reset without an answer. */
+  /** Executes the request, and resets the connection without a response. */
   | "lostAnswer"
-  /** The request runs, and no answer comes. */
+  /** Executes the request, and does not respond. */
   | "silent"
-  /** A stream is reset in the middle of an event. */
+  /** Resets a stream in the middle of an event. */
   | "breakStream"
-  /** A second answer follows the first at once. */
+  /** Sends a second, unrequested response directly after the first. */
   | "surplus"
-  /** The answer has no length and ends with its connection. */
+  /** Sends a response without a length, which ends when the connection closes. */
   | "unframed"
-  /** Like `unframed`, and the connection is reset before the end. */
+  /** Like `unframed`, but resets the connection before the end. */
   | "unframedReset"
-  /** The answer names another request. */
+  /** Sends a response with the identifier of another request. */
   | "otherRequest"
-  /** 500 of the runner's own. */
+  /** Executes the request and responds with 500. */
   | "error";
 
-/** A request that a runner has run. */
+/** A request that a runner has executed. */
 export interface ExecutedRequest {
   readonly id: string;
   readonly method: string;
@@ -39,28 +39,28 @@
   readonly deadlineMs: number;
   readonly lastEventId: number | undefined;
   readonly headers: IncomingHttpHeaders;
-  /** Set when the caller ended the connection before the answer was whole. */
+  /** Set if the caller closed the connection before the response was complete. */
   cancelled: boolean;
 }
 
 const MISDIRECTED = 421;
-/** With it a test asks for so many bytes more in each event or answer. */
+/** Request header in which a test gives the number of padding bytes to add to each event or response. */
 const PADDING_BYTES_HEADER = "x-test-filling-bytes";
 
-/** See the module's comment. */
+/** A runner that records the requests it executes. */
 export class RunnerStandin {
   readonly id: string;
   fault: RunnerFault = "none";
-  /** How many requests more the fault strikes. */
+  /** Number of further requests that the fault affects. */
   remainingFaults = Number.POSITIVE_INFINITY;
-  /** Events of a stream. */
+  /** Number of events in a stream. */
   events = 4;
-  /** Time between events, and before a plain answer, in ms. */
+  /** Time before each event, and before a plain response, in ms. */
   stepMs = 1;
-  /** How long a stream may stay unread until it is reset, in ms. */
+  /** Time after which a stream that is not read is reset, in ms. */
   unreadTimeoutMs = 5_000;
   readonly executedRequests: ExecutedRequest[] = [];
-  /** The most requests that ran at once. */
+  /** The largest number of requests that ran at the same time. */
   maxRunningCount = 0;
   #runningCount = 0;
   readonly #server: Server;
@@ -72,13 +72,13 @@
     });
   }
 
-  /** Listens on a free port of the loopback; returns `IP:port`. */
+  /** Listens on the loopback interface and returns `IP:port`. Port 0 selects a free port. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>((resolve) => this.#server.listen(port, "127.0.0.1", resolve));
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Requests that run now. */
+  /** Number of requests that are running. */
   get runningCount(): number {
     return this.#runningCount;
   }
@@ -88,7 +88,7 @@
     this.#server.closeAllConnections();
   }
 
-  /** The text that an event carries. */
+  /** The data of an event. */
   static eventData(requestId: string, event: number): string {
     return `${requestId}-${event}`;
   }
@@ -175,7 +175,7 @@
     response.end();
   }
 
-  /** Waits until the answer is read on; false when it was not in time, or its connection has ended. */
+  /** Waits until the caller reads on. Resolves to false if the wait times out or the connection closes. */
   #drained(response: ServerResponse): Promise<boolean> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => response.socket?.resetAndDestroy(), this.unreadTimeoutMs);
--- a/standins/platform/sample-request.ts
+++ b/standins/platform/sample-request.ts
@@ -1,4 +1,4 @@
-/** One request of a caller. */
+/** A caller's request to one of the sample routes. */
 export interface SampleRequest {
   readonly path: string;
   readonly headers: Record<string, string>;
--- a/standins/platform/sample-routes.ts
+++ b/standins/platform/sample-routes.ts
@@ -1,2 +1,2 @@
-/** Host and paths of the routes of the sample configuration. */
+/** Host and path prefixes of the routes in the sample configuration. */
 export const SAMPLE_ROUTES = { host: "sample.example", turnPath: "/turn/", callPath: "/call/" } as const;
--- a/standins/platform/sample-turn.ts
+++ b/standins/platform/sample-turn.ts
@@ -1,14 +1,14 @@
 import type { SampleRequest } from "./sample-request.ts";
 import { SAMPLE_ROUTES } from "./sample-routes.ts";
 
-/** Bytes of a turn's input, and generated tokens at most, as on the users' large deployments. */
+/** Input size and maximum number of generated tokens of a turn in large production deployments. */
 const BODY_BYTES = 17_000;
 const MAX_GENERATED_TOKENS = 590;
 const TOKEN_BUDGET = 100_000;
-/** Turns of one program. */
+/** Number of turns of one program. */
 const TURNS_PER_PROGRAM = 6;
 
-/** A turn of a program, with the size that turns have on the users' large deployments. */
+/** A program's turn with the typical size of turns in large production deployments. */
 export function sampleTurn(index: number): SampleRequest {
   const program = `program-${Math.floor(index / TURNS_PER_PROGRAM)}`;
   const headers = {
--- a/standins/service/service-model.ts
+++ b/standins/service/service-model.ts
@@ -1,4 +1,4 @@
-/** A request that reached the service. */
+/** A request that the service received. */
 export interface ServiceCall {
   readonly method: string;
   readonly path: string;
@@ -7,7 +7,7 @@
   readonly idempotencyKey: string;
 }
 
-/** An answer of the service. */
+/** The service's response. */
 export interface ServiceReply {
   readonly status: number;
   readonly contentType: string;
@@ -17,19 +17,19 @@
 const OK = 200;
 
 /**
- * A payments or payroll service that writes down every request it carries out, in the order of arrival,
- * so that a deposit or charge that ran twice can be seen. It does not look at idempotency keys: that a
- * request arrives once is the scheduler's promise.
+ * A payments or payroll service that records every request it executes, in the order of arrival, so that tests can
+ * detect a deposit or charge that was executed twice. It ignores idempotency keys, because the scheduler guarantees
+ * that a request arrives only once.
  */
 export class ServiceModel {
   readonly #ledger: ServiceCall[] = [];
 
-  /** Every request carried out. */
+  /** Every request executed, in order of arrival. */
   get ledger(): readonly ServiceCall[] {
     return this.#ledger;
   }
 
-  /** Carries a request out. */
+  /** Executes a request and records it. */
   execute(call: ServiceCall): ServiceReply {
     this.#ledger.push(call);
     const receipt = { receipt: this.#ledger.length, method: call.method, path: call.path };
--- a/standins/table/table-model.ts
+++ b/standins/table/table-model.ts
@@ -1,17 +1,17 @@
 import type { Row, Transaction, TransactionResult } from "../../src/ports/table/table-store.ts";
 
-/** The platform's transactional table, in memory. */
+/** An in-memory version of the platform's transactional table. */
 export class TableModel {
   readonly #rows = new Map<string, { version: number; value: string | undefined }>();
 
-  /** A row; version 0 and an empty value when it was never written or was removed. */
+  /** A row. It has version 0 and an empty value if it was never written or was removed. */
   get(key: string): Row {
     const row = this.#rows.get(key);
     if (row?.value === undefined) return { key, version: 0, value: "" };
     return { key, version: row.version, value: row.value };
   }
 
-  /** Rows in order of key. */
+  /** Up to `limit` rows whose keys start with `prefix` and follow `after`, sorted by key. */
   list(prefix: string, after: string, limit: number): Row[] {
     const keys = [...this.#rows.keys()].filter((key) => key.startsWith(prefix) && key > after).sort();
     const rows: Row[] = [];
@@ -23,7 +23,7 @@
     return rows;
   }
 
-  /** Carries out all writes if all conditions hold. */
+  /** Applies all writes if all conditions hold, otherwise none. */
   transact({ conditions, writes }: Transaction): TransactionResult {
     const failed = conditions.filter(({ key, version }) => this.get(key).version !== version);
     if (failed.length > 0) return { type: "conflict", rows: failed.map(({ key }) => this.get(key)) };
--- a/test/contract/standins.test.ts
+++ b/test/contract/standins.test.ts
@@ -1,4 +1,4 @@
-/** One suite for each interface of the platform and of back ends, run against the stand-in through our own client. */
+/** Contract tests for each interface of the platform and of back ends: the real client against the stand-in. */
 import { after, before, describe, it } from "node:test";
 import { expect } from "earl";
 import type {
@@ -43,7 +43,7 @@
     await standin.close();
   });
 
-  it("carries out all writes of a transaction, or none", async () => {
+  it("applies all writes of a transaction, or none", async () => {
     const writes = [
       { key: "a", value: "1" },
       { key: "b", value: "1" },
@@ -59,7 +59,7 @@
     expect((await table.get("b")).value).toEqual("1");
   });
 
-  it("lists rows in order, page by page", async () => {
+  it("lists rows in key order, in pages", async () => {
     const writes = ["p/1", "p/2", "p/3"].map((key) => ({ key, value: key }));
     await table.transact({ conditions: [], writes });
     const first = await table.list("p/", "", 2);
@@ -67,7 +67,7 @@
     expect([...first, ...second].map((row) => row.key)).toEqual(["p/1", "p/2", "p/3"]);
   });
 
-  it("removes rows, and a row written again has another version", async () => {
+  it("removes rows and gives a row that is written again a new version", async () => {
     await table.transact({ conditions: [], writes: [{ key: "r", value: "1" }] });
     await table.transact({ conditions: [], writes: [{ key: "r", value: undefined }] });
     expect(await table.get("r")).toEqual({ key: "r", version: 0, value: "" });
@@ -77,12 +77,12 @@
 
   const FAULTS: [string, Partial<typeof standin.faults>, boolean][] = [
     ["an outage", { outage: true }, false],
-    ["an answer lost after the write", { loseWriteAnswers: true }, true],
-    ["an answer that comes too late", { delayMs: TIMEOUT_MS * 2 }, true],
+    ["a response lost after the write", { loseWriteAnswers: true }, true],
+    ["a response that arrives after the timeout", { delayMs: TIMEOUT_MS * 2 }, true],
     ["a rate limit", { requestsPerSecond: 0.5 }, false],
   ];
   for (const [name, faults, written] of FAULTS) {
-    it(`says that it does not know after ${name}`, async () => {
+    it(`reports an unknown outcome after ${name}`, async () => {
       const calm = { ...standin.faults };
       Object.assign(standin.faults, faults);
       const writes = [{ key: `fault ${name}`, value: "x" }];
@@ -106,7 +106,7 @@
     await standin.close();
   });
 
-  it("keeps objects whole, and never changes one", async () => {
+  it("stores binary objects and never overwrites one", async () => {
     const bytes = Uint8Array.from([0, 255, 10, 13]);
     await objects.put("segment/1", bytes);
     await objects.put("segment/1", bytes);
@@ -115,7 +115,7 @@
     expect(await objects.get("none")).toEqual(undefined);
   });
 
-  it("lists by prefix in order, and removes", async () => {
+  it("lists keys by prefix in order, and removes objects", async () => {
     await objects.put("list/b", Uint8Array.from([1]));
     await objects.put("list/a", Uint8Array.from([1]));
     expect(await objects.list("list/")).toEqual(["list/a", "list/b"]);
@@ -136,7 +136,7 @@
     await standin.close();
   });
 
-  it("lags behind a report, and forgets who falls silent", async () => {
+  it("shows a report after a delay and removes nodes that stop reporting", async () => {
     const base = {
       pool: "",
       zone: "z",
@@ -170,7 +170,7 @@
     await standin.close();
   });
 
-  it("lists the weights that can be loaded, and says when it is asked too often", async () => {
+  it("lists the weights that can be loaded, and enforces its rate limit", async () => {
     expect(await store.list()).toEqual(weights);
     standin.faults.requestsPerSecond = 0.5;
     await expect(store.list()).toBeRejectedWith("429");
@@ -203,7 +203,7 @@
     neverRepeat: false,
   });
 
-  it("is sent a request once, with its identifiers", async () => {
+  it("receives a request once, with its identifiers", async () => {
     const result = await client.send(address, request("one"), "call-1", 1_000);
     expect(result.type).toEqual("answered");
     expect(model.ledger.filter((call) => call.body === "one")).toEqual([
@@ -211,7 +211,7 @@
     ]);
   });
 
-  it("is known not to have been reached only when no connection came about", async () => {
+  it("is reported as not reached only if no connection was established", async () => {
     expect((await client.send("127.0.0.1:1", request("two"), "call-2", 1_000)).type).toEqual("not-sent");
     standin.faults.loseWriteAnswers = true;
     expect((await client.send(address, request("three"), "call-3", 1_000)).type).toEqual("unknown");
@@ -224,7 +224,7 @@
   });
 });
 
-/** Resolves once the engine runs so many requests: under load they take longer to arrive than any fixed pause. */
+/** Resolves when the engine runs `count` requests. Under load they may arrive later than after any fixed delay. */
 async function untilRunning({ model }: EngineStandin, count = 1): Promise<void> {
   while (model.runningCount < count) await new Promise((resolve) => setTimeout(resolve, 1));
 }
@@ -274,14 +274,14 @@
     return { result, chunks, text: chunks.map((chunk) => chunk.text).join("") };
   };
 
-  it("streams chunks in order, and ends with the usage and the whole length", async () => {
+  it("streams chunks in order and ends with the usage and the total length", async () => {
     const { result, chunks, text } = await generate(requestOf());
     const usage = { promptTokens: 4, completionTokens: 20, cachedTokens: 0 };
     expect(result).toEqual({ type: "completed", finishReason: "stop", usage, length: text.length });
     expect(chunks.map((chunk) => chunk.offset)).toEqual(chunks.map((_, index) => index * 4));
   });
 
-  it("goes on after a given text, as if it had not stopped", async () => {
+  it("resumes after a given text as if it had not stopped", async () => {
     const whole = await generate(requestOf());
     const resumed = await generate(requestOf({ resumeText: whole.text.slice(0, 32) }));
     expect(whole.text.slice(0, 32) + resumed.text).toEqual(whole.text);
@@ -290,7 +290,7 @@
     );
   });
 
-  it("finds a prompt that it has worked on in its cache, until it is ordered to release it", async () => {
+  it("finds a processed prompt in its cache until it is ordered to release it", async () => {
     const messages = [{ role: "user", content: "a prefix of some length #tokens=3" }];
     await generate(requestOf({ messages, program: "prog-b" }));
     const second = await generate(requestOf({ messages, program: "prog-b" }));
@@ -301,7 +301,7 @@
     expect((await client.holds(address)).some((hold) => hold.program === "prog-b")).toEqual(false);
   });
 
-  it("publishes cache events late, in order of their numbers", async () => {
+  it("publishes cache events with a delay, in order of their numbers", async () => {
     await generate(requestOf({ program: "prog-events" }));
     const early = await client.cacheEvents(address, 0);
     await new Promise((resolve) => setTimeout(resolve, 60));
@@ -311,7 +311,7 @@
     expect(numbers).toEqual([...numbers].sort((left, right) => left - right));
   });
 
-  it("moves a cache to where it is imported", async () => {
+  it("holds a program's cache after importing it", async () => {
     await generate(requestOf({ program: "prog-moved" }));
     const cache = await client.exportCache(address, "prog-moved");
     await client.order(address, { type: "release", program: "prog-moved" }, 1);
@@ -319,7 +319,7 @@
     expect((await client.holds(address)).some((hold) => hold.program === "prog-moved")).toEqual(true);
   });
 
-  it("cancels, and forgets the request", async () => {
+  it("cancels a request and removes it", async () => {
     const cancellation = new CancellationSource();
     const running = generate(
       requestOf({ messages: [{ role: "user", content: "#tokens=50" }] }),
@@ -332,7 +332,7 @@
     expect((await client.load(address)).running).toEqual([]);
   });
 
-  it("serves the more urgent first when its batch is full", async () => {
+  it("queues a request when its batch is full, and refuses one when its queue is full too", async () => {
     const long = () => generate(requestOf({ messages: [{ role: "user", content: "#tokens=30" }] }));
     const first = [long(), long()];
     await untilRunning(engine, first.length);
@@ -352,7 +352,7 @@
       { type: "refused", reason: "unknown-model" },
     ],
     [
-      "a token that is older than one it has seen",
+      "a fencing token older than the newest one seen",
       () => requestOf({ fencingToken: 0 }),
       { type: "refused", reason: "stale-token" },
     ],
@@ -363,7 +363,7 @@
     });
   }
 
-  it("refuses orders with an old token, and carries out newer ones", async () => {
+  it("refuses orders with a stale fencing token and executes newer ones", async () => {
     expect(await client.order(address, { type: "load", model: "n", version: "1" }, 7)).toEqual(true);
     expect(await client.order(address, { type: "unload", model: "m" }, 6)).toEqual(false);
     expect((await generate(requestOf({ model: "n", fencingToken: 7 }))).result.type).toEqual("completed");
@@ -371,7 +371,7 @@
     expect(engine.model.role).toEqual("prefill");
   });
 
-  it("takes no new work while it leaves, and lets the old end", async () => {
+  it("refuses new requests while it is leaving, and finishes running ones", async () => {
     const running = generate(requestOf({ fencingToken: 8 }));
     await untilRunning(engine);
     engine.model.setLeaving(true);
@@ -384,7 +384,7 @@
     engine.model.setLeaving(false);
   });
 
-  it("is broken, not completed, when it dies in the middle", async () => {
+  it("reports a broken stream, not a completed one, when the engine stops midway", async () => {
     const running = generate(
       requestOf({ fencingToken: 8, messages: [{ role: "user", content: "#tokens=50" }] }),
     );
