--- a/bench/heartbeats.ts
+++ b/bench/heartbeats.ts
@@ -21,11 +21,11 @@
 );
 for (const size of values.sizes.split(",").map(Number)) {
   const fleet = new MemberFleet(hash, size, DIRECT_MOST, Number(values.zones));
-  for (const [index, { board, process: member }] of fleet.members.entries())
-    board.recordStart(FLEET_RUNNERS[index % 2] ?? FLEET_RUNNERS[0], member.monotonicMs(), 10 * SETTLE_MS);
+  for (const [index, { balancer, process: member }] of fleet.members.entries())
+    balancer.recordStart(FLEET_RUNNERS[index % 2] ?? FLEET_RUNNERS[0], member.monotonicMs(), 10 * SETTLE_MS);
   await fleet.time.runUntil(SETTLE_MS);
   fleet.messages = 0;
-  fleet.weighs = true;
+  fleet.countsBytes = true;
   const before = process.cpuUsage();
   await fleet.time.runUntil(SETTLE_MS + MEASURED_MS);
   const used = process.cpuUsage(before);
--- a/bench/simulation/checkers.ts
+++ b/bench/simulation/checkers.ts
@@ -43,7 +43,7 @@
     const broken: string[] = [];
     for (const turn of turns) {
       const present = left[0]?.content === turn.question;
-      if (present) broken.push(...takeTurn(program, turn, left));
+      if (present) broken.push(...checkTurn(program, turn, left));
       else if (turn.outcome === "answered") broken.push(`${program} lost the turn "${turn.question}"`);
     }
     if (left.length > 0) broken.push(`${program} holds foreign or misplaced messages: "${left[0].content}"`);
@@ -51,7 +51,7 @@
   });
 }
 
-function takeTurn(program: string, turn: ObservedTurn, left: { role: string; content: string }[]): string[] {
+function checkTurn(program: string, turn: ObservedTurn, left: { role: string; content: string }[]): string[] {
   left.shift();
   const answer = left.shift();
   if (turn.outcome === "failed" || turn.outcome === "not-run") {
@@ -62,10 +62,10 @@
 }
 
 /** Faults that may part an ingress from the node that carries its call out. */
-const PARTING_FAULTS = /^(kill|freeze|cut|isolate|drain|network-loss)/;
+const DISCONNECTING_FAULTS = /^(kill|freeze|cut|isolate|drain|network-loss)/;
 
 function checkAnswers({ observations, plan }: CheckInput): string[] {
-  const parted = plan.some(({ kind }) => PARTING_FAULTS.test(kind));
+  const parted = plan.some(({ kind }) => DISCONNECTING_FAULTS.test(kind));
   return observations.turns.flatMap((turn) => {
     if (turn.interrupted && !parted) return [`"${turn.question}" was interrupted for no reason`];
     if (turn.outcome !== "answered") return [];
--- a/bench/simulation/faults.ts
+++ b/bench/simulation/faults.ts
@@ -73,7 +73,7 @@
 export function scheduleFaults(world: World, plan: readonly Fault[]): void {
   for (const fault of plan) {
     world.time.after(fault.atMs - world.time.nowMs, () => {
-      const undo = bringAbout(world, fault);
+      const undo = startFault(world, fault);
       world.note(`fault ${fault.kind} of ${fault.target} for ${fault.durationMs} ms`);
       world.time.after(fault.durationMs, () => {
         undo();
@@ -83,7 +83,7 @@
   }
 }
 
-function bringAbout(world: World, { kind, target }: Fault): () => void {
+function startFault(world: World, { kind, target }: Fault): () => void {
   const node = world.nodes[target % world.nodes.length];
   const engine = world.engines[target % world.engines.length];
   const ingress = world.ingresses[target % world.ingresses.length];
@@ -138,25 +138,27 @@
       ingress.process.kill();
       return () => world.restartIngress(ingress);
     case "table-outage":
-      return setFor(table.conditions, "outage", true);
+      return setCondition(table.conditions, "outage", true);
     case "table-slow":
-      return setFor(table.conditions, "slowMs", 400);
+      return setCondition(table.conditions, "slowMs", 400);
     case "table-loses-answers":
-      return setFor(table.conditions, "lostAnswers", 0.5);
+      return setCondition(table.conditions, "lostAnswers", 0.5);
     case "list-outage":
-      return setFor(machineList.conditions, "outage", true);
+      return setCondition(machineList.conditions, "outage", true);
     case "platform-outage": {
-      const undo = [table, machineList, objects].map((service) => setFor(service.conditions, "outage", true));
+      const undo = [table, machineList, objects].map((service) =>
+        setCondition(service.conditions, "outage", true),
+      );
       return () => {
         for (const one of undo) one();
       };
     }
     case "network-loss":
-      return setFor(network.conditions, "loss", 0.1);
+      return setCondition(network.conditions, "loss", 0.1);
     case "network-duplicates":
-      return setFor(network.conditions, "duplication", 0.3);
+      return setCondition(network.conditions, "duplication", 0.3);
     case "network-reorders":
-      return setFor(network.conditions, "reordering", 0.3);
+      return setCondition(network.conditions, "reordering", 0.3);
     case "service-hangs":
       service.hanging = true;
       return () => {
@@ -165,13 +167,13 @@
   }
 }
 
-function setFor<Conditions extends object, Key extends keyof Conditions>(
+function setCondition<Conditions extends object, Key extends keyof Conditions>(
   conditions: Conditions,
   key: Key,
   value: Conditions[Key],
 ): () => void {
-  const calm = CALM.get(conditions) ?? { ...conditions };
-  CALM.set(conditions, calm);
+  const calm = INITIAL_CONDITIONS.get(conditions) ?? { ...conditions };
+  INITIAL_CONDITIONS.set(conditions, calm);
   conditions[key] = value;
   return () => {
     conditions[key] = (calm as Conditions)[key];
@@ -179,4 +181,4 @@
 }
 
 /** Conditions as they were before any fault: two faults of one kind may overlap. */
-const CALM = new WeakMap<object, object>();
+const INITIAL_CONDITIONS = new WeakMap<object, object>();
--- a/bench/simulation/gateways/check-answered-turns.ts
+++ b/bench/simulation/gateways/check-answered-turns.ts
@@ -1,7 +1,7 @@
 /** Whether turns that were answered whole are still there when everything works again. */
 import type { ProgramId } from "../../../src/scheduling/ids/program-id.ts";
 import type { RequestId } from "../../../src/scheduling/ids/request-id.ts";
-import { type GatewayObservations, MOST, type WholeTurn } from "./gateway-workload.ts";
+import { type CompletedTurn, type GatewayObservations, MAX_TURN_TOKENS } from "./gateway-workload.ts";
 import type { GatewayWorld } from "./gateway-world.ts";
 
 /** Turns that ended this long before are asked for, in ms of virtual time; nearly all of a run. */
@@ -26,29 +26,29 @@
   world: GatewayWorld,
   observations: GatewayObservations,
 ): Promise<void> {
-  const { broken, whole } = observations;
+  const { broken, completedTurns } = observations;
   const sinceMs = world.time.nowMs - RECENT_MS;
-  const continued = new Set(whole.map(({ previous }) => previous));
-  const waiting = whole.filter((turn) => !continued.has(turn));
-  const missing = new Set<WholeTurn>();
-  let asking = AT_ONCE;
-  const askBack = async (from: WholeTurn) => {
-    for (let turn: WholeTurn | undefined = from; turn; turn = turn.previous) {
-      if (turn.endedAtMs < sinceMs || missing.has(turn) || (await isThere(world, turn))) return;
+  const continued = new Set(completedTurns.map(({ previous }) => previous));
+  const waiting = completedTurns.filter((turn) => !continued.has(turn));
+  const missing = new Set<CompletedTurn>();
+  let activeWorkers = AT_ONCE;
+  const checkBackFrom = async (from: CompletedTurn) => {
+    for (let turn: CompletedTurn | undefined = from; turn; turn = turn.previous) {
+      if (turn.endedAtMs < sinceMs || missing.has(turn) || (await isStored(world, turn))) return;
       missing.add(turn);
     }
   };
   const askAll = async () => {
-    for (let turn = waiting.pop(); turn; turn = waiting.pop()) await askBack(turn);
-    asking -= 1;
+    for (let turn = waiting.pop(); turn; turn = waiting.pop()) await checkBackFrom(turn);
+    activeWorkers -= 1;
   };
   for (let asker = 0; asker < AT_ONCE; asker += 1) void askAll();
-  await world.time.runUntil(world.time.nowMs + CHECK_MS, () => asking === 0);
-  if (asking > 0) broken.push("history: turns answered whole could not all be asked for");
+  await world.time.runUntil(world.time.nowMs + CHECK_MS, () => activeWorkers === 0);
+  if (activeWorkers > 0) broken.push("history: turns answered whole could not all be asked for");
   if (missing.size > 0) broken.push(`history: ${missing.size} turns answered whole are not there`);
 }
 
-async function isThere(world: GatewayWorld, { turn, said }: WholeTurn): Promise<boolean> {
+async function isStored(world: GatewayWorld, { turn, transcript }: CompletedTurn): Promise<boolean> {
   for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
     const gateway = world.drawServing();
     if (gateway) {
@@ -58,12 +58,12 @@
         program,
         session: "main",
         turn: `${program}/0` as RequestId,
-        budget: { tokens: MOST * BUDGET_TURNS, most: MOST },
+        budget: { tokens: MAX_TURN_TOKENS * BUDGET_TURNS, most: MAX_TURN_TOKENS },
         history: { previousTurn: turn },
       };
       const untilMs = gateway.process.monotonicMs() + PATIENCE_MS;
       const answer = await gateway.client.admit(request, untilMs, () => false);
-      if (answer.type === "granted") return Buffer.concat(answer.history).toString() === said;
+      if (answer.type === "granted") return Buffer.concat(answer.history).toString() === transcript;
     }
     await new Promise<void>((resolve) => {
       world.time.after(RETRY_MS, resolve);
--- a/bench/simulation/gateways/gateway-faults.ts
+++ b/bench/simulation/gateways/gateway-faults.ts
@@ -32,18 +32,18 @@
 export type GatewayFault = (typeof GATEWAY_FAULTS)[number];
 
 const RESTART_MS = 1_500;
-const LASTS_MS = 4_000;
+const FAULT_DURATION_MS = 4_000;
 /** One of so many of the store's parts is away when only some are. */
 const AWAY_ONE_OF = 3;
 const AWAY_DRAW_LENGTH = 8;
 /** Longer than keys are trusted, shorter than what is left to recover in. */
 const CUT_OFF_MS = 6_500;
 const SLOWNESS = 60;
-const LOST_PART = 0.35;
+const LOST_RESPONSES_FRACTION = 0.35;
 const MESSAGES_LOST_PART = 0.2;
 
 /** Begins a fault; it ends by itself within some seconds. */
-export function strike(world: GatewayWorld, fault: GatewayFault): void {
+export function injectFault(world: GatewayWorld, fault: GatewayFault): void {
   const index = world.random.below(world.gateways.length);
   const { conditions } = world.store;
   switch (fault) {
@@ -56,67 +56,67 @@
     case "planned-stop":
       return stopAndRestart(world, index);
     case "part-peers":
-      return partPeers(world, index, LASTS_MS);
+      return cutPeers(world, index, FAULT_DURATION_MS);
     case "cut-store":
-      return cutStore(world, index, "cut", LASTS_MS);
+      return cutStore(world, index, "cut", FAULT_DURATION_MS);
     case "cut-store-answers":
-      return cutStore(world, index, "answersLost", LASTS_MS);
+      return cutStore(world, index, "answersLost", FAULT_DURATION_MS);
     case "cut-off":
-      partPeers(world, index, CUT_OFF_MS);
+      cutPeers(world, index, CUT_OFF_MS);
       return cutStore(world, index, "cut", CUT_OFF_MS);
     case "store-busy":
-      troubleStore(world, LASTS_MS);
+      recordStoreFault(world, FAULT_DURATION_MS);
       conditions.outage = "busy";
-      return void world.time.after(LASTS_MS, () => {
+      return void world.time.after(FAULT_DURATION_MS, () => {
         conditions.outage = "none";
       });
     case "store-silent":
-      troubleStore(world, LASTS_MS);
+      recordStoreFault(world, FAULT_DURATION_MS);
       conditions.outage = "silent";
-      return void world.time.after(LASTS_MS, () => {
+      return void world.time.after(FAULT_DURATION_MS, () => {
         conditions.outage = "none";
       });
     case "store-parts-silent":
-      return takePartsAway(world, "silent");
+      return failSomeParts(world, "silent");
     case "store-parts-busy":
-      return takePartsAway(world, "busy");
+      return failSomeParts(world, "busy");
     case "store-slow":
-      troubleStore(world, LASTS_MS);
+      recordStoreFault(world, FAULT_DURATION_MS);
       conditions.slowness = SLOWNESS;
-      return void world.time.after(LASTS_MS, () => {
+      return void world.time.after(FAULT_DURATION_MS, () => {
         conditions.slowness = 1;
       });
     case "lost-answers":
     case "late-writes":
-      troubleStore(world, LASTS_MS);
-      conditions.lostAnswers = LOST_PART;
+      recordStoreFault(world, FAULT_DURATION_MS);
+      conditions.lostAnswers = LOST_RESPONSES_FRACTION;
       conditions.lateWrites = fault === "late-writes";
-      return void world.time.after(LASTS_MS, () => {
+      return void world.time.after(FAULT_DURATION_MS, () => {
         conditions.lostAnswers = 0;
       });
     case "history-dropped":
-      troubleStore(world, 0);
+      recordStoreFault(world, 0);
       world.configure();
       return world.store.model.compact();
     case "messages-lost":
       world.network.conditions.loss = MESSAGES_LOST_PART;
-      return void world.time.after(LASTS_MS, () => {
+      return void world.time.after(FAULT_DURATION_MS, () => {
         world.network.conditions.loss = 0;
       });
   }
 }
 
-function troubleStore(world: GatewayWorld, lastsMs: number): void {
-  world.contact.noteStore(world.time.nowMs + lastsMs);
+function recordStoreFault(world: GatewayWorld, lastsMs: number): void {
+  world.reachability.recordStoreFault(world.time.nowMs + lastsMs);
 }
 
-function troubleGateway(world: GatewayWorld, index: number, lastsMs: number): void {
-  world.contact.noteGateway(index, world.time.nowMs + lastsMs);
+function recordGatewayFault(world: GatewayWorld, index: number, lastsMs: number): void {
+  world.reachability.recordGatewayFault(index, world.time.nowMs + lastsMs);
 }
 
 function killAndRestart(world: GatewayWorld, indexes: readonly number[]): void {
   for (const index of indexes) {
-    troubleGateway(world, index, RESTART_MS);
+    recordGatewayFault(world, index, RESTART_MS);
     world.gateways[index]?.process.kill();
   }
   world.time.after(RESTART_MS, () => {
@@ -126,19 +126,19 @@
 
 function freeze(world: GatewayWorld, index: number): void {
   const process = world.gateways[index]?.process;
-  troubleGateway(world, index, LASTS_MS);
+  recordGatewayFault(world, index, FAULT_DURATION_MS);
   process?.freeze();
-  world.time.after(LASTS_MS, () => process?.wake());
+  world.time.after(FAULT_DURATION_MS, () => process?.wake());
 }
 
 function stopAndRestart(world: GatewayWorld, index: number): void {
   const gateway = world.gateways[index];
-  troubleGateway(world, index, LASTS_MS);
+  recordGatewayFault(world, index, FAULT_DURATION_MS);
   void gateway?.stop();
-  world.time.after(LASTS_MS, () => killAndRestart(world, [index]));
+  world.time.after(FAULT_DURATION_MS, () => killAndRestart(world, [index]));
 }
 
-function partPeers(world: GatewayWorld, index: number, lastsMs: number): void {
+function cutPeers(world: GatewayWorld, index: number, lastsMs: number): void {
   const name = `gateway-${index}`;
   world.network.cut(name, "*");
   world.network.cut("*", name);
@@ -149,21 +149,21 @@
 }
 
 /** Which parts are away is drawn anew each time. */
-function takePartsAway(world: GatewayWorld, outage: StoreOutage): void {
+function failSomeParts(world: GatewayWorld, outage: StoreOutage): void {
   const { conditions } = world.store;
-  troubleStore(world, LASTS_MS);
+  recordStoreFault(world, FAULT_DURATION_MS);
   const draw = world.random.token(AWAY_DRAW_LENGTH);
   const isAway = (part: string) => world.hash.hash32(`${draw}/${part}`) % AWAY_ONE_OF === 0;
-  conditions.outageOf = (part) => (isAway(part) ? outage : "none");
-  world.time.after(LASTS_MS, () => {
-    conditions.outageOf = () => "none";
+  conditions.partOutage = (part) => (isAway(part) ? outage : "none");
+  world.time.after(FAULT_DURATION_MS, () => {
+    conditions.partOutage = () => "none";
   });
 }
 
 function cutStore(world: GatewayWorld, index: number, path: "cut" | "answersLost", lastsMs: number): void {
   const store = world.gateways[index]?.store;
   if (!store) return;
-  troubleGateway(world, index, lastsMs);
+  recordGatewayFault(world, index, lastsMs);
   store.path = path;
   world.time.after(lastsMs, () => {
     store.path = "open";
--- a/bench/simulation/gateways/gateway-workload.ts
+++ b/bench/simulation/gateways/gateway-workload.ts
@@ -11,18 +11,18 @@
   readonly name: ProgramId;
   readonly budget: number;
   /** Tokens that callers were handed, those of turns that broke off included. */
-  handed: number;
+  delivered: number;
   /** The same, but that a turn that did not end whole counts with its most. */
   charged: number;
 }
 
 /** A turn whose answer was whole. */
-export interface WholeTurn {
+export interface CompletedTurn {
   readonly turn: RequestId;
   /** Everything that was said up to its end. */
-  readonly said: string;
+  readonly transcript: string;
   /** The turn that it went on from. */
-  readonly previous: WholeTurn | undefined;
+  readonly previous: CompletedTurn | undefined;
   /** Virtual time of its end. */
   readonly endedAtMs: number;
 }
@@ -30,7 +30,7 @@
 /** What came of a simulation. */
 export interface GatewayObservations {
   readonly programs: ProgramObservation[];
-  readonly whole: WholeTurn[];
+  readonly completedTurns: CompletedTurn[];
   /** Broken promises. */
   readonly broken: string[];
   granted: number;
@@ -47,13 +47,13 @@
 }
 
 /** The most tokens that a turn may generate. */
-export const MOST = 100;
+export const MAX_TURN_TOKENS = 100;
 const BUDGET_TURNS = 6;
 const MAX_TURN_MS = 300;
 const PATIENCE_MS = 1_500;
 const RETRY_MS = 300;
 /** Every so many turns goes on from a turn of another program. */
-const FOREIGN_EVERY = 12;
+const FOREIGN_TURN_INTERVAL = 12;
 
 /** Runs one program after the other until `untilMs`; they loop until their budget is spent. */
 export async function runPrograms(
@@ -63,7 +63,7 @@
 ): Promise<void> {
   while (world.time.nowMs < untilMs) {
     const name = `program-${observations.programs.length}` as ProgramId;
-    const program = { name, budget: MOST * BUDGET_TURNS, handed: 0, charged: 0 };
+    const program = { name, budget: MAX_TURN_TOKENS * BUDGET_TURNS, delivered: 0, charged: 0 };
     observations.programs.push(program);
     await runProgram(world, observations, program, untilMs);
   }
@@ -75,10 +75,11 @@
   program: ProgramObservation,
   untilMs: number,
 ): Promise<void> {
-  let last: WholeTurn | undefined;
+  let last: CompletedTurn | undefined;
   for (let count = 0; world.time.nowMs < untilMs; count += 1) {
-    const { whole } = observations;
-    if (count % FOREIGN_EVERY === 1 && whole.length > 0) last = whole[world.random.below(whole.length)];
+    const { completedTurns } = observations;
+    if (count % FOREIGN_TURN_INTERVAL === 1 && completedTurns.length > 0)
+      last = completedTurns[world.random.below(completedTurns.length)];
     const outcome = await takeTurn(
       world,
       observations,
@@ -97,21 +98,21 @@
   observations: GatewayObservations,
   program: ProgramObservation,
   turn: RequestId,
-  last: WholeTurn | undefined,
-): Promise<WholeTurn | "exhausted" | "failed"> {
+  last: CompletedTurn | undefined,
+): Promise<CompletedTurn | "exhausted" | "failed"> {
   const gateway = world.drawServing();
   if (!gateway) return "failed";
-  const budget = { tokens: program.budget, most: MOST };
+  const budget = { tokens: program.budget, most: MAX_TURN_TOKENS };
   const partition = gateway.client.partitionOf(program.name);
   const context = { partition, program: program.name, session: "main", turn, budget };
   const history = { previousTurn: last?.turn };
   const untilMs = gateway.process.monotonicMs() + PATIENCE_MS;
   const asked = gateway.client.admit({ ...context, history }, untilMs, () => false);
-  const answer = await orDeath(gateway, world, asked);
+  const answer = await unlessKilled(gateway, world, asked);
   if (!answer) return "failed";
   if (answer.type === "exhausted") {
     observations.exhausted += 1;
-    if (program.charged + MOST <= program.budget) observations.exhaustedEarly += 1;
+    if (program.charged + MAX_TURN_TOKENS <= program.budget) observations.exhaustedEarly += 1;
     return "exhausted";
   }
   if (answer.type === "noSuchTurn") {
@@ -128,12 +129,12 @@
     return "failed";
   }
   observations.granted += 1;
-  program.charged += MOST;
+  program.charged += MAX_TURN_TOKENS;
   const said = Buffer.concat(answer.history).toString();
-  if (said !== (last?.said ?? "")) observations.broken.push(`history: ${turn} got what was not said`);
+  if (said !== (last?.transcript ?? "")) observations.broken.push(`history: ${turn} got what was not said`);
   await pause(world, world.random.unit() * MAX_TURN_MS);
-  const tokens = world.random.below(MOST + 1);
-  program.handed += tokens;
+  const tokens = world.random.below(MAX_TURN_TOKENS + 1);
+  program.delivered += tokens;
   const retained = {
     previousTurn: last?.turn,
     input: Buffer.from(`[${turn}]`),
@@ -141,21 +142,26 @@
     tokens,
   };
   const request: EndTurnRequest = { ...context, tokens, runner: undefined, retained: undefined };
-  const isKept = await orDeath(gateway, world, gateway.client.storeTurn(turn, retained, PATIENCE_MS));
+  const isKept = await unlessKilled(gateway, world, gateway.client.storeTurn(turn, retained, PATIENCE_MS));
   if (!isKept) {
     void gateway.client.end(request);
     return "failed";
   }
-  await orDeath(gateway, world, gateway.client.endRetained({ ...request, retained }));
+  await unlessKilled(gateway, world, gateway.client.endRetained({ ...request, retained }));
   if (!gateway.process.alive) return "failed";
-  const whole = { turn, previous: last, said: `${said}[${turn}](${tokens})`, endedAtMs: world.time.nowMs };
-  program.charged -= MOST - tokens;
-  observations.whole.push(whole);
+  const whole = {
+    turn,
+    previous: last,
+    transcript: `${said}[${turn}](${tokens})`,
+    endedAtMs: world.time.nowMs,
+  };
+  program.charged -= MAX_TURN_TOKENS - tokens;
+  observations.completedTurns.push(whole);
   return whole;
 }
 
 /** The answer, or nothing when the gateway dies first. */
-function orDeath<Answer>(
+function unlessKilled<Answer>(
   gateway: SimulatedGateway,
   world: GatewayWorld,
   asked: Promise<Answer>,
--- a/bench/simulation/gateways/gateway-world.ts
+++ b/bench/simulation/gateways/gateway-world.ts
@@ -8,7 +8,7 @@
 import type { Tenant } from "../../../src/scheduling/routing/tenant.ts";
 import { SimulatedNetwork } from "../simulated-network.ts";
 import { SimulatedProcess, VirtualTime } from "../virtual-time.ts";
-import { ContactRecord } from "./contact-record.ts";
+import { ReachabilityRecord } from "./reachability-record.ts";
 import { CONFIGURATION_KEY, CONFIGURATION_TABLE, SimulatedGateway } from "./simulated-gateway.ts";
 import { SharedStore, SimulatedRowStore } from "./simulated-row-store.ts";
 
@@ -42,7 +42,7 @@
   readonly gateways: SimulatedGateway[] = [];
   readonly random: SeededRandomSource;
   readonly hash: TextHash;
-  readonly contact = new ContactRecord();
+  readonly reachability = new ReachabilityRecord();
   readonly #seed: number;
   readonly #fleet: GatewayFleet;
   readonly #tenancy: GatewayTenancy | undefined;
@@ -60,7 +60,7 @@
     this.random = new SeededRandomSource(seed);
     this.store = new SharedStore(this.time, new SeededRandomSource(seed + SEED_SPREAD));
     this.network = new SimulatedNetwork(this.time, new SeededRandomSource(seed + 2 * SEED_SPREAD));
-    this.network.refusesForDead = true;
+    this.network.reportsDeadReceivers = true;
     this.configure();
     for (let index = 0; index < fleet.gateways; index += 1) this.start(index);
   }
--- a/bench/simulation/gateways/member-fleet.ts
+++ b/bench/simulation/gateways/member-fleet.ts
@@ -26,7 +26,7 @@
   readonly name: string;
   readonly process: SimulatedProcess;
   readonly directory: MemberDirectory;
-  readonly board: RunnerBalancer;
+  readonly balancer: RunnerBalancer;
 }
 
 /** How members balance; as before where nothing is said. */
@@ -54,7 +54,7 @@
   messages = 0;
   /** Their bytes as the transport would encode them, by the receiver's name; counted only while `weighs`. */
   readonly bytes = new Map<string, number>();
-  weighs = false;
+  countsBytes = false;
 
   constructor(
     hash: TextHash,
@@ -67,7 +67,7 @@
     this.#hash = hash;
     this.#directMost = directMost;
     this.#zones = zones;
-    this.network.refusesForDead = true;
+    this.network.reportsDeadReceivers = true;
     for (let index = 0; index < count; index += 1) this.start(index);
   }
 
@@ -101,7 +101,7 @@
     };
     const transport = this.network.attach(process, { instance, address: peers });
     const directory = new MemberDirectory(context, transport, new StoreHealth(context));
-    const board = new RunnerBalancer(this.#balance.newCost?.());
+    const balancer = new RunnerBalancer(this.#balance.newCost?.());
     const entry = {
       startedAtMs: undefined,
       pool: "p",
@@ -110,26 +110,26 @@
       slots: 8,
       state: "ready",
     } as const;
-    for (const id of FLEET_RUNNERS) board.upsert({ ...entry, id, name: id as string as RunnerName });
+    for (const id of FLEET_RUNNERS) balancer.upsert({ ...entry, id, name: id as string as RunnerName });
     directory.selfReport = () => ({
       state: "ready",
       storeDirect: false,
       owned: [],
-      runners: board.ownReport(process.monotonicMs()),
+      runners: balancer.ownReport(process.monotonicMs()),
       headroom: this.#balance.headroomOf?.(index),
     });
-    directory.onLoads = (source, report) => board.recordReport(source, report, process.monotonicMs());
-    directory.sumLoads = (sources) => board.sumReports(sources);
-    directory.onLost = (member) => board.dropReport(member.instance);
+    directory.onLoads = (source, report) => balancer.recordReport(source, report, process.monotonicMs());
+    directory.sumLoads = (sources) => balancer.sumReports(sources);
+    directory.onLost = (member) => balancer.dropReport(member.instance);
     transport.onDisconnected((address, reason) => directory.onDisconnected(address, reason));
     transport.onMessage((message, from) => {
       this.messages += 1;
-      if (this.weighs)
+      if (this.countsBytes)
         this.bytes.set(name, (this.bytes.get(name) ?? 0) + this.#encoder.encode(message).length);
       if (message.type === "heartbeat") directory.onHeartbeat(message, from);
       if (message.type === "memberDigest") directory.onDigest(message, from);
     });
-    this.members[index] = { name, process, directory, board };
+    this.members[index] = { name, process, directory, balancer };
     directory.start();
   }
 
--- a/bench/simulation/gateways/run-gateway-simulation.ts
+++ b/bench/simulation/gateways/run-gateway-simulation.ts
@@ -1,10 +1,10 @@
 /** Runs gateways under faults on virtual time, and checks what must always hold. */
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
 import { checkAnsweredTurns } from "./check-answered-turns.ts";
-import { APPLY_MS } from "./contact-record.ts";
-import { type GatewayFault, strike } from "./gateway-faults.ts";
+import { type GatewayFault, injectFault } from "./gateway-faults.ts";
 import { type GatewayObservations, runPrograms } from "./gateway-workload.ts";
 import { type GatewayFleet, GatewayWorld } from "./gateway-world.ts";
+import { APPLY_LIMIT_MS } from "./reachability-record.ts";
 
 /** One simulated run. */
 export interface GatewaySimulationOptions {
@@ -33,7 +33,7 @@
   const world = new GatewayWorld(options.seed, hash, options.fleet);
   const observations: GatewayObservations = {
     programs: [],
-    whole: [],
+    completedTurns: [],
     broken: [],
     granted: 0,
     exhausted: 0,
@@ -48,7 +48,7 @@
   const endMs = faultsEndMs + RECOVERY_MS + CALM_MS;
   scheduleFaults(world, options.faults, faultsEndMs);
   watchConfiguration(world, observations, endMs);
-  watchLateNews(world, observations, endMs);
+  watchLateConfiguration(world, observations, endMs);
   watchOwners(world, observations, endMs);
   for (let count = 0; count < PROGRAMS_AT_ONCE; count += 1) void runPrograms(world, observations, endMs);
   await world.time.runUntil(faultsEndMs + RECOVERY_MS);
@@ -72,7 +72,7 @@
   for (let atMs = QUIET_START_MS; atMs < untilMs; atMs += FAULT_EVERY_MS) {
     for (const fault of faults) {
       world.time.after(atMs - world.time.nowMs + world.random.unit() * FAULT_EVERY_MS, () => {
-        strike(world, fault);
+        injectFault(world, fault);
       });
     }
   }
@@ -94,12 +94,12 @@
 }
 
 /** Gateways that news reaches have in force what was confirmed a while ago, whatever befalls the others. */
-function watchLateNews(world: GatewayWorld, observations: GatewayObservations, endMs: number): void {
+function watchLateConfiguration(world: GatewayWorld, observations: GatewayObservations, endMs: number): void {
   const look = () => {
     const nowMs = world.time.nowMs;
-    const due = world.versionAt(nowMs - APPLY_MS);
+    const due = world.versionAt(nowMs - APPLY_LIMIT_MS);
     for (const [index, gateway] of world.gateways.entries()) {
-      if (!gateway.process.alive || !world.contact.isReached(index, nowMs)) continue;
+      if (!gateway.process.alive || !world.reachability.isReachable(index, nowMs)) continue;
       const version = gateway.routing.routes?.configuration.version ?? 0;
       if (version < due)
         observations.broken.push(
@@ -135,7 +135,7 @@
 
 /** Budgets are exact, whatever fails at once. */
 function checkBudgets({ programs, broken }: GatewayObservations): void {
-  for (const { name, handed, budget } of programs) {
-    if (handed > budget) broken.push(`budget: ${name} was handed ${handed} of ${budget} tokens`);
+  for (const { name, delivered, budget } of programs) {
+    if (delivered > budget) broken.push(`budget: ${name} was handed ${delivered} of ${budget} tokens`);
   }
 }
--- a/bench/simulation/gateways/run-tenant-simulation.ts
+++ b/bench/simulation/gateways/run-tenant-simulation.ts
@@ -1,9 +1,9 @@
 /** Runs gateways with tenants under faults on virtual time, and checks keys and limits from outside. */
 import type { RateLimit, RateTolerance } from "../../../src/coordination/request-rate/index.ts";
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
-import { mostInWindow } from "../most-in-window.ts";
+import { maxRequestsInWindow } from "../max-requests-in-window.ts";
 import { windowCounts } from "../window-counts.ts";
-import { strike } from "./gateway-faults.ts";
+import { injectFault } from "./gateway-faults.ts";
 import { type GatewayTenancy, GatewayWorld } from "./gateway-world.ts";
 import type { GatewaySimulationOptions } from "./run-gateway-simulation.ts";
 import {
@@ -46,7 +46,7 @@
   for (let atMs = QUIET_START_MS; atMs < faultsEndMs; atMs += FAULT_EVERY_MS)
     for (const fault of options.faults)
       world.time.after(atMs - world.time.nowMs + world.random.unit() * FAULT_EVERY_MS, () =>
-        strike(world, fault),
+        injectFault(world, fault),
       );
   for (const tenant of tenants) sendRequests(world, observations, tenant, TENANCY.revokeMs, endMs);
   changeTenants(world, tenants, faultsEndMs);
@@ -77,7 +77,7 @@
   const admittedAtMs = tenant.admitted.map((request) => request.admittedAtMs);
   const windows = windowCounts(admittedAtMs, tolerance.windowMs).map(({ endMs, count }) => {
     const limit = highestLimit(tenant, endMs - LOWERED_AFTER_MS, endMs);
-    const bound = mostInWindow(limit, tolerance);
+    const bound = maxRequestsInWindow(limit, tolerance);
     return { endMs, count, bound, beyond: count - bound };
   });
   const [worst] = windows.sort((left, right) => right.beyond - left.beyond);
--- a/bench/simulation/gateways/simulated-row-store.ts
+++ b/bench/simulation/gateways/simulated-row-store.ts
@@ -21,7 +21,7 @@
 export interface StoreConditions {
   outage: StoreOutage;
   /** What is wrong with calls that touch rows of a part; watches, which follow a whole table, are answered. */
-  outageOf: (part: string) => StoreOutage;
+  partOutage: (part: string) => StoreOutage;
   /** Answers take so many times as long. */
   slowness: number;
   /** Part of the writes that are done and not answered. */
@@ -44,7 +44,7 @@
   readonly model = new RowStoreModel();
   readonly conditions: StoreConditions = {
     outage: "none",
-    outageOf: () => "none",
+    partOutage: () => "none",
     slowness: 1,
     lostAnswers: 0,
     lateWrites: false,
@@ -87,22 +87,22 @@
 
   async transact(transaction: RowTransaction): Promise<TransactionOutcome> {
     const { conditions, random, time } = this.#shared;
-    const trouble = await this.#travel(partsOf(transaction));
+    const trouble = await this.#reachStore(partsOf(transaction));
     if (trouble) return trouble;
     const lost = random.unit() < conditions.lostAnswers;
     if (lost && conditions.lateWrites) {
       time.after(LATE_MIN_MS + random.unit() * (LATE_MAX_MS - LATE_MIN_MS), () => this.#apply(transaction));
     }
     const outcome = lost && conditions.lateWrites ? undefined : this.#apply(transaction);
-    if (lost || !outcome || this.path === "answersLost") return this.#silence();
+    if (lost || !outcome || this.path === "answersLost") return this.#timeOut();
     await delay(this.#process, CALL_MS / 2);
     return outcome;
   }
 
   async read(range: RowRange): Promise<ReadOutcome> {
-    const trouble = await this.#travel([range.part]);
+    const trouble = await this.#reachStore([range.part]);
     if (trouble) return trouble;
-    if (this.path === "answersLost") return this.#silence();
+    if (this.path === "answersLost") return this.#timeOut();
     const { model } = this.#shared;
     const rows = model.read(range.table, range.part, range.from ?? "", range.until).map(storedRow);
     const { version } = model;
@@ -114,12 +114,12 @@
     const { model, time, conditions } = this.#shared;
     const breaks = this.#breaks;
     const untilMs = time.nowMs + waitMs;
-    const trouble = await this.#travel([], waitMs);
+    const trouble = await this.#reachStore([], waitMs);
     if (trouble) return trouble;
     for (;;) {
       // Whoever waits does not notice that the answer can't come any more, and waits to the end.
       if (this.#breaks !== breaks || this.path !== "open" || conditions.outage === "silent")
-        return this.#silence(untilMs - time.nowMs);
+        return this.#timeOut(untilMs - time.nowMs);
       const changes = model.changes(table, afterVersion);
       if (!changes) return { type: "historyGone" };
       if (changes.length > 0 || time.nowMs >= untilMs) {
@@ -134,7 +134,7 @@
    *
    * @param waitMs how long the store may wait before it answers
    */
-  async #travel(
+  async #reachStore(
     parts: readonly string[],
     waitMs = 0,
   ): Promise<{ type: "refused"; detail: string } | { type: "unknown"; detail: string } | undefined> {
@@ -143,14 +143,14 @@
     await delay(this.#process, Math.min(wayMs, TIMEOUT_MS));
     // Whoever has given up does not hear the answer; that the store does the call all the same is another fault.
     if (wayMs > TIMEOUT_MS) return { type: "unknown", detail: "no answer" };
-    const outages = [conditions.outage, ...parts.map(conditions.outageOf)];
+    const outages = [conditions.outage, ...parts.map(conditions.partOutage)];
     if (outages.includes("busy")) return { type: "refused", detail: "busy" };
-    if (outages.includes("silent") || this.path === "cut") return this.#silence(waitMs);
+    if (outages.includes("silent") || this.path === "cut") return this.#timeOut(waitMs);
     return undefined;
   }
 
   /** @param waitMs how long the store might have waited before its answer */
-  async #silence(waitMs = 0): Promise<{ type: "unknown"; detail: string }> {
+  async #timeOut(waitMs = 0): Promise<{ type: "unknown"; detail: string }> {
     await delay(this.#process, TIMEOUT_MS + waitMs);
     return { type: "unknown", detail: "no answer" };
   }
--- a/bench/simulation/gateways/tenant-workload.ts
+++ b/bench/simulation/gateways/tenant-workload.ts
@@ -12,7 +12,7 @@
 }
 
 /** Keys that a tenant had at some time, and when they were taken away. */
-interface KeyLife {
+interface KeyLifetime {
   readonly key: KeyDigest;
   revokedAtMs: number | undefined;
 }
@@ -22,7 +22,7 @@
   readonly name: TenantName;
   /** Its limits, and since when each is what the operators say. */
   readonly limits: { readonly sinceMs: number; readonly limit: RateLimit }[];
-  readonly keys: KeyLife[];
+  readonly keys: KeyLifetime[];
   /** What it sends, as a multiple of its first limit. */
   load: number;
   readonly admitted: AdmittedRequest[];
@@ -47,8 +47,8 @@
 const KEYS_EACH = 2;
 /** What tenants usually send, and what one sends that runs wild, as a multiple of their limits. */
 const USUAL_LOAD = 0.5;
-const WILD_LOAD = 5;
-const WILD_AT_ONCE = 3;
+const OVERLOAD = 5;
+const OVERLOADED_TENANTS = 3;
 const WILD_EVERY_MS = 6_000;
 const CHANGE_EVERY_MS = 4_000;
 const LOWERED_PART = 0.2;
@@ -97,11 +97,11 @@
   untilMs: number,
 ): void {
   const draw = () => tenants[world.random.below(tenants.length)] as SimulatedTenant;
-  const runWild = (): void => {
+  const overloadTenants = (): void => {
     for (const tenant of tenants) tenant.load = USUAL_LOAD;
     if (world.time.nowMs >= untilMs) return;
-    for (let count = 0; count < WILD_AT_ONCE; count += 1) draw().load = WILD_LOAD;
-    world.time.after(WILD_EVERY_MS, runWild);
+    for (let count = 0; count < OVERLOADED_TENANTS; count += 1) draw().load = OVERLOAD;
+    world.time.after(WILD_EVERY_MS, overloadTenants);
   };
   const change = (): void => {
     if (world.time.nowMs >= untilMs) return;
@@ -111,7 +111,7 @@
     configureTenants(world, tenants);
     world.time.after(CHANGE_EVERY_MS, change);
   };
-  runWild();
+  overloadTenants();
   change();
 }
 
@@ -154,7 +154,7 @@
   else tenant.keys.push(newKey(tenant.name, tenant.keys.length));
 }
 
-function newKey(tenant: string | number, index: number): KeyLife {
+function newKey(tenant: string | number, index: number): KeyLifetime {
   return { key: `key-${tenant}-${index}` as KeyDigest, revokedAtMs: undefined };
 }
 
--- a/bench/simulation/most-in-window.ts
+++ b/bench/simulation/max-requests-in-window.ts
@@ -3,7 +3,7 @@
 const MS_PER_S = 1_000;
 
 /** Most requests that a limit allows in a window, with what is tolerated beyond it. */
-export function mostInWindow({ perSecond, burst }: RateLimit, tolerance: RateTolerance): number {
+export function maxRequestsInWindow({ perSecond, burst }: RateLimit, tolerance: RateTolerance): number {
   const { windowMs, overage, slack } = tolerance;
   return ((perSecond * windowMs) / MS_PER_S + burst) * (1 + overage) + slack;
 }
--- a/bench/simulation/operators.ts
+++ b/bench/simulation/operators.ts
@@ -8,7 +8,7 @@
 const ASK_TIMEOUT_MS = 8_000;
 const RACE_PAUSE_MS = 2_500;
 const PROBE_PAUSE_MS = 900;
-const PROBE_PATIENCE_MS = 6_000;
+const PROBE_TIMEOUT_MS = 6_000;
 
 /** Two operators who change the same keys at the same time, and one who withdraws a model and probes it. */
 export class Operators {
@@ -45,21 +45,21 @@
       `budget: { tokens: ${budgetTokens}, window: total }`,
       "services: { pay-api: { repeatable: ['GET /*'], timeoutMs: 4000 } }",
     ].join("\n");
-    await this.#untilAccepted("setup-template", `template/${TEMPLATE}`, template);
+    await this.#applyUntilAccepted("setup-template", `template/${TEMPLATE}`, template);
     const tenant = `kind: tenant\ntemplate: ${TEMPLATE}\ntenant: ${TENANT}\n`;
-    await this.#untilAccepted("setup-tenant", `tenant/${TEMPLATE}/${TENANT}`, tenant);
+    await this.#applyUntilAccepted("setup-tenant", `tenant/${TEMPLATE}/${TENANT}`, tenant);
   }
 
   /** Both operators change one key again and again, each from the version that it last saw. */
-  async race(endMs: number): Promise<void> {
-    await Promise.all([this.#raceAs("left", endMs), this.#raceAs("right", endMs)]);
+  async raceChanges(endMs: number): Promise<void> {
+    await Promise.all([this.#changeRepeatedly("left", endMs), this.#changeRepeatedly("right", endMs)]);
   }
 
   /** Withdraws a model at `atMs`, and then probes until `endMs` whether calls for it still run. */
   async withdrawAndProbe(atMs: number, endMs: number): Promise<void> {
     await this.#pause(atMs - this.#world.time.nowMs);
     const content = `kind: tenant\ntemplate: ${TEMPLATE}\ntenant: ${TENANT}\nmodels: [agent-llm]\n`;
-    await this.#untilAccepted("withdraw", `tenant/${TEMPLATE}/${TENANT}`, content);
+    await this.#applyUntilAccepted("withdraw", `tenant/${TEMPLATE}/${TENANT}`, content);
     this.withdrawnMs = this.#world.time.nowMs;
     this.#world.note("model side-llm is withdrawn");
     while (this.#world.time.nowMs < endMs) {
@@ -73,7 +73,7 @@
     const startedMs = this.#world.time.nowMs;
     if (!slot) return;
     const served = new Promise<boolean>((resolve) => {
-      this.#world.time.after(PROBE_PATIENCE_MS, () => resolve(false));
+      this.#world.time.after(PROBE_TIMEOUT_MS, () => resolve(false));
       this.#callWithdrawn(slot.ingress).then(resolve, () => resolve(false));
     });
     this.#observations.probes.push({ startedMs, served: await served });
@@ -90,7 +90,7 @@
     } as const;
     const call = { tenant: TENANT, program: id, number: undefined, idempotencyKey: undefined, request };
     const session = await core.makeCall(
-      { ...call, patienceMs: PROBE_PATIENCE_MS, streamed: false },
+      { ...call, patienceMs: PROBE_TIMEOUT_MS, streamed: false },
       () => undefined,
     );
     const result = await session.result;
@@ -98,7 +98,7 @@
     return result.type === "answered";
   }
 
-  async #raceAs(operator: string, endMs: number): Promise<void> {
+  async #changeRepeatedly(operator: string, endMs: number): Promise<void> {
     const key = "runner/engine-0";
     for (let round = 1; this.#world.time.nowMs < endMs; round++) {
       const base = await this.#versionOf(key);
@@ -131,7 +131,7 @@
   }
 
   /** Asks for a change until it is accepted; the identifier stays the same, so it is applied once. */
-  async #untilAccepted(change: string, key: string, content: string): Promise<void> {
+  async #applyUntilAccepted(change: string, key: string, content: string): Promise<void> {
     for (;;) {
       const baseVersion = (await this.#versionOf(key)) ?? 0;
       const reply = await this.#ask("applyConfiguration", { change, key, content, baseVersion });
--- a/bench/simulation/run-simulation.ts
+++ b/bench/simulation/run-simulation.ts
@@ -71,7 +71,7 @@
       observations.unfinished -= 1;
     });
   }
-  void operators.race(endMs);
+  void operators.raceChanges(endMs);
   void operators.withdrawAndProbe(startMs + durationMs * WITHDRAW_AFTER_PART, endMs);
   await world.time.runUntil(endMs);
   await world.time.runUntil(endMs + FINISH_LIMIT_MS, () => observations.unfinished === 0);
--- a/bench/simulation/simulated-back-ends.ts
+++ b/bench/simulation/simulated-back-ends.ts
@@ -17,10 +17,10 @@
 import { SimulatedProcess, type VirtualTime } from "./virtual-time.ts";
 
 const REQUEST_TIMEOUT_MS = 3_000;
-const STREAM_SILENCE_MS = 15_000;
+const STREAM_IDLE_TIMEOUT_MS = 15_000;
 const HANG_MS = 60_000;
-const SHORTEST_SERVICE_MS = 20;
-const SERVICE_SPREAD_MS = 800;
+const MIN_SERVICE_MS = 20;
+const SERVICE_RANGE_MS = 800;
 
 /** An engine on a simulated machine. */
 export class SimulatedEngine {
@@ -30,7 +30,7 @@
   readonly #hash: TextHash;
   process: SimulatedProcess;
   model: EngineModel;
-  #stepping = false;
+  #stepScheduled = false;
   /** Since when the platform lists the engine as leaving. */
   leavingSinceMs: number | undefined;
   /** Longest time after the listing at which work was still taken. */
@@ -51,7 +51,7 @@
   restart(): void {
     this.process = new SimulatedProcess(this.options.name, this.process.zone, this.#time);
     this.model = new EngineModel(this.options, this.#hash);
-    this.#stepping = false;
+    this.#stepScheduled = false;
   }
 
   /** Takes a request; see {@link EngineModel.submit}. */
@@ -62,23 +62,23 @@
       const afterMs = this.#time.nowMs - this.leavingSinceMs;
       this.latestAfterLeavingMs = Math.max(this.latestAfterLeavingMs, afterMs);
     }
-    this.#step();
+    this.#scheduleStep();
     return undefined;
   }
 
   /** Counts what a program cost. */
-  charge(program: string, tokens: number): void {
+  addTokens(program: string, tokens: number): void {
     this.tokensByProgram.set(program, (this.tokensByProgram.get(program) ?? 0) + tokens);
   }
 
-  #step(): void {
-    if (this.#stepping || !this.model.hasWork) return;
-    this.#stepping = true;
+  #scheduleStep(): void {
+    if (this.#stepScheduled || !this.model.hasWork) return;
+    this.#stepScheduled = true;
     const { model, process } = this;
     process.schedule(model.beginStep(), () => {
-      this.#stepping = false;
+      this.#stepScheduled = false;
       model.finishStep(this.#time.nowMs);
-      this.#step();
+      this.#scheduleStep();
     });
   }
 }
@@ -148,9 +148,9 @@
         process.run(() => reject(platformError(`The engine at ${address} does not answer.`)));
       const timer = this.#time.after(REQUEST_TIMEOUT_MS, giveUp);
       if (!engine) return;
-      this.#travel(process, engine.process, () => {
+      this.#deliver(process, engine.process, () => {
         const value = work(engine);
-        this.#travel(engine.process, process, () => {
+        this.#deliver(engine.process, process, () => {
           this.#time.cancel(timer);
           resolve(value);
         });
@@ -169,14 +169,16 @@
       const engine = this.engines.get(address);
       const engineProcess = engine?.process;
       const stream = new OrderedStream(this.#time);
-      let silence = this.#time.after(STREAM_SILENCE_MS, () => end({ type: "broken", detail: "silence" }));
+      let silence = this.#time.after(STREAM_IDLE_TIMEOUT_MS, () =>
+        end({ type: "broken", detail: "silence" }),
+      );
       const end = (result: GenerateResult) => {
         this.#time.cancel(silence);
         process.run(() => resolve(result));
       };
       const heard = () => {
         this.#time.cancel(silence);
-        silence = this.#time.after(STREAM_SILENCE_MS, () => end({ type: "broken", detail: "silence" }));
+        silence = this.#time.after(STREAM_IDLE_TIMEOUT_MS, () => end({ type: "broken", detail: "silence" }));
       };
       if (!engine || !engineProcess?.alive) return end({ type: "refused", reason: "unreachable" });
       watchEnd(this.#time, engineProcess, () => end({ type: "broken", detail: "connection reset" }));
@@ -187,9 +189,9 @@
       };
       cancellation.onCancel(() => {
         end({ type: "cancelled" });
-        this.#travel(process, engineProcess, () => engine.model.cancel(request.requestId));
+        this.#deliver(process, engineProcess, () => engine.model.cancel(request.requestId));
       });
-      this.#travel(process, engineProcess, () => {
+      this.#deliver(process, engineProcess, () => {
         const counter = new TokenCounter(engine, request);
         const refusal = engine.submit(request, {
           onChunk: (offset, text) => {
@@ -220,7 +222,7 @@
       if (!machine?.process.alive) return end({ type: "not-sent", detail: "connection refused" });
       const timer = this.#time.after(timeoutMs, () => end({ type: "unknown", detail: "no answer in time" }));
       const workMs = this.#serviceWorkMs();
-      this.#travel(process, machine.process, () => {
+      this.#deliver(process, machine.process, () => {
         const reply = machine.model.execute({
           method: request.method,
           path: request.path,
@@ -229,7 +231,7 @@
           idempotencyKey: request.idempotencyKey ?? "",
         });
         const answer = () => {
-          this.#travel(machine.process, process, () => {
+          this.#deliver(machine.process, process, () => {
             this.#time.cancel(timer);
             end({ type: "answered", answer: { type: "service", ...reply } });
           });
@@ -241,10 +243,10 @@
 
   /** Services take a while, so that faults find calls of theirs in flight. */
   #serviceWorkMs(): number {
-    return SHORTEST_SERVICE_MS + this.#random.unit() * SERVICE_SPREAD_MS;
+    return MIN_SERVICE_MS + this.#random.unit() * SERVICE_RANGE_MS;
   }
 
-  #travel(from: SimulatedProcess, to: SimulatedProcess, arrive: () => void): void {
+  #deliver(from: SimulatedProcess, to: SimulatedProcess, arrive: () => void): void {
     if (!from.alive) return;
     this.#time.after(this.#network.latencyMs(from.zone, to.zone), () => {
       if (this.#network.passes(from.name, to.name)) to.run(arrive);
@@ -279,11 +281,11 @@
 
   prompt(): void {
     const characters = this.#request.messages.reduce((sum, { content }) => sum + content.length, 0);
-    this.#engine.charge(this.#request.program, Math.ceil(characters / 4));
+    this.#engine.addTokens(this.#request.program, Math.ceil(characters / 4));
   }
 
   generated(tokens: number): void {
-    this.#engine.charge(this.#request.program, tokens);
+    this.#engine.addTokens(this.#request.program, tokens);
   }
 }
 
--- a/bench/simulation/simulated-network.ts
+++ b/bench/simulation/simulated-network.ts
@@ -18,7 +18,7 @@
 const WITHIN_ZONE_MS = 0.3;
 const BETWEEN_ZONES_MS = 1.2;
 const JITTER_MS = 1;
-const HELD_UP_MS = 40;
+const MAX_REORDER_DELAY_MS = 40;
 
 /** Connects simulated processes; cuts, loses, doubles and reorders by the seed. */
 export class SimulatedNetwork<Kind = Message> {
@@ -26,7 +26,7 @@
   readonly #time: VirtualTime;
   readonly #random: RandomSource;
   /** Whether a message to a dead process tells its sender that nobody listens there. */
-  refusesForDead = false;
+  reportsDeadReceivers = false;
   readonly #endpoints = new Map<string, SimulatedTransport<Kind>>();
   readonly #cuts = new Set<string>();
 
@@ -74,7 +74,7 @@
     const copies = this.#random.unit() < duplication ? 2 : 1;
     for (let copy = 0; copy < copies; copy++) {
       const target = this.#endpoints.get(address);
-      const heldUpMs = this.#random.unit() < reordering ? this.#random.unit() * HELD_UP_MS : 0;
+      const heldUpMs = this.#random.unit() < reordering ? this.#random.unit() * MAX_REORDER_DELAY_MS : 0;
       const delayMs = this.latencyMs(from.process.zone, target?.process.zone ?? "") + heldUpMs;
       const bytes = ENCODER.encode(message);
       this.#time.after(delayMs, () => this.#arrive(from, address, bytes, configurationVersion));
@@ -89,7 +89,7 @@
   ): void {
     const target = this.#endpoints.get(address);
     if (!target || !this.passes(from.process.name, target.process.name)) return;
-    if (!target.process.alive && this.refusesForDead) from.process.run(() => from.refuse(address));
+    if (!target.process.alive && this.reportsDeadReceivers) from.process.run(() => from.refuse(address));
     target.process.run(() => target.receive(ENCODER.decode(bytes) as Kind, from.self, configurationVersion));
   }
 }
--- a/bench/simulation/simulated-platform.ts
+++ b/bench/simulation/simulated-platform.ts
@@ -17,7 +17,7 @@
   lostAnswers: number;
 }
 
-const TRIP_MS = 2;
+const MIN_LATENCY_MS = 2;
 const JITTER_MS = 2;
 const TIMEOUT_MS = 3_000;
 
@@ -55,7 +55,7 @@
   }
 
   #tripMs(): number {
-    return TRIP_MS + this.#random.unit() * JITTER_MS + this.conditions.slowMs;
+    return MIN_LATENCY_MS + this.#random.unit() * JITTER_MS + this.conditions.slowMs;
   }
 }
 
--- a/bench/simulation/workload.ts
+++ b/bench/simulation/workload.ts
@@ -14,10 +14,10 @@
 const MAX_TRIES = 6;
 const RETRY_PAUSE_MS = 700;
 /** Part of the programs that begin with two turns at once. */
-const PAIR_PART = 0.5;
+const PAIR_PROBABILITY = 0.5;
 
 /** A call's end as an HTTP client would see it: the result, or a broken connection. */
-type Seen = CallResult | { readonly type: "cut" };
+type CallOutcome = CallResult | { readonly type: "cut" };
 
 interface Turn {
   readonly question: string;
@@ -50,20 +50,20 @@
   }
 
   async #work(program: string, endMs: number, mayBranch: boolean): Promise<void> {
-    if (this.#random.unit() < PAIR_PART) await this.#pair(program);
+    if (this.#random.unit() < PAIR_PROBABILITY) await this.#takeTwoTurns(program);
     const steps = 3 + this.#random.below(6);
     for (let step = 0; step < steps && this.#world.time.nowMs < endMs; step++) {
       const dice = this.#random.unit();
       if (dice < 0.55) await this.#turn(program);
       else if (dice < 0.85) await this.#charge(program);
-      else if (mayBranch) await this.#branch(program, endMs);
+      else if (mayBranch) await this.#runSubAgent(program, endMs);
       await this.#pause(900);
     }
     await this.#close(program);
   }
 
   /** A sub-agent with a history of its own, while the parent waits. */
-  async #branch(parent: string, endMs: number): Promise<void> {
+  async #runSubAgent(parent: string, endMs: number): Promise<void> {
     const child = await this.#open({ program: parent, afterCall: 0 });
     if (child) await this.#work(child, endMs, false);
   }
@@ -71,7 +71,7 @@
   async #open(parent: { program: string; afterCall: number } | undefined): Promise<string | undefined> {
     for (let attempt = 0; attempt < MAX_TRIES; attempt++) {
       const parameters = { tenant: TENANT, template: TEMPLATE, parent, deadlineMs: undefined };
-      const opened = await this.#through((slot) => slot.ingress.openProgram(parameters));
+      const opened = await this.#withIngress((slot) => slot.ingress.openProgram(parameters));
       if (opened.type === "value") return opened.value.id;
       await this.#pause(RETRY_PAUSE_MS);
     }
@@ -80,7 +80,7 @@
 
   async #close(program: string): Promise<void> {
     for (let attempt = 0; attempt < MAX_TRIES * 3; attempt++) {
-      const read = await this.#through((slot) => slot.ingress.readProgram(program, TENANT));
+      const read = await this.#withIngress((slot) => slot.ingress.readProgram(program, TENANT));
       if (read.type === "value") {
         const messages = read.value.history.map(({ role, content }) => ({ role, content }));
         this.#observations.histories.push({ program, messages });
@@ -89,7 +89,7 @@
       await this.#pause(RETRY_PAUSE_MS);
     }
     for (let attempt = 0; attempt < MAX_TRIES * 3; attempt++) {
-      const ended = await this.#through((slot) => slot.ingress.endProgram(program, TENANT));
+      const ended = await this.#withIngress((slot) => slot.ingress.endProgram(program, TENANT));
       if (ended.type === "value") return;
       await this.#pause(RETRY_PAUSE_MS);
     }
@@ -106,33 +106,33 @@
   }
 
   /** Two turns at once, the later one sent first: they must run in the order of their numbers. */
-  async #pair(program: string): Promise<void> {
+  async #takeTwoTurns(program: string): Promise<void> {
     const turns = [1, 2].map((number) => ({
       number,
       question: `${this.#name} step ${this.#nextStep()} #tokens=${5 * number}`,
       tokens: 5 * number,
     }));
-    const late = this.#see(program, turns[1]);
+    const late = this.#runTurn(program, turns[1]);
     await this.#pause(30);
-    const observed = [await this.#see(program, turns[0]), await late];
+    const observed = [await this.#runTurn(program, turns[0]), await late];
     for (const turn of observed) this.#observe(program, turn.observed, turn.seen);
   }
 
   async #askOnce(program: string, turn: Turn): Promise<string> {
-    const { observed, seen } = await this.#see(program, turn);
+    const { observed, seen } = await this.#runTurn(program, turn);
     this.#observe(program, observed, seen);
     return observed.outcome;
   }
 
-  #observe(program: string, observed: ObservedTurn, seen: Seen): void {
+  #observe(program: string, observed: ObservedTurn, seen: CallOutcome): void {
     this.#observations.turns.push(observed);
-    this.#note(program, "turn", observed.question, seen);
+    this.#recordCall(program, "turn", observed.question, seen);
   }
 
-  async #see(
+  async #runTurn(
     program: string,
     { question, tokens, number }: Turn,
-  ): Promise<{ observed: ObservedTurn; seen: Seen }> {
+  ): Promise<{ observed: ObservedTurn; seen: CallOutcome }> {
     let streamed = "";
     const request: CallRequest = {
       type: "completion",
@@ -183,7 +183,7 @@
       );
       const outcome = outcomeOf(seen);
       this.#observations.charges.push({ program, body, outcome });
-      this.#note(program, "charge", body, seen);
+      this.#recordCall(program, "charge", body, seen);
       if (outcome === "answered" || outcome === "unknown") return;
       await this.#pause(RETRY_PAUSE_MS);
     }
@@ -197,7 +197,7 @@
     onText: (text: string) => void,
     restart: () => void,
     number?: number,
-  ): Promise<Seen> {
+  ): Promise<CallOutcome> {
     const untilMs = this.#world.time.nowMs + PATIENCE_MS * 2;
     for (;;) {
       const seen = await this.#callOnce(program, key, request, onText, number);
@@ -213,7 +213,7 @@
     request: CallRequest,
     onText: (text: string) => void,
     number: number | undefined,
-  ): Promise<Seen> {
+  ): Promise<CallOutcome> {
     const parameters = {
       tenant: TENANT,
       program,
@@ -223,7 +223,7 @@
       patienceMs: PATIENCE_MS,
       streamed: true,
     };
-    const made = await this.#through(async (slot) => {
+    const made = await this.#withIngress(async (slot) => {
       const session = await slot.ingress.makeCall(parameters, onText);
       return session.result;
     });
@@ -233,7 +233,7 @@
   }
 
   /** Does something through a living ingress, and notices when that ingress dies meanwhile. */
-  #through<Value>(work: (slot: IngressSlot) => Promise<Value>): Promise<Through<Value>> {
+  #withIngress<Value>(work: (slot: IngressSlot) => Promise<Value>): Promise<Through<Value>> {
     const living = this.#world.ingresses.filter((slot) => slot.process.alive);
     if (living.length === 0) return Promise.resolve({ type: "cut" });
     const slot = living[this.#random.below(living.length)];
@@ -258,7 +258,7 @@
     });
   }
 
-  #note(program: string, kind: string, text: string, seen: Seen): void {
+  #recordCall(program: string, kind: string, text: string, seen: CallOutcome): void {
     const why = seen.type === "failed" ? ` ${seen.problem.kind}: ${seen.problem.detail}` : "";
     this.#world.note(`${kind} "${text}" of ${program}: ${outcomeOf(seen)}${why}`);
     if (seen.type !== "answered") this.#observations.failures += 1;
@@ -281,7 +281,7 @@
   | { readonly type: "problem"; readonly problem: Problem }
   | { readonly type: "cut" };
 
-function outcomeOf(seen: Seen) {
+function outcomeOf(seen: CallOutcome) {
   if (seen.type === "answered") return "answered" as const;
   return seen.type === "cut" ? ("unknown" as const) : seen.problem.outcome;
 }
--- a/bench/simulation/world.ts
+++ b/bench/simulation/world.ts
@@ -130,7 +130,9 @@
   }
 
   /** Puts a machine on the platform's list, or changes it there. */
-  list(machine: Partial<Machine> & Pick<Machine, "name" | "kind" | "pool" | "zone" | "address">): void {
+  listMachine(
+    machine: Partial<Machine> & Pick<Machine, "name" | "kind" | "pool" | "zone" | "address">,
+  ): void {
     const whole: Machine = { incarnation: "1", state: "live", models: [], slots: 0, kvTokens: 0, ...machine };
     this.platform.listModel.put(whole, this.time.nowMs);
   }
@@ -138,7 +140,7 @@
   /** Puts an engine on the list as it is now. */
   listEngine(engine: SimulatedEngine, state: Machine["state"]): void {
     const { name, models } = engine.options;
-    this.list({
+    this.listMachine({
       name,
       kind: "runner",
       pool: models[0],
@@ -185,7 +187,7 @@
     const machine = new SimulatedServiceMachine(name, this.#zone(index), address, this.time, this.ledger);
     this.services.push(machine);
     this.backEnds.services.set(address, machine);
-    this.list({ name, kind: "service", pool: "pay-api", zone: this.#zone(index), address });
+    this.listMachine({ name, kind: "service", pool: "pay-api", zone: this.#zone(index), address });
   }
 
   #newNode(index: number): NodeSlot {
--- a/test/contract/balance-messages.test.ts
+++ b/test/contract/balance-messages.test.ts
@@ -42,15 +42,15 @@
         wasCached: false,
         load: 0,
       };
-      for (const { board, process } of fleet.members.slice(0, 3)) {
-        board.recordTiming(fast, { ...seen, workMs: 50 }, process.monotonicMs());
-        board.recordTiming(slow, { ...seen, workMs: 150 }, process.monotonicMs());
+      for (const { balancer, process } of fleet.members.slice(0, 3)) {
+        balancer.recordTiming(fast, { ...seen, workMs: 50 }, process.monotonicMs());
+        balancer.recordTiming(slow, { ...seen, workMs: 150 }, process.monotonicMs());
       }
       await fleet.time.runUntil(SETTLE_MS + PROPAGATION_MS);
-      for (const { board, process } of fleet.members) {
+      for (const { balancer, process } of fleet.members) {
         const choice = { pool: "p", zone: "zone-0", excluded: new Set<RunnerId>(), preferred: undefined };
         const now = { ...choice, nowMs: process.monotonicMs(), sample: 0.5 };
-        const expectedMs = (id: RunnerId) => board.expectedMs(id, now) ?? 0;
+        const expectedMs = (id: RunnerId) => balancer.expectedMs(id, now) ?? 0;
         expect(expectedMs(slow) > 1.5 * expectedMs(fast)).toEqual(true);
       }
     });
--- a/test/contract/member-directory.test.ts
+++ b/test/contract/member-directory.test.ts
@@ -80,10 +80,10 @@
     it(`counts each gateway's requests exactly once at every gateway, ${name}`, async () => {
       const fleet = new MemberFleet(hash, count, directMost);
       await fleet.time.runUntil(SETTLE_MS);
-      for (const { board, process } of fleet.members)
-        board.recordStart(FLEET_RUNNERS[0], process.monotonicMs(), 60_000);
+      for (const { balancer, process } of fleet.members)
+        balancer.recordStart(FLEET_RUNNERS[0], process.monotonicMs(), 60_000);
       await fleet.time.runUntil(fleet.time.nowMs + 2_500);
-      const loads = fleet.members.map(({ board }) => board.load(FLEET_RUNNERS[0]));
+      const loads = fleet.members.map(({ balancer }) => balancer.load(FLEET_RUNNERS[0]));
       expect([Math.min(...loads), Math.max(...loads)]).toEqual([count, count]);
     });
   }
--- a/test/contract/request-rate.test.ts
+++ b/test/contract/request-rate.test.ts
@@ -4,7 +4,7 @@
  */
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { mostInWindow } from "../../bench/simulation/most-in-window.ts";
+import { maxRequestsInWindow } from "../../bench/simulation/max-requests-in-window.ts";
 import { windowCounts } from "../../bench/simulation/window-counts.ts";
 import {
   type RateLimit,
@@ -25,7 +25,7 @@
 
 /** Returns the maximum number of requests that may be admitted in a window. */
 function boundOf(limit: RateLimit): number {
-  return mostInWindow(limit, TOLERANCE);
+  return maxRequestsInWindow(limit, TOLERANCE);
 }
 
 /** Returns the largest number of requests that were admitted in any window. */
--- a/test/contract/rolling-restart.test.ts
+++ b/test/contract/rolling-restart.test.ts
@@ -32,7 +32,7 @@
       const member = fleet.members[index];
       for (let runner = 0; runner < RUNNERS; runner += 1) {
         const id = `runner-${runner}-with-a-long-name` as RunnerId;
-        member?.board.upsert({
+        member?.balancer.upsert({
           name: id as string as RunnerName,
           startedAtMs: undefined,
           id,
@@ -43,12 +43,12 @@
           state: "ready",
         });
         if ((runner + index) % 8 === 0)
-          member?.board.recordStart(id, member.process.monotonicMs(), PATIENCE_MS);
+          member?.balancer.recordStart(id, member.process.monotonicMs(), PATIENCE_MS);
       }
     };
     for (let index = 0; index < GATEWAYS; index += 1) putUnderLoad(index);
     await fleet.time.runUntil(SETTLE_MS);
-    fleet.weighs = true;
+    fleet.countsBytes = true;
     for (let restart = 0; restart < RESTARTS; restart += 1) {
       const index = (restart * 7) % GATEWAYS;
       fleet.members[index]?.process.kill();
--- a/test/contract/runner-watch.test.ts
+++ b/test/contract/runner-watch.test.ts
@@ -6,7 +6,7 @@
 import { beforeEach, describe, it } from "node:test";
 import { expect } from "earl";
 import { pino } from "pino";
-import { CONTACT_MS } from "../../bench/simulation/gateways/contact-record.ts";
+import { REACHABLE_AFTER_MS } from "../../bench/simulation/gateways/reachability-record.ts";
 import { SharedStore, SimulatedRowStore } from "../../bench/simulation/gateways/simulated-row-store.ts";
 import { SimulatedProcess, VirtualTime } from "../../bench/simulation/virtual-time.ts";
 import { RunnerWatch } from "../../src/gateway/runners/runner-watch.ts";
@@ -120,11 +120,11 @@
     for (let count = 0; count < 40; count += 1) {
       const silentMs = time.nowMs;
       path.silenceConnections();
-      time.after(CONTACT_MS / 2, () => write(RUNNER, { state: "draining" }));
-      await time.runUntil(silentMs + CONTACT_MS);
+      time.after(REACHABLE_AFTER_MS / 2, () => write(RUNNER, { state: "draining" }));
+      await time.runUntil(silentMs + REACHABLE_AFTER_MS);
       if (board.ready(RUNNER)) late.push(silentMs);
       write(RUNNER);
-      await time.runUntil(silentMs + CONTACT_MS + 2_500 + count * PHASE_STEP_MS);
+      await time.runUntil(silentMs + REACHABLE_AFTER_MS + 2_500 + count * PHASE_STEP_MS);
     }
     expect(late).toEqual([]);
   });
--- a/test/simulation/configuration.test.ts
+++ b/test/simulation/configuration.test.ts
@@ -1,8 +1,8 @@
 /** Confirmed configurations come into force in time at every gateway that has had a path to a calm store for long enough. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
-import { APPLY_MS, CONTACT_MS } from "../../bench/simulation/gateways/contact-record.ts";
 import { type GatewayFleet, GatewayWorld } from "../../bench/simulation/gateways/gateway-world.ts";
+import { APPLY_LIMIT_MS, REACHABLE_AFTER_MS } from "../../bench/simulation/gateways/reachability-record.ts";
 import { loadTextHash, type TextHash } from "../../src/runtime/text-hash.ts";
 import { knownRed } from "../support/known-red.ts";
 
@@ -10,8 +10,8 @@
 const CHANGE_EVERY_MS = 130;
 const LOOK_MS = 20;
 /** Calm time between two troubles, in ms: what is late shows at its end. */
-const CALM_MS = CONTACT_MS + 1_200;
-const TROUBLES = 60;
+const CALM_MS = REACHABLE_AFTER_MS + 1_200;
+const FAULT_COUNT = 60;
 /** Lengths of troubles, in ms: the step goes round in the span, so that every phase of a wait is met. */
 const LEAST_MS = 300;
 const SPAN_MS = 4_500;
@@ -19,30 +19,30 @@
 
 const ALONE: GatewayFleet = { gateways: 1, directMost: 24 };
 const FEW: GatewayFleet = { gateways: 4, directMost: 24 };
-const STRUCK = 0;
+const FAULTY = 0;
 const PEER = 1;
 
 /** Strikes, and returns how the trouble ends. */
-type Trouble = (world: GatewayWorld) => () => void;
+type InjectFault = (world: GatewayWorld) => () => void;
 
-const cutStruck: Trouble = (world) => cut(world, STRUCK);
+const cutStruck: InjectFault = (world) => cut(world, FAULTY);
 
-const TROUBLE: Record<string, { readonly fleet: GatewayFleet; readonly strike: Trouble }> = {
+const FAULTS: Record<string, { readonly fleet: GatewayFleet; readonly strike: InjectFault }> = {
   "a cut of one gateway among others": { fleet: FEW, strike: cutStruck },
   "a cut of a gateway that is alone": { fleet: ALONE, strike: cutStruck },
   "answers that are lost on the way to one gateway": {
     fleet: FEW,
-    strike: (world) => cut(world, STRUCK, "answersLost"),
+    strike: (world) => cut(world, FAULTY, "answersLost"),
   },
-  "a silence of the whole store": { fleet: FEW, strike: (world) => away(world, "silent") },
+  "a silence of the whole store": { fleet: FEW, strike: (world) => failStore(world, "silent") },
   "a silence of the whole store before a gateway that is alone": {
     fleet: ALONE,
-    strike: (world) => away(world, "silent"),
+    strike: (world) => failStore(world, "silent"),
   },
-  "a store that turns everybody away": { fleet: FEW, strike: (world) => away(world, "busy") },
+  "a store that turns everybody away": { fleet: FEW, strike: (world) => failStore(world, "busy") },
   "connections that fall silent": {
     fleet: ALONE,
-    strike: (world) => () => world.gateways[STRUCK]?.store.silenceConnections(),
+    strike: (world) => () => world.gateways[FAULTY]?.store.silenceConnections(),
   },
   "a cut of a gateway, and then of those that made its calls": { fleet: FEW, strike: cutThenItsPeers },
 };
@@ -55,7 +55,7 @@
   };
 }
 
-function away(world: GatewayWorld, outage: "silent" | "busy"): () => void {
+function failStore(world: GatewayWorld, outage: "silent" | "busy"): () => void {
   const { conditions } = world.store;
   conditions.outage = outage;
   return () => {
@@ -77,8 +77,8 @@
 }
 
 /** The first gateway's looks at which it had an older version in force than is promised. */
-async function lateLooks(hash: TextHash, name: string): Promise<string[]> {
-  const { fleet, strike } = TROUBLE[name] as (typeof TROUBLE)[string];
+async function findLateChecks(hash: TextHash, name: string): Promise<string[]> {
+  const { fleet, strike } = FAULTS[name] as (typeof FAULTS)[string];
   const world = new GatewayWorld(1, hash, fleet);
   const { time } = world;
   const change = (): void => {
@@ -88,7 +88,7 @@
   change();
   await time.runUntil(START_MS);
   const late: string[] = [];
-  for (let count = 0; count < TROUBLES; count += 1) {
+  for (let count = 0; count < FAULT_COUNT; count += 1) {
     const lastsMs = LEAST_MS + ((count * STEP_MS) % SPAN_MS);
     const heal = strike(world);
     await time.runUntil(time.nowMs + lastsMs);
@@ -96,9 +96,9 @@
     const healedMs = time.nowMs;
     while (time.nowMs < healedMs + CALM_MS) {
       await time.runUntil(time.nowMs + LOOK_MS);
-      if (time.nowMs - healedMs < CONTACT_MS) continue;
-      const due = world.versionAt(time.nowMs - APPLY_MS);
-      const inForce = world.gateways[STRUCK]?.routing.routes?.configuration.version ?? 0;
+      if (time.nowMs - healedMs < REACHABLE_AFTER_MS) continue;
+      const due = world.versionAt(time.nowMs - APPLY_LIMIT_MS);
+      const inForce = world.gateways[FAULTY]?.routing.routes?.configuration.version ?? 0;
       if (inForce < due)
         late.push(`${lastsMs} ms long, ${time.nowMs - healedMs} ms after: ${inForce}, not ${due}`);
     }
@@ -112,10 +112,10 @@
     hash = await loadTextHash();
   });
 
-  for (const trouble of Object.keys(TROUBLE)) {
+  for (const trouble of Object.keys(FAULTS)) {
     const name = `is in force in time after ${trouble}`;
     it(name, knownRed(name), async () => {
-      expect(await lateLooks(hash, trouble)).toEqual([]);
+      expect(await findLateChecks(hash, trouble)).toEqual([]);
     });
   }
 });
--- a/test/soak/configuration-watch.ts
+++ b/test/soak/configuration-watch.ts
@@ -1,5 +1,5 @@
 /** Changes the configuration during a soak, and checks that it is in force in time and never goes back. */
-import { APPLY_MS, CONTACT_MS } from "../../bench/simulation/gateways/contact-record.ts";
+import { APPLY_LIMIT_MS, REACHABLE_AFTER_MS } from "../../bench/simulation/gateways/reachability-record.ts";
 import { pause, type TestGateway } from "../process/support/gateway-cluster.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
 import type { SoakLedger } from "./soak-ledger.ts";
@@ -70,7 +70,8 @@
   async #look(gateway: TestGateway): Promise<void> {
     const { process } = gateway;
     const version = this.#version;
-    const isDue = this.#ledger.calmForMs > CONTACT_MS && this.#ledger.nowMs - this.#changedMs > APPLY_MS;
+    const isDue =
+      this.#ledger.calmForMs > REACHABLE_AFTER_MS && this.#ledger.nowMs - this.#changedMs > APPLY_LIMIT_MS;
     const status = await this.#probe(gateway, version);
     if (gateway.process !== process || status === 0 || status === UNAVAILABLE) return;
     const seen = this.#seen.get(process) ?? 0;
--- a/test/soak/tenant-watch.ts
+++ b/test/soak/tenant-watch.ts
@@ -3,7 +3,7 @@
  * runners ran of them tells whether keys and limits hold.
  */
 
-import { mostInWindow } from "../../bench/simulation/most-in-window.ts";
+import { maxRequestsInWindow } from "../../bench/simulation/max-requests-in-window.ts";
 import { windowCounts } from "../../bench/simulation/window-counts.ts";
 import type { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import { PATHS, pause, type TestGateway } from "../process/support/gateway-cluster.ts";
@@ -69,7 +69,7 @@
   }
 
   #checkWindows(sentAtMs: readonly number[]): void {
-    const bound = mostInWindow(WILD_LIMIT, TOLERANCE);
+    const bound = maxRequestsInWindow(WILD_LIMIT, TOLERANCE);
     const beyond = windowCounts(sentAtMs, TOLERANCE.windowMs).find(({ count }) => count > bound);
     if (!beyond) return;
     const { count, endMs } = beyond;
