--- a/bench/simulate-gateways.ts
+++ b/bench/simulate-gateways.ts
@@ -1,8 +1,8 @@
 /**
  * Runs the simulation of gateways: `npm run simulate:gateways -- [--seed N] [--runs N] [--faults a,b] [--relays]
- * [--tenants]`: programs, or tenants with keys and limits. Without `--faults`, each run draws two kinds by its seed. The
- * first run has the seed that is given, the others seeds far from it, which their lines name. Ends with code 1 if any
- * promise was broken.
+ * [--tenants]`. The workload is programs or, with `--tenants`, tenants with keys and limits. Without `--faults`, each
+ * run draws two kinds of faults from its seed. The first run uses the given seed, the others use seeds far from it,
+ * which the output names. Exits with code 1 if any run violates a guarantee.
  */
 import { parseArgs } from "node:util";
 import { SeededRandomSource } from "../src/runtime/random-source.ts";
--- a/bench/simulate.ts
+++ b/bench/simulate.ts
@@ -1,4 +1,4 @@
-/** `npm run simulate -- --seed N --runs K --minutes M`: runs the system under faults on virtual time. */
+/** `npm run simulate -- --seed N --runs K --minutes M`: simulates the system under faults, in virtual time. */
 import { Cli, Command, Option } from "clipanion";
 import { loadTextHash } from "../src/runtime/text-hash.ts";
 import { FAULT_KINDS, type FaultKind } from "./simulation/faults.ts";
@@ -12,8 +12,10 @@
   seed = Option.String("--seed", "1", { description: "The first seed" });
   runs = Option.String("--runs", "1", { description: "How many seeds to run, one after the other" });
   minutes = Option.String("--minutes", "1", { description: "Virtual minutes under faults, per run" });
-  faults = Option.String("--faults", { description: "Kinds of faults to draw from, with commas; or none" });
-  budget = Option.String("--budget", "400000", { description: "The tenant's budget, tokens" });
+  faults = Option.String("--faults", {
+    description: "Kinds of faults to draw from, separated by commas, or none",
+  });
+  budget = Option.String("--budget", "400000", { description: "The tenant's budget, in tokens" });
   trace = Option.Boolean("--trace", false, { description: "Prints the whole trace" });
 
   override async execute(): Promise<number> {
--- a/bench/simulation/checkers.ts
+++ b/bench/simulation/checkers.ts
@@ -1,18 +1,18 @@
 /**
- * What must always hold, checked from what callers, operators and back ends saw. Each checker returns what is
- * broken, in words; an empty list is a pass.
+ * Checks the system's guarantees against what callers, operators and back ends observed. Each checker returns a
+ * description of every violation, and an empty list if there are none.
  */
 
 import type { Fault } from "./faults.ts";
 import type { Observations, ObservedTurn } from "./observations.ts";
 import type { World } from "./world.ts";
 
-/** Seconds after which a leaving engine may get no more work. */
+/** Time after which a leaving engine may not receive any more work. */
 export const LEAVING_BOUND_MS = 5_000;
-/** Time after which an accepted configuration must be in force everywhere. */
+/** Time after which an accepted configuration must be in force on every node. */
 export const IN_FORCE_BOUND_MS = 12_000;
 
-/** What the checkers are given. */
+/** Input of the checkers. */
 export interface CheckInput {
   readonly world: World;
   readonly observations: Observations;
@@ -21,7 +21,7 @@
   readonly plan: readonly Fault[];
 }
 
-/** The promises, and what checks each. */
+/** The checker of each guarantee, by the guarantee's name. */
 export const CHECKERS: Readonly<Record<string, (input: CheckInput) => string[]>> = {
   "history and order": checkHistories,
   "whole answers": checkAnswers,
@@ -35,7 +35,7 @@
   liveness: checkLiveness,
 };
 
-/** A program's history is what its caller saw, in the order in which it was asked; unknown turns may be there or not. */
+/** A program's history must match its caller's turns, in order. Turns with an unknown outcome may be missing. */
 function checkHistories({ observations }: CheckInput): string[] {
   return observations.histories.flatMap(({ program, messages }) => {
     const turns = observations.turns.filter((turn) => turn.program === program);
@@ -46,7 +46,8 @@
       if (present) broken.push(...checkTurn(program, turn, left));
       else if (turn.outcome === "answered") broken.push(`${program} lost the turn "${turn.question}"`);
     }
-    if (left.length > 0) broken.push(`${program} holds foreign or misplaced messages: "${left[0].content}"`);
+    if (left.length > 0)
+      broken.push(`${program} holds unexpected or misplaced messages: "${left[0].content}"`);
     return broken;
   });
 }
@@ -61,7 +62,7 @@
   return differs ? [`${program} holds another answer to "${turn.question}" than its caller saw`] : [];
 }
 
-/** Faults that may part an ingress from the node that carries its call out. */
+/** Faults that may disconnect an ingress from the node that executes its call. */
 const DISCONNECTING_FAULTS = /^(kill|freeze|cut|isolate|drain|network-loss)/;
 
 function checkAnswers({ observations, plan }: CheckInput): string[] {
@@ -70,7 +71,7 @@
     if (turn.interrupted && !parted) return [`"${turn.question}" was interrupted for no reason`];
     if (turn.outcome !== "answered") return [];
     if (turn.streamed !== turn.answer)
-      return [`"${turn.question}" was streamed otherwise than it was answered`];
+      return [`"${turn.question}" was streamed with another text than it was answered with`];
     if (turn.answer.length === turn.expectedLength) return [];
     return [`"${turn.question}" has ${turn.answer.length} of ${turn.expectedLength} characters`];
   });
@@ -137,7 +138,7 @@
   ];
 }
 
-/** Where nothing fails and nodes only stop as planned, no caller may notice. */
+/** If nothing fails and nodes only stop as planned, every call must succeed. */
 function checkPlannedStops({ observations, plan }: CheckInput): string[] {
   if (plan.length === 0 || plan.some((fault) => fault.kind !== "drain-node")) return [];
   return observations.failures > 0 ? [`${observations.failures} calls had no answer`] : [];
--- a/bench/simulation/faults.ts
+++ b/bench/simulation/faults.ts
@@ -1,7 +1,7 @@
 import type { RandomSource } from "../../src/runtime/random-source.ts";
 import type { World } from "./world.ts";
 
-/** The kinds of faults that can be brought about. */
+/** The kinds of faults that can be injected. */
 export const FAULT_KINDS = [
   "kill-node",
   "freeze-node",
@@ -27,22 +27,22 @@
 /** The kind of a fault. */
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-/** One fault of a plan. */
+/** A fault with its start and duration. */
 export interface Fault {
   readonly kind: FaultKind;
   readonly atMs: number;
   readonly durationMs: number;
-  /** Which machine, by its number modulo the machines of that kind. */
+  /** Selects the machine: an index, modulo the number of machines of that kind. */
   readonly target: number;
 }
 
 const MIN_DURATION_MS = 500;
 const MAX_DURATION_MS = 9_000;
-/** Quiet time after a pair of faults, in which lost replicas are made up for. */
+/** Time without faults after a pair of faults, in which lost replicas are replaced. */
 const RECOVERY_MS = 14_000;
 const PAIR_SPREAD_MS = 1_500;
 
-/** Draws a plan: pairs of faults close together, with time to recover in between. */
+/** Draws a plan of pairs of faults that are close together, with time to recover between the pairs. */
 export function drawFaultPlan(
   random: RandomSource,
   startMs: number,
@@ -69,7 +69,7 @@
   };
 }
 
-/** Brings the faults of a plan about, each at its time, and undoes them. */
+/** Schedules the start and the end of each fault of a plan. */
 export function scheduleFaults(world: World, plan: readonly Fault[]): void {
   for (const fault of plan) {
     world.time.after(fault.atMs - world.time.nowMs, () => {
@@ -180,5 +180,5 @@
   };
 }
 
-/** Conditions as they were before any fault: two faults of one kind may overlap. */
+/** Conditions before any fault, to be restored even if two faults of one kind overlap. */
 const INITIAL_CONDITIONS = new WeakMap<object, object>();
--- a/bench/simulation/gateways/check-answered-turns.ts
+++ b/bench/simulation/gateways/check-answered-turns.ts
@@ -1,26 +1,26 @@
-/** Whether turns that were answered whole are still there when everything works again. */
+/** Checks that completed turns are still stored after the system has recovered. */
 import type { ProgramId } from "../../../src/scheduling/ids/program-id.ts";
 import type { RequestId } from "../../../src/scheduling/ids/request-id.ts";
 import { type CompletedTurn, type GatewayObservations, MAX_TURN_TOKENS } from "./gateway-workload.ts";
 import type { GatewayWorld } from "./gateway-world.ts";
 
-/** Turns that ended this long before are asked for, in ms of virtual time; nearly all of a run. */
+/** Maximum age of the turns that are checked, in ms of virtual time. This covers nearly all of a run. */
 const RECENT_MS = 30_000;
-/** Turns asked for at once. */
+/** Number of turns checked at the same time. */
 const AT_ONCE = 32;
-/** A budget of one turn would not do: owners that took over hold back a part of what programs have. */
+/** A budget of one turn is not enough, because owners that took over hold back a part of each program's budget. */
 const BUDGET_TURNS = 6;
 const ATTEMPTS = 3;
 const PATIENCE_MS = 1_500;
 const RETRY_MS = 300;
-/** Virtual time for all of it, in ms: a turn that cannot be had takes up to 5.4 s, so 350 of them do. */
+/** Time limit of the whole check, in ms of virtual time: a missing turn takes up to 5.4 s, so 350 of them fit. */
 const CHECK_MS = 60_000;
 
 /**
- * Whether every turn that was answered whole lately can be gone on from, each time by a program of its own and through
- * any gateway. A turn is there when it is granted with exactly what was said, which shows all turns before it too: so
- * only turns that nobody went on from are asked for, and the ones before a missing turn. Why it is missing does not
- * matter.
+ * Checks that every recently completed turn can be continued by a new program through any gateway. A turn is stored if
+ * the gateway grants the continuation with exactly the expected history. As the history includes all previous turns,
+ * only turns without a continuation are checked, and then the turns before a missing one. The reason why a turn is
+ * missing does not matter.
  */
 export async function checkAnsweredTurns(
   world: GatewayWorld,
@@ -44,8 +44,8 @@
   };
   for (let asker = 0; asker < AT_ONCE; asker += 1) void askAll();
   await world.time.runUntil(world.time.nowMs + CHECK_MS, () => activeWorkers === 0);
-  if (activeWorkers > 0) broken.push("history: turns answered whole could not all be asked for");
-  if (missing.size > 0) broken.push(`history: ${missing.size} turns answered whole are not there`);
+  if (activeWorkers > 0) broken.push("history: not all completed turns could be checked");
+  if (missing.size > 0) broken.push(`history: ${missing.size} completed turns are missing`);
 }
 
 async function isStored(world: GatewayWorld, { turn, transcript }: CompletedTurn): Promise<boolean> {
--- a/bench/simulation/gateways/gateway-faults.ts
+++ b/bench/simulation/gateways/gateway-faults.ts
@@ -1,8 +1,8 @@
-/** What can go wrong in a simulation of gateways, each kind with how it begins and ends. */
+/** The faults of a simulation of gateways, and how each of them begins and ends. */
 import type { GatewayWorld } from "./gateway-world.ts";
 import type { StoreOutage } from "./simulated-row-store.ts";
 
-/** Faults in which the store does not answer in time. */
+/** Faults in which the store does not respond in time. */
 export const STORE_FAULTS = [
   "cut-store",
   "cut-store-answers",
@@ -14,7 +14,7 @@
   "late-writes",
 ] as const;
 
-/** Kinds of faults. */
+/** All kinds of faults. */
 export const GATEWAY_FAULTS = [
   "kill",
   "kill-all",
@@ -33,16 +33,16 @@
 
 const RESTART_MS = 1_500;
 const FAULT_DURATION_MS = 4_000;
-/** One of so many of the store's parts is away when only some are. */
+/** When only some of the store's parts fail, one in this many does. */
 const AWAY_ONE_OF = 3;
 const AWAY_DRAW_LENGTH = 8;
-/** Longer than keys are trusted, shorter than what is left to recover in. */
+/** Longer than a gateway trusts its keys without the store, and shorter than the remaining time to recover. */
 const CUT_OFF_MS = 6_500;
 const SLOWNESS = 60;
 const LOST_RESPONSES_FRACTION = 0.35;
 const MESSAGES_LOST_PART = 0.2;
 
-/** Begins a fault; it ends by itself within some seconds. */
+/** Starts a fault, and schedules its end a few seconds later. */
 export function injectFault(world: GatewayWorld, fault: GatewayFault): void {
   const index = world.random.below(world.gateways.length);
   const { conditions } = world.store;
@@ -148,7 +148,7 @@
   });
 }
 
-/** Which parts are away is drawn anew each time. */
+/** Makes a random selection of the store's parts fail; each call draws a new selection. */
 function failSomeParts(world: GatewayWorld, outage: StoreOutage): void {
   const { conditions } = world.store;
   recordStoreFault(world, FAULT_DURATION_MS);
--- a/bench/simulation/gateways/gateway-workload.ts
+++ b/bench/simulation/gateways/gateway-workload.ts
@@ -1,4 +1,4 @@
-/** Programs that take turns through whichever gateway, and what was seen of them from outside. */
+/** Programs that take turns through random gateways, and what their callers observe. */
 
 import type { EndTurnRequest } from "../../../src/gateway/gateway-messages.ts";
 import type { ProgramId } from "../../../src/scheduling/ids/program-id.ts";
@@ -6,56 +6,56 @@
 import type { GatewayWorld } from "./gateway-world.ts";
 import type { SimulatedGateway } from "./simulated-gateway.ts";
 
-/** What callers have seen of one program. */
+/** What callers observed of one program. */
 export interface ProgramObservation {
   readonly name: ProgramId;
   readonly budget: number;
-  /** Tokens that callers were handed, those of turns that broke off included. */
+  /** Tokens that callers received, including those of turns that were interrupted. */
   delivered: number;
-  /** The same, but that a turn that did not end whole counts with its most. */
+  /** The same, but a turn that was not completed counts with its maximum. */
   charged: number;
 }
 
-/** A turn whose answer was whole. */
+/** A turn whose answer was completed. */
 export interface CompletedTurn {
   readonly turn: RequestId;
-  /** Everything that was said up to its end. */
+  /** All inputs and outputs up to the end of the turn. */
   readonly transcript: string;
-  /** The turn that it went on from. */
+  /** The turn that it continues. */
   readonly previous: CompletedTurn | undefined;
-  /** Virtual time of its end. */
+  /** Virtual time at the end of the turn. */
   readonly endedAtMs: number;
 }
 
-/** What came of a simulation. */
+/** The results of a simulation. */
 export interface GatewayObservations {
   readonly programs: ProgramObservation[];
   readonly completedTurns: CompletedTurn[];
-  /** Broken promises. */
+  /** Violated guarantees. */
   readonly broken: string[];
   granted: number;
   exhausted: number;
-  /** Refusals of programs whose budget held one more turn, as callers count. */
+  /** Programs refused as exhausted although, by their callers' count, the budget allowed one more turn. */
   exhaustedEarly: number;
   unavailable: number;
-  /** The same by reason. */
+  /** Unavailable turns by reason. */
   readonly unavailableFor: Map<string, number>;
-  /** Times that a partition was seen with another owner than before. */
+  /** Number of times that a partition's owner changed. */
   ownerChanges: number;
-  /** Why the last turn was not answered. */
+  /** Description of the last unavailable turn. */
   lastUnavailable: string;
 }
 
-/** The most tokens that a turn may generate. */
+/** Maximum number of tokens that a turn may generate. */
 export const MAX_TURN_TOKENS = 100;
 const BUDGET_TURNS = 6;
 const MAX_TURN_MS = 300;
 const PATIENCE_MS = 1_500;
 const RETRY_MS = 300;
-/** Every so many turns goes on from a turn of another program. */
+/** One in this many turns continues a turn of another program. */
 const FOREIGN_TURN_INTERVAL = 12;
 
-/** Runs one program after the other until `untilMs`; they loop until their budget is spent. */
+/** Runs one program after another until `untilMs`. Each takes turns until its budget is exhausted. */
 export async function runPrograms(
   world: GatewayWorld,
   observations: GatewayObservations,
@@ -116,14 +116,14 @@
     return "exhausted";
   }
   if (answer.type === "noSuchTurn") {
-    observations.broken.push(`history: ${history.previousTurn} was answered whole, and is not there`);
+    observations.broken.push(`history: ${history.previousTurn} was completed, and is missing`);
     return "failed";
   }
   if (answer.type === "unavailable") {
     observations.unavailable += 1;
     const { unavailableFor } = observations;
     unavailableFor.set(answer.detail, (unavailableFor.get(answer.detail) ?? 0) + 1);
-    // As a gateway does whose call is over.
+    // A gateway does the same when a call is over.
     void gateway.client.end({ ...context, tokens: 0, runner: undefined, retained: undefined });
     observations.lastUnavailable = `${world.time.nowMs} ms, partition ${partition} at ${gateway.process.name}: ${answer.detail}`;
     return "failed";
@@ -131,7 +131,7 @@
   observations.granted += 1;
   program.charged += MAX_TURN_TOKENS;
   const said = Buffer.concat(answer.history).toString();
-  if (said !== (last?.transcript ?? "")) observations.broken.push(`history: ${turn} got what was not said`);
+  if (said !== (last?.transcript ?? "")) observations.broken.push(`history: ${turn} got a wrong history`);
   await pause(world, world.random.unit() * MAX_TURN_MS);
   const tokens = world.random.below(MAX_TURN_TOKENS + 1);
   program.delivered += tokens;
@@ -160,7 +160,7 @@
   return whole;
 }
 
-/** The answer, or nothing when the gateway dies first. */
+/** Resolves to the answer, or to undefined if the gateway's process is killed first. */
 function unlessKilled<Answer>(
   gateway: SimulatedGateway,
   world: GatewayWorld,
--- a/bench/simulation/gateways/gateway-world.ts
+++ b/bench/simulation/gateways/gateway-world.ts
@@ -1,4 +1,4 @@
-/** Gateways, the store and the network of one simulation; and what can be done to them. */
+/** The gateways, the store and the network of one simulation. */
 import type { RateTolerance } from "../../../src/coordination/request-rate/index.ts";
 import type { GatewayMessage } from "../../../src/gateway/gateway-messages.ts";
 import { gatewaySettingsSchema } from "../../../src/gateway/gateway-settings.ts";
@@ -17,24 +17,24 @@
 const UNUSED = "127.0.0.1:1";
 const SEED_SPREAD = 1_000;
 
-/** How many gateways there are, and from how many on relays carry their heartbeats. */
+/** The number of gateways, and the largest number that exchange heartbeats without relays. */
 export interface GatewayFleet {
   readonly gateways: number;
   readonly directMost: number;
 }
 
-/** How tenants are looked after. */
+/** Settings for tenants' keys and request limits. */
 export interface GatewayTenancy {
   readonly revokeMs: number;
   readonly tolerance: RateTolerance;
 }
 
-/** Few gateways: each sends its heartbeats to all others. */
+/** A small fleet, in which each gateway sends its heartbeats to all others. */
 export const SMALL_FLEET: GatewayFleet = { gateways: 5, directMost: 24 };
-/** Gateways enough for relays: two of the four of each zone. */
+/** A fleet that is large enough for relays: two of the four gateways of each zone. */
 export const RELAYED_FLEET: GatewayFleet = { gateways: 12, directMost: 4 };
 
-/** See the module's comment. */
+/** Starts the gateways and gives access to their processes, store and network. */
 export class GatewayWorld {
   readonly time = new VirtualTime();
   readonly store: SharedStore;
@@ -49,7 +49,7 @@
   #tenants: readonly Tenant[] | undefined;
   #starts = 0;
   #version = 0;
-  /** When each version was confirmed, in ms of virtual time; oldest first. */
+  /** The virtual time at which each version was confirmed, in ms; oldest first. */
   readonly #confirmed: { readonly version: number; readonly atMs: number }[] = [];
 
   constructor(seed: number, hash: TextHash, fleet: GatewayFleet = SMALL_FLEET, tenancy?: GatewayTenancy) {
@@ -65,17 +65,17 @@
     for (let index = 0; index < fleet.gateways; index += 1) this.start(index);
   }
 
-  /** The newest version that the operators have written. */
+  /** The newest configuration version that was written. */
   get version(): number {
     return this.#version;
   }
 
-  /** The newest version that was confirmed by then, in ms of virtual time. */
+  /** The newest version that was confirmed by `atMs` of virtual time. */
   versionAt(atMs: number): number {
     return this.#confirmed.findLast((confirmed) => confirmed.atMs <= atMs)?.version ?? 0;
   }
 
-  /** Writes a new version of the configuration, with these tenants or those of the one before. */
+  /** Writes a new version of the configuration, with the given tenants or those of the previous version. */
   configure(tenants = this.#tenants): void {
     this.#tenants = tenants;
     this.#version += 1;
@@ -87,7 +87,7 @@
     this.#confirmed.push({ version: this.#version, atMs: this.time.nowMs });
   }
 
-  /** Starts a gateway's process, for the first time or anew. */
+  /** Starts or restarts a gateway. */
   start(index: number): void {
     this.#starts += 1;
     const name = `gateway-${index}`;
@@ -123,7 +123,7 @@
     return { keys: { revokeMs }, requestLimits: tolerance };
   }
 
-  /** Partitions and the incarnations that the store names as their owners. */
+  /** The gateway instance that owns each partition, as recorded in the store. */
   owners(): [partition: number, instance: string][] {
     const owners: [number, string][] = [];
     for (let partition = 0; partition < PARTITIONS; partition += 1) {
@@ -135,7 +135,7 @@
     return owners;
   }
 
-  /** A gateway that serves, drawn at random; undefined when there is none. */
+  /** A random gateway among those that serve, or undefined if there is none. */
   drawServing(): SimulatedGateway | undefined {
     const serving = this.gateways.filter((gateway) => gateway.serves);
     return serving.length === 0 ? undefined : serving[this.random.below(serving.length)];
--- a/bench/simulation/gateways/member-fleet.ts
+++ b/bench/simulation/gateways/member-fleet.ts
@@ -1,4 +1,4 @@
-/** Gateways reduced to what they tell each other of themselves, on virtual time: for tests, and for slopes by size. */
+/** Gateways reduced to their membership messages, in virtual time, for tests and for measurements by fleet size. */
 
 import { Encoder } from "cbor-x";
 import { pino } from "pino";
@@ -17,11 +17,11 @@
 import { SimulatedNetwork } from "../simulated-network.ts";
 import { SimulatedProcess, VirtualTime } from "../virtual-time.ts";
 
-/** Zones of a fleet where nothing else is said. */
+/** Default number of zones. */
 export const DEFAULT_ZONES = 4;
 const ADDRESSES_PER_BYTE = 250;
 
-/** One gateway. */
+/** A gateway of the fleet. */
 export interface FleetMember {
   readonly name: string;
   readonly process: SimulatedProcess;
@@ -29,17 +29,17 @@
   readonly balancer: RunnerBalancer;
 }
 
-/** How members balance; as before where nothing is said. */
+/** Optional settings for how members balance load over runners. */
 export interface FleetBalance {
   readonly newCost?: () => RunnerCostModel;
-  /** What a member can take now, by its index. */
+  /** The headroom that a member reports, by its index. */
   readonly headroomOf?: (index: number) => number;
 }
 
-/** Runners that every member knows. */
+/** Runners that every member's balancer contains. */
 export const FLEET_RUNNERS = ["r1", "r2"] as [RunnerId, RunnerId];
 
-/** See the module's comment. */
+/** Runs the member directories and runner balancers of a fleet of gateways. */
 export class MemberFleet {
   readonly time = new VirtualTime();
   readonly network = new SimulatedNetwork<GatewayMessage>(this.time, new SeededRandomSource(1));
@@ -50,9 +50,9 @@
   readonly #balance: FleetBalance;
   readonly #encoder = new Encoder({ structures: [] });
   #starts = 0;
-  /** Messages that arrived. */
+  /** Number of messages that arrived. */
   messages = 0;
-  /** Their bytes as the transport would encode them, by the receiver's name; counted only while `weighs`. */
+  /** Their size in the transport's encoding, by the receiver's name; counted only while `countsBytes` is set. */
   readonly bytes = new Map<string, number>();
   countsBytes = false;
 
@@ -71,7 +71,7 @@
     for (let index = 0; index < count; index += 1) this.start(index);
   }
 
-  /** Starts a gateway, for the first time or anew. */
+  /** Starts or restarts a gateway. */
   start(index: number): void {
     this.#starts += 1;
     const name = `gateway-${index}`;
@@ -133,19 +133,19 @@
     directory.start();
   }
 
-  /** How many gateways each live gateway's directory names: the least and the most. */
+  /** The smallest and the largest number of gateways in the directories of the running gateways. */
   named(): [least: number, most: number] {
     const counts = this.alive().map(({ directory }) => directory.callerAddresses(undefined).length);
     return [Math.min(...counts), Math.max(...counts)];
   }
 
-  /** Gateways that run and do not stand still. */
+  /** Gateways that are alive and not frozen. */
   alive(): FleetMember[] {
     return this.members.filter(({ process }) => process.alive && !process.frozen);
   }
 }
 
-/** Where a gateway of the fleet is reached. */
+/** The address of a gateway of the fleet. */
 export function fleetAddress(index: number): string {
   const third = Math.floor(index / ADDRESSES_PER_BYTE);
   return `10.0.${third}.${(index % ADDRESSES_PER_BYTE) + 1}:7000`;
--- a/bench/simulation/gateways/reachability-record.ts
+++ b/bench/simulation/gateways/reachability-record.ts
@@ -1,27 +1,27 @@
-/** When trouble last kept news from each gateway of a simulation, so that it is known which of them news must have reached. */
+/** Records when faults last kept updates from each gateway of a simulation, to tell which ones must be up to date. */
 
-/** From the end of trouble on, a gateway counts as reached by news after this time, in ms. */
+/** Time after the end of a fault from which a gateway counts as reachable, in ms. */
 export const REACHABLE_AFTER_MS = 3_000;
-/** A confirmed configuration is in force after this time, in ms, where it is reached. */
+/** Time within which a confirmed configuration must be in force at a reachable gateway, in ms. */
 export const APPLY_LIMIT_MS = 2_000;
 
-/** See the module's comment. */
+/** The end of the latest fault of the store and of each gateway. */
 export class ReachabilityRecord {
   #storeUntilMs = Number.NEGATIVE_INFINITY;
-  /** By the gateways' indexes. */
+  /** End of each gateway's latest fault, by the gateway's index. */
   readonly #gatewaysUntilMs = new Map<number, number>();
 
-  /** The store is in trouble until then, in ms of virtual time. */
+  /** Records a fault of the store that lasts until `untilMs` of virtual time. */
   recordStoreFault(untilMs: number): void {
     this.#storeUntilMs = Math.max(this.#storeUntilMs, untilMs);
   }
 
-  /** A gateway, or its path to the store, is in trouble until then, in ms of virtual time. */
+  /** Records a fault of a gateway, or of its path to the store, that lasts until `untilMs` of virtual time. */
   recordGatewayFault(index: number, untilMs: number): void {
     this.#gatewaysUntilMs.set(index, Math.max(this.#troubleUntilMs(index), untilMs));
   }
 
-  /** Whether news must have reached a gateway. */
+  /** Whether updates must have reached a gateway. */
   isReachable(index: number, nowMs: number): boolean {
     return nowMs - Math.max(this.#storeUntilMs, this.#troubleUntilMs(index)) >= REACHABLE_AFTER_MS;
   }
--- a/bench/simulation/gateways/run-gateway-simulation.ts
+++ b/bench/simulation/gateways/run-gateway-simulation.ts
@@ -1,4 +1,4 @@
-/** Runs gateways under faults on virtual time, and checks what must always hold. */
+/** Runs gateways under faults in virtual time, and checks their guarantees. */
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
 import { checkAnsweredTurns } from "./check-answered-turns.ts";
 import { type GatewayFault, injectFault } from "./gateway-faults.ts";
@@ -6,7 +6,7 @@
 import { type GatewayFleet, GatewayWorld } from "./gateway-world.ts";
 import { APPLY_LIMIT_MS } from "./reachability-record.ts";
 
-/** One simulated run. */
+/** Options of one simulation run. */
 export interface GatewaySimulationOptions {
   readonly seed: number;
   readonly faults: readonly GatewayFault[];
@@ -18,14 +18,14 @@
 const PROGRAMS_AT_ONCE = 8;
 const QUIET_START_MS = 3_000;
 const FAULT_EVERY_MS = 5_000;
-/** After the last fault, everything must work again within this time, in ms. */
+/** Time after the last fault within which the system must have recovered, in ms. */
 const RECOVERY_MS = 8_000;
 const CALM_MS = 4_000;
 const CONFIGURATION_EVERY_MS = 2_500;
 const LATE_LOOK_MS = 50;
 const OWNERS_EVERY_MS = 500;
 
-/** See the module's comment. */
+/** Runs one simulation and returns its observations, with the violated guarantees in `broken`. */
 export async function runGatewaySimulation(
   options: GatewaySimulationOptions,
   hash: TextHash,
@@ -54,14 +54,15 @@
   await world.time.runUntil(faultsEndMs + RECOVERY_MS);
   const { granted, unavailable } = observations;
   await world.time.runUntil(endMs);
-  if (observations.granted === granted) observations.broken.push("recovery: nothing is granted any more");
+  if (observations.granted === granted)
+    observations.broken.push("recovery: no turn was granted after the faults");
   const refused = observations.unavailable - unavailable;
   if (refused > 0)
     observations.broken.push(
-      `recovery: ${refused} turns unanswered in calm time: ${observations.lastUnavailable}`,
+      `recovery: ${refused} turns unavailable after the recovery: ${observations.lastUnavailable}`,
     );
   checkConfiguration(world, observations);
-  // Turns under way at the end go on beside the last check; what they do is not counted.
+  // Turns that are in progress at the end continue during the last check, but are not counted.
   const counted = { ...observations };
   await checkAnsweredTurns(world, counted);
   checkBudgets(counted);
@@ -78,13 +79,14 @@
   }
 }
 
-/** New versions come all the time; no process may ever go back to an older one. */
+/** Writes new versions at regular intervals, and checks that no process returns to an older one. */
 function watchConfiguration(world: GatewayWorld, observations: GatewayObservations, endMs: number): void {
   const seen = new Map<object, number>();
   const look = () => {
     for (const gateway of world.gateways) {
       const version = gateway.routing.routes?.configuration.version ?? 0;
-      if (version < (seen.get(gateway) ?? 0)) observations.broken.push("configuration: a gateway went back");
+      if (version < (seen.get(gateway) ?? 0))
+        observations.broken.push("configuration: a gateway returned to an older version");
       seen.set(gateway, version);
     }
     if (world.time.nowMs < endMs - CALM_MS) world.configure();
@@ -93,7 +95,7 @@
   look();
 }
 
-/** Gateways that news reaches have in force what was confirmed a while ago, whatever befalls the others. */
+/** Checks that reachable gateways apply confirmed versions in time, regardless of faults of the others. */
 function watchLateConfiguration(world: GatewayWorld, observations: GatewayObservations, endMs: number): void {
   const look = () => {
     const nowMs = world.time.nowMs;
@@ -111,7 +113,7 @@
   look();
 }
 
-/** Counts the partitions that move. */
+/** Counts the changes of partitions' owners. */
 function watchOwners(world: GatewayWorld, observations: GatewayObservations, endMs: number): void {
   const owners = new Map<number, string>();
   const look = () => {
@@ -133,9 +135,9 @@
   }
 }
 
-/** Budgets are exact, whatever fails at once. */
+/** Checks that no program received more tokens than its budget, whatever faults coincide. */
 function checkBudgets({ programs, broken }: GatewayObservations): void {
   for (const { name, delivered, budget } of programs) {
-    if (delivered > budget) broken.push(`budget: ${name} was handed ${delivered} of ${budget} tokens`);
+    if (delivered > budget) broken.push(`budget: ${name} received ${delivered} of ${budget} tokens`);
   }
 }
--- a/bench/simulation/gateways/run-tenant-simulation.ts
+++ b/bench/simulation/gateways/run-tenant-simulation.ts
@@ -1,4 +1,4 @@
-/** Runs gateways with tenants under faults on virtual time, and checks keys and limits from outside. */
+/** Runs gateways with tenants under faults in virtual time, and checks keys and limits as callers observe them. */
 import type { RateLimit, RateTolerance } from "../../../src/coordination/request-rate/index.ts";
 import type { TextHash } from "../../../src/runtime/text-hash.ts";
 import { maxRequestsInWindow } from "../max-requests-in-window.ts";
@@ -15,23 +15,23 @@
   type TenantObservations,
 } from "./tenant-workload.ts";
 
-/** Times as on a deployment with tenants; less slack, so that less hides what is wrong. */
+/** Times as in a production deployment with tenants, but with less slack, so that violations are easier to detect. */
 const TENANCY: GatewayTenancy = {
   revokeMs: 5_000,
   tolerance: { windowMs: 5_000, overage: 0.1, slack: 6 },
 };
 const QUIET_START_MS = 8_000;
 const FAULT_EVERY_MS = 5_000;
-/** After the last fault, everything must work again within this time, in ms. */
+/** Time after the last fault within which the system must have recovered, in ms. */
 const RECOVERY_MS = 8_000;
 const CALM_MS = 6_000;
 /**
- * A limit that was lowered binds so long after, in ms: what a fault may keep the news from a gateway (4,000), what the
- * configuration takes to be in force (3,000), and a window.
+ * Time after which a lowered limit is enforced, in ms: the time for which a fault may keep the update from a gateway
+ * (4,000), the time until the configuration is in force (3,000), and one window.
  */
 const LOWERED_AFTER_MS = 12_000;
 
-/** See the module's comment. */
+/** Runs one simulation and returns its observations, with the violated guarantees in `broken`. */
 export async function runTenantSimulation(
   options: GatewaySimulationOptions,
   hash: TextHash,
@@ -53,13 +53,14 @@
   await world.time.runUntil(faultsEndMs + RECOVERY_MS);
   restoreLimits(tenants, world.time.nowMs);
   configureTenants(world, tenants);
-  // By then the buckets of limits that were lowered are filled by the old rate again.
+  // By this time the buckets of lowered limits have been refilled at the original rate.
   await world.time.runUntil(faultsEndMs + RECOVERY_MS + CALM_MS / 2);
   const refusedBefore = tenants.map(({ limited, unavailable }) => limited + unavailable);
   await world.time.runUntil(endMs);
   for (const [index, tenant] of tenants.entries()) {
     const refused = tenant.limited + tenant.unavailable - (refusedBefore[index] ?? 0);
-    if (refused > 0) observations.broken.push(`limit: ${refused} of ${tenant.name} refused below it in calm`);
+    if (refused > 0)
+      observations.broken.push(`limit: ${refused} of ${tenant.name} refused below it after the recovery`);
     checkLimit(tenant, TENANCY.tolerance, observations);
   }
   return observations;
@@ -72,7 +73,7 @@
   }
 }
 
-/** In every window, what was admitted stays within the limit and its tolerance. */
+/** Checks that the requests admitted in each window stay within the limit and its tolerance. */
 function checkLimit(tenant: SimulatedTenant, tolerance: RateTolerance, { broken }: TenantObservations): void {
   const admittedAtMs = tenant.admitted.map((request) => request.admittedAtMs);
   const windows = windowCounts(admittedAtMs, tolerance.windowMs).map(({ endMs, count }) => {
@@ -87,7 +88,7 @@
     );
 }
 
-/** The highest limit that operators said in a span of time. */
+/** The highest limit that was configured at any time between `fromMs` and `untilMs`. */
 function highestLimit({ limits }: SimulatedTenant, fromMs: number, untilMs: number): RateLimit {
   const inSpan = limits.filter(({ sinceMs }, index) => {
     const endedMs = limits[index + 1]?.sinceMs ?? Number.POSITIVE_INFINITY;
--- a/bench/simulation/gateways/simulated-gateway.ts
+++ b/bench/simulation/gateways/simulated-gateway.ts
@@ -1,4 +1,4 @@
-/** One gateway of a simulation: everything but HTTP, put together as the daemon does it. */
+/** One gateway of a simulation: all components except HTTP, connected as in the daemon. */
 import { pino } from "pino";
 import { RoutingWatch } from "../../../src/gateway/configuration/routing-watch.ts";
 import type { GatewayContext, GatewayPlatform } from "../../../src/gateway/gateway-context.ts";
@@ -27,7 +27,7 @@
 import type { SimulatedProcess } from "../virtual-time.ts";
 import type { SimulatedRowStore } from "./simulated-row-store.ts";
 
-/** Where the simulation's operators write. */
+/** The table and key of the row that holds the configuration. */
 export const CONFIGURATION_TABLE = "configuration";
 export const CONFIGURATION_KEY = "newest";
 
@@ -40,10 +40,10 @@
   parseRunner: () => undefined,
 };
 
-/** The simulation speaks to gateways below their HTTP. */
+/** The simulation calls the gateway's components directly, not over HTTP. */
 const NO_CALLERS = {} as Pick<GatewayPlatform, "calls" | "entry">;
 
-/** What a gateway is started with. */
+/** Settings and simulated dependencies of a gateway. */
 export interface SimulatedGatewayParts {
   readonly settings: GatewaySettings;
   readonly instance: string;
@@ -54,7 +54,7 @@
   readonly hash: TextHash;
 }
 
-/** See the module's comment. */
+/** Creates and connects a gateway's components in a simulated process. */
 export class SimulatedGateway {
   readonly process: SimulatedProcess;
   readonly store: SimulatedRowStore;
@@ -115,7 +115,7 @@
     return this.routing.routes ? "ready" : "starting";
   }
 
-  /** Whether callers are sent here, and it serves. */
+  /** Whether the gateway is running and has a configuration, so that callers can use it. */
   get serves(): boolean {
     return this.process.alive && !this.process.frozen && this.routing.routes !== undefined;
   }
@@ -128,7 +128,7 @@
     this.#rateHost.start();
   }
 
-  /** A planned stop. */
+  /** Stops as planned: announces the stop and releases the owned partitions. */
   async stop(): Promise<void> {
     this.#stopping = true;
     this.#members.tick();
--- a/bench/simulation/gateways/simulated-row-store.ts
+++ b/bench/simulation/gateways/simulated-row-store.ts
@@ -1,4 +1,4 @@
-/** The platform's store as one simulated gateway sees it, with faults for all gateways or for this one. */
+/** The platform's row store as one simulated gateway reaches it, with faults for all gateways or for this one. */
 import type {
   ReadOutcome,
   RowKey,
@@ -14,23 +14,23 @@
 import { type ModelRow, RowStoreModel } from "../../../standins/platform/row-store-model.ts";
 import type { SimulatedProcess, VirtualTime } from "../virtual-time.ts";
 
-/** How the store fails to answer: it refuses calls, or says nothing. */
+/** How the store fails: it refuses calls (`busy`) or does not respond (`silent`). */
 export type StoreOutage = "none" | "busy" | "silent";
 
-/** How the store behaves towards everybody. */
+/** Faults of the store that affect all gateways. */
 export interface StoreConditions {
   outage: StoreOutage;
-  /** What is wrong with calls that touch rows of a part; watches, which follow a whole table, are answered. */
+  /** The outage of calls that touch rows of a part. Watches follow a whole table and are not affected. */
   partOutage: (part: string) => StoreOutage;
-  /** Answers take so many times as long. */
+  /** Factor by which the latency is multiplied. */
   slowness: number;
-  /** Part of the writes that are done and not answered. */
+  /** Fraction of the writes that are executed, but whose response is lost. */
   lostAnswers: number;
-  /** Whether such writes are done 1 to 6 s later. */
+  /** Whether such writes are executed 1 to 6 s late. */
   lateWrites: boolean;
 }
 
-/** What passes between one gateway and the store. */
+/** The state of the network path between one gateway and the store. */
 export type StorePath = "open" | "cut" | "answersLost";
 
 const CALL_MS = 4;
@@ -39,7 +39,7 @@
 const LATE_MAX_MS = 6_000;
 const POLL_MS = 200;
 
-/** The store itself: one for all gateways of a simulation. */
+/** The store that all gateways of a simulation share. */
 export class SharedStore {
   readonly model = new RowStoreModel();
   readonly conditions: StoreConditions = {
@@ -58,10 +58,10 @@
   }
 }
 
-/** See the module's comment. */
+/** A {@link RowStore} client of one simulated gateway. */
 export class SimulatedRowStore implements RowStore {
   #path: StorePath = "open";
-  /** How often the path has broken: an answer that was under way then is never heard. */
+  /** Number of times that the path was broken. A response that is in transit at that time is lost. */
   #breaks = 0;
   readonly #shared: SharedStore;
   readonly #process: SimulatedProcess;
@@ -80,7 +80,7 @@
     if (path !== "open") this.#breaks += 1;
   }
 
-  /** Connections that are open say nothing more, and new ones work. */
+  /** Makes open connections silent. New connections work. */
   silenceConnections(): void {
     this.#breaks += 1;
   }
@@ -117,7 +117,7 @@
     const trouble = await this.#reachStore([], waitMs);
     if (trouble) return trouble;
     for (;;) {
-      // Whoever waits does not notice that the answer can't come any more, and waits to the end.
+      // The caller cannot detect that the response is lost, and waits until the timeout.
       if (this.#breaks !== breaks || this.path !== "open" || conditions.outage === "silent")
         return this.#timeOut(untilMs - time.nowMs);
       const changes = model.changes(table, afterVersion);
@@ -130,9 +130,9 @@
   }
 
   /**
-   * The way of a call to the store that touches some parts; an outcome when it does not get there.
+   * Simulates sending a call that touches some parts. Returns an outcome only if the call does not reach the store.
    *
-   * @param waitMs how long the store may wait before it answers
+   * @param waitMs how long the store may wait before it responds
    */
   async #reachStore(
     parts: readonly string[],
@@ -141,7 +141,7 @@
     const { conditions } = this.#shared;
     const wayMs = (CALL_MS / 2) * conditions.slowness;
     await delay(this.#process, Math.min(wayMs, TIMEOUT_MS));
-    // Whoever has given up does not hear the answer; that the store does the call all the same is another fault.
+    // The caller has timed out. That the store executes the call anyway is a separate fault.
     if (wayMs > TIMEOUT_MS) return { type: "unknown", detail: "no answer" };
     const outages = [conditions.outage, ...parts.map(conditions.partOutage)];
     if (outages.includes("busy")) return { type: "refused", detail: "busy" };
@@ -149,7 +149,7 @@
     return undefined;
   }
 
-  /** @param waitMs how long the store might have waited before its answer */
+  /** @param waitMs how long the store might have waited before its response */
   async #timeOut(waitMs = 0): Promise<{ type: "unknown"; detail: string }> {
     await delay(this.#process, TIMEOUT_MS + waitMs);
     return { type: "unknown", detail: "no answer" };
--- a/bench/simulation/gateways/tenant-workload.ts
+++ b/bench/simulation/gateways/tenant-workload.ts
@@ -1,17 +1,17 @@
-/** Tenants that send requests through whichever gateway, and what of it was admitted, as seen from outside. */
+/** Tenants that send requests through random gateways, and what their callers observe. */
 import type { RateLimit } from "../../../src/coordination/request-rate/index.ts";
 import type { KeyDigest } from "../../../src/scheduling/ids/key-digest.ts";
 import type { TenantName } from "../../../src/scheduling/ids/tenant-name.ts";
 import type { Tenant } from "../../../src/scheduling/routing/tenant.ts";
 import type { GatewayWorld } from "./gateway-world.ts";
 
-/** A request that was admitted, when it was sent. */
+/** The times at which an admitted request was sent and admitted. */
 export interface AdmittedRequest {
   readonly sentAtMs: number;
   readonly admittedAtMs: number;
 }
 
-/** Keys that a tenant had at some time, and when they were taken away. */
+/** A tenant's key, and the time at which it was revoked. */
 interface KeyLifetime {
   readonly key: KeyDigest;
   revokedAtMs: number | undefined;
@@ -20,20 +20,20 @@
 /** One tenant of the simulation. */
 export interface SimulatedTenant {
   readonly name: TenantName;
-  /** Its limits, and since when each is what the operators say. */
+  /** The tenant's limits, each with the time since which it is configured. */
   readonly limits: { readonly sinceMs: number; readonly limit: RateLimit }[];
   readonly keys: KeyLifetime[];
-  /** What it sends, as a multiple of its first limit. */
+  /** The rate of its requests, as a multiple of its first limit. */
   load: number;
   readonly admitted: AdmittedRequest[];
   limited: number;
   unavailable: number;
 }
 
-/** What came of a simulation with tenants. */
+/** The results of a simulation with tenants. */
 export interface TenantObservations {
   readonly tenants: readonly SimulatedTenant[];
-  /** Broken promises. */
+  /** Violated guarantees. */
   readonly broken: string[];
 }
 
@@ -45,7 +45,7 @@
   { perSecond: 40, burst: 10 },
 ];
 const KEYS_EACH = 2;
-/** What tenants usually send, and what one sends that runs wild, as a multiple of their limits. */
+/** Request rates of normal and of overloading tenants, as multiples of their first limits. */
 const USUAL_LOAD = 0.5;
 const OVERLOAD = 5;
 const OVERLOADED_TENANTS = 3;
@@ -55,7 +55,7 @@
 const PATIENCE_MS = 1_500;
 const MS_PER_S = 1_000;
 
-/** The tenants, with their first limits and keys. */
+/** Creates the tenants with their first limits and keys. */
 export function newTenants(): SimulatedTenant[] {
   return LIMITS.map((limit, index) => ({
     name: `tenant-${index}` as TenantName,
@@ -68,12 +68,12 @@
   }));
 }
 
-/** Writes the tenants as they are now into the configuration. */
+/** Writes the tenants' current state into the configuration. */
 export function configureTenants(world: GatewayWorld, tenants: readonly SimulatedTenant[]): void {
   world.configure(tenants.map(asConfigured));
 }
 
-/** Lets a tenant send requests until `untilMs`, evenly but for a little chance. */
+/** Sends a tenant's requests until `untilMs`, at regular intervals with some jitter. */
 export function sendRequests(
   world: GatewayWorld,
   observations: TenantObservations,
@@ -90,7 +90,7 @@
   next();
 }
 
-/** Changes tenants all the time: one runs wild, limits fall and rise, keys are taken away and added. */
+/** Changes tenants repeatedly: overloads some, lowers and restores limits, and revokes and adds keys. */
 export function changeTenants(
   world: GatewayWorld,
   tenants: readonly SimulatedTenant[],
@@ -129,7 +129,7 @@
   const known = gateway.routing.canTrustKeys ? routes?.tenantOf(used.key) : undefined;
   if (!known || !routes) return;
   if (used.revokedAtMs !== undefined && sentAtMs - used.revokedAtMs > revokeMs)
-    broken.push(`key: ${used.key} was used ${sentAtMs - used.revokedAtMs} ms after its end`);
+    broken.push(`key: ${used.key} was used ${sentAtMs - used.revokedAtMs} ms after it was revoked`);
   const untilMs = gateway.process.monotonicMs() + PATIENCE_MS;
   const verdict = await gateway.rates.admit(known, routes.configuration.version, untilMs);
   if (!gateway.process.alive) return;
--- a/bench/simulation/observations.ts
+++ b/bench/simulation/observations.ts
@@ -1,34 +1,34 @@
-/** What callers, operators and back ends saw. The checkers read nothing else. */
+/** What callers, operators and back ends observed, for the checkers. */
 import type { ProblemOutcome } from "../../src/errors/problem.ts";
 
-/** A turn, as its caller saw it. */
+/** A turn as its caller observed it. */
 export interface ObservedTurn {
   readonly program: string;
   readonly question: string;
   readonly expectedLength: number;
-  /** The text as it was streamed. */
+  /** The concatenated text of the stream. */
   readonly streamed: string;
   readonly outcome: "answered" | ProblemOutcome;
-  /** Whether the stream was ended because another answer had been committed. */
+  /** Whether the stream was interrupted because a different answer had been committed. */
   readonly interrupted: boolean;
-  /** The text in the last event; undefined without an answer. */
+  /** The text in the last event; undefined if there was no answer. */
   readonly answer: string | undefined;
 }
 
-/** A deposit or charge, as its caller saw it. */
+/** A deposit or charge as its caller observed it. */
 export interface ObservedCharge {
   readonly program: string;
   readonly body: string;
   readonly outcome: "answered" | ProblemOutcome;
 }
 
-/** A program's history as it was read at the end. */
+/** A program's history, as read before the program was ended. */
 export interface ObservedHistory {
   readonly program: string;
   readonly messages: readonly { readonly role: string; readonly content: string }[];
 }
 
-/** An accepted or refused change of configuration. */
+/** An attempted configuration change and its outcome. */
 export interface ObservedChange {
   readonly change: string;
   readonly outcome: "accepted" | "conflict" | "unknown";
@@ -42,13 +42,13 @@
   readonly served: boolean;
 }
 
-/** An engine that took work although it was leaving. */
+/** An engine that accepted work although it was leaving. */
 export interface ObservedLateWork {
   readonly engine: string;
   readonly afterLeavingMs: number;
 }
 
-/** Everything that was seen in one run. */
+/** All observations of one run. */
 export class Observations {
   readonly turns: ObservedTurn[] = [];
   readonly charges: ObservedCharge[] = [];
@@ -56,8 +56,8 @@
   readonly changes: ObservedChange[] = [];
   readonly probes: ObservedProbe[] = [];
   readonly lateWork: ObservedLateWork[] = [];
-  /** Callers that never finished. */
+  /** Number of callers that have not finished. */
   unfinished = 0;
-  /** Calls that failed; allowed, and counted. */
+  /** Number of calls without an answer. Such failures are allowed under faults. */
   failures = 0;
 }
--- a/bench/simulation/operators.ts
+++ b/bench/simulation/operators.ts
@@ -10,14 +10,17 @@
 const PROBE_PAUSE_MS = 900;
 const PROBE_TIMEOUT_MS = 6_000;
 
-/** Two operators who change the same keys at the same time, and one who withdraws a model and probes it. */
+/**
+ * Simulates operators: two that change the same key concurrently, and one that withdraws a model and then probes
+ * whether it is still served.
+ */
 export class Operators {
   readonly #world: World;
   readonly #observations: Observations;
   readonly #process: SimulatedProcess;
   readonly #rpc: RpcEndpoint;
   readonly #random: SeededRandomSource;
-  /** When the withdrawal of the model was accepted. */
+  /** The time at which the withdrawal of the model was accepted. */
   withdrawnMs = Number.POSITIVE_INFINITY;
 
   constructor(world: World, observations: Observations, seed: number) {
@@ -50,12 +53,12 @@
     await this.#applyUntilAccepted("setup-tenant", `tenant/${TEMPLATE}/${TENANT}`, tenant);
   }
 
-  /** Both operators change one key again and again, each from the version that it last saw. */
+  /** Lets both operators change one key repeatedly, each based on the version that it last read. */
   async raceChanges(endMs: number): Promise<void> {
     await Promise.all([this.#changeRepeatedly("left", endMs), this.#changeRepeatedly("right", endMs)]);
   }
 
-  /** Withdraws a model at `atMs`, and then probes until `endMs` whether calls for it still run. */
+  /** Withdraws a model at `atMs`, and then probes until `endMs` whether calls to it still succeed. */
   async withdrawAndProbe(atMs: number, endMs: number): Promise<void> {
     await this.#pause(atMs - this.#world.time.nowMs);
     const content = `kind: tenant\ntemplate: ${TEMPLATE}\ntenant: ${TENANT}\nmodels: [agent-llm]\n`;
@@ -130,7 +133,7 @@
     return reply?.type === "done" ? (reply.body.entries.at(-1)?.version ?? 0) : undefined;
   }
 
-  /** Asks for a change until it is accepted; the identifier stays the same, so it is applied once. */
+  /** Retries a change until it is accepted. All attempts have the same identifier, so it is applied only once. */
   async #applyUntilAccepted(change: string, key: string, content: string): Promise<void> {
     for (;;) {
       const baseVersion = (await this.#versionOf(key)) ?? 0;
--- a/bench/simulation/run-simulation.ts
+++ b/bench/simulation/run-simulation.ts
@@ -7,24 +7,24 @@
 import { Caller } from "./workload.ts";
 import { DEFAULT_WORLD, World, type WorldOptions } from "./world.ts";
 
-/** One simulated run. */
+/** Options of one simulation run. */
 export interface SimulationOptions {
   readonly seed: number;
   /** Virtual time under faults, in ms. Default 60,000. */
   readonly durationMs?: number;
   readonly callers?: number;
-  /** The faults to draw from, or a plan. */
+  /** Kinds of faults to draw a plan from. Ignored if `plan` is given. */
   readonly kinds?: readonly FaultKind[];
   readonly plan?: readonly Fault[];
   readonly world?: Partial<WorldOptions>;
   readonly budgetTokens?: number;
 }
 
-/** What came of a run. */
+/** The result of a run. */
 export interface SimulationResult {
   readonly seed: number;
   readonly plan: readonly Fault[];
-  /** Broken promises, with the promise's name in front. */
+  /** Violated guarantees, each prefixed with the guarantee's name. */
   readonly broken: readonly string[];
   readonly trace: readonly string[];
   readonly observations: Observations;
@@ -35,13 +35,13 @@
 const DEFAULT_DURATION_MS = 60_000;
 const DEFAULT_CALLERS = 6;
 const DEFAULT_BUDGET_TOKENS = 400_000;
-/** Longest time that callers may take to finish once all faults are over. */
+/** Maximum time for callers to finish after all faults have ended. */
 const FINISH_LIMIT_MS = 120_000;
-/** Time in which engines must have freed what ended programs held. */
+/** Time within which engines must free the memory of ended programs. */
 const MEMORY_LIMIT_MS = 20_000;
 const WITHDRAW_AFTER_PART = 0.3;
 
-/** Runs a system under faults on virtual time, and checks what must always hold. */
+/** Runs a system under faults in virtual time, and checks its guarantees. */
 export async function runSimulation(options: SimulationOptions, hash: TextHash): Promise<SimulationResult> {
   const { seed, durationMs = DEFAULT_DURATION_MS, callers = DEFAULT_CALLERS } = options;
   const budgetTokens = options.budgetTokens ?? DEFAULT_BUDGET_TOKENS;
--- a/bench/simulation/simulated-back-ends.ts
+++ b/bench/simulation/simulated-back-ends.ts
@@ -22,7 +22,7 @@
 const MIN_SERVICE_MS = 20;
 const SERVICE_RANGE_MS = 800;
 
-/** An engine on a simulated machine. */
+/** An engine that runs in a simulated process. */
 export class SimulatedEngine {
   readonly address: string;
   readonly options: EngineModelOptions;
@@ -31,11 +31,11 @@
   process: SimulatedProcess;
   model: EngineModel;
   #stepScheduled = false;
-  /** Since when the platform lists the engine as leaving. */
+  /** The time since which the platform lists the engine as leaving. */
   leavingSinceMs: number | undefined;
-  /** Longest time after the listing at which work was still taken. */
+  /** The longest time after that listing at which a request was still accepted, in ms. */
   latestAfterLeavingMs = 0;
-  /** Tokens worked on for each program, cached prompt tokens included. */
+  /** Tokens processed for each program, including cached prompt tokens. */
   readonly tokensByProgram = new Map<string, number>();
 
   constructor(options: EngineModelOptions, zone: string, address: string, time: VirtualTime, hash: TextHash) {
@@ -47,14 +47,14 @@
     this.model = new EngineModel(options, hash);
   }
 
-  /** Starts again, empty, after a kill. */
+  /** Restarts with empty state after a kill. */
   restart(): void {
     this.process = new SimulatedProcess(this.options.name, this.process.zone, this.#time);
     this.model = new EngineModel(this.options, this.#hash);
     this.#stepScheduled = false;
   }
 
-  /** Takes a request; see {@link EngineModel.submit}. */
+  /** Submits a request to the model, and records whether the engine was already leaving. */
   submit(request: GenerateRequest, sink: Parameters<EngineModel["submit"]>[1]) {
     const refusal = this.model.submit(request, sink, this.#time.nowMs);
     if (refusal) return refusal;
@@ -66,7 +66,7 @@
     return undefined;
   }
 
-  /** Counts what a program cost. */
+  /** Adds tokens to a program's total. */
   addTokens(program: string, tokens: number): void {
     this.tokensByProgram.set(program, (this.tokensByProgram.get(program) ?? 0) + tokens);
   }
@@ -83,12 +83,12 @@
   }
 }
 
-/** The services of a simulation, with one ledger for all machines of a service. */
+/** A machine of a service. All machines of a service share one ledger. */
 export class SimulatedServiceMachine {
   readonly address: string;
   readonly process: SimulatedProcess;
   readonly model: ServiceModel;
-  /** Whether requests are carried out and never answered. */
+  /** Whether requests are executed, but not answered in time. */
   hanging = false;
 
   constructor(name: string, zone: string, address: string, time: VirtualTime, model: ServiceModel) {
@@ -98,7 +98,7 @@
   }
 }
 
-/** How simulated processes reach back ends. */
+/** Connects simulated processes to engines and services. */
 export class SimulatedBackEnds {
   readonly engines = new Map<string, SimulatedEngine>();
   readonly services = new Map<string, SimulatedServiceMachine>();
@@ -112,7 +112,7 @@
     this.#random = random;
   }
 
-  /** Engines as one process reaches them. */
+  /** An engine client for one process. */
   engineClientFor(process: SimulatedProcess): EngineClient {
     const exchange = <Value>(address: string, work: (engine: SimulatedEngine) => Value) =>
       this.#exchange(process, address, work);
@@ -130,7 +130,7 @@
     };
   }
 
-  /** Services as one process reaches them. */
+  /** A service client for one process. */
   serviceClientFor(process: SimulatedProcess): ServiceClient {
     return {
       send: (address, request, callId, timeoutMs) => this.#send(process, address, request, callId, timeoutMs),
@@ -241,7 +241,7 @@
     });
   }
 
-  /** Services take a while, so that faults find calls of theirs in flight. */
+  /** Duration of a service call, long enough that faults affect calls in flight. */
   #serviceWorkMs(): number {
     return MIN_SERVICE_MS + this.#random.unit() * SERVICE_RANGE_MS;
   }
@@ -254,7 +254,7 @@
   }
 }
 
-/** A connection delivers in order, whatever the time of each piece on its way. */
+/** Delivers in the order of sending, like a connection, whatever the latency of each part. */
 class OrderedStream {
   readonly #time: VirtualTime;
   #lastArrivalMs = 0;
@@ -291,7 +291,7 @@
 
 const WATCH_MS = 20;
 
-/** A connection breaks soon after the process at its other end is gone. */
+/** Calls `onEnd` soon after a process dies, as a connection to it would break. */
 function watchEnd(time: VirtualTime, process: SimulatedProcess, onEnd: () => void): void {
   const untilMs = time.nowMs + HANG_MS;
   const look = () => {
--- a/bench/simulation/simulated-network.ts
+++ b/bench/simulation/simulated-network.ts
@@ -5,13 +5,13 @@
 import type { MessageHandler, Sender, Transport } from "../../src/runtime/transport.ts";
 import type { SimulatedProcess, VirtualTime } from "./virtual-time.ts";
 
-/** How the network behaves at the moment. */
+/** The network's current faults. */
 export interface NetworkConditions {
-  /** Part of the messages that are lost. */
+  /** Fraction of the messages that are lost. */
   loss: number;
-  /** Part of the messages that arrive twice. */
+  /** Fraction of the messages that arrive twice. */
   duplication: number;
-  /** Part of the messages that are held up, and so overtaken by later ones. */
+  /** Fraction of the messages that are delayed, so that later ones may overtake them. */
   reordering: number;
 }
 
@@ -20,12 +20,12 @@
 const JITTER_MS = 1;
 const MAX_REORDER_DELAY_MS = 40;
 
-/** Connects simulated processes; cuts, loses, doubles and reorders by the seed. */
+/** Connects simulated processes, and can cut, lose, duplicate and reorder messages, all determined by the seed. */
 export class SimulatedNetwork<Kind = Message> {
   readonly conditions: NetworkConditions = { loss: 0, duplication: 0, reordering: 0 };
   readonly #time: VirtualTime;
   readonly #random: RandomSource;
-  /** Whether a message to a dead process tells its sender that nobody listens there. */
+  /** Whether the sender of a message to a dead process is notified that the connection was refused. */
   reportsDeadReceivers = false;
   readonly #endpoints = new Map<string, SimulatedTransport<Kind>>();
   readonly #cuts = new Set<string>();
@@ -35,14 +35,14 @@
     this.#random = random;
   }
 
-  /** Connects a process under an address; a process that was there before is disconnected. */
+  /** Connects a process to an address, and disconnects the process that had the address before. */
   attach(process: SimulatedProcess, self: Sender): SimulatedTransport<Kind> {
     const transport = new SimulatedTransport<Kind>(this, process, self);
     this.#endpoints.set(self.address, transport);
     return transport;
   }
 
-  /** Lets nothing pass from one place to another. */
+  /** Blocks all messages from one process to another. `*` stands for every process. */
   cut(from: string, to: string): void {
     this.#cuts.add(`${from}>${to}`);
   }
@@ -52,17 +52,17 @@
     this.#cuts.delete(`${from}>${to}`);
   }
 
-  /** Whether anything passes from one process to another. Names, not addresses. */
+  /** Whether messages can pass from one process to another. Takes names, not addresses. */
   passes(from: string, to: string): boolean {
     return !this.#cuts.has(`${from}>${to}`) && !this.#cuts.has(`${from}>*`) && !this.#cuts.has(`*>${to}`);
   }
 
-  /** A random time for a message on its way. */
+  /** A random latency for a message between two zones. */
   latencyMs(fromZone: string, toZone: string): number {
     return (fromZone === toZone ? WITHIN_ZONE_MS : BETWEEN_ZONES_MS) + this.#random.unit() * JITTER_MS;
   }
 
-  /** Sends a copy of a message, as over a wire. */
+  /** Sends a message in encoded form, so that the receiver gets a copy. */
   deliver(
     from: SimulatedTransport<Kind>,
     address: string,
@@ -120,20 +120,20 @@
     this.#handler = handler;
   }
 
-  /** Hands a message to the process. */
+  /** Passes a message to the process's handler. */
   receive(message: Kind, from: Sender, configurationVersion: number): void {
     this.#handler(message, from, configurationVersion);
   }
 
-  /** Sets who is told that nobody listens at an address. */
+  /** Sets the handler that is called when a connection is refused. */
   onDisconnected(handler: (address: string, reason: DisconnectReason) => void): void {
     this.#onDisconnected = handler;
   }
 
-  /** There are no connections to end here. */
+  /** Does nothing, as the simulated network has no connections. */
   disconnect(_address: string): void {}
 
-  /** Nobody listens at an address. */
+  /** Reports that the connection to an address was refused. */
   refuse(address: string): void {
     this.#onDisconnected(address, "refused");
   }
--- a/bench/simulation/simulated-platform.ts
+++ b/bench/simulation/simulated-platform.ts
@@ -8,12 +8,12 @@
 import { TableModel } from "../../standins/table/table-model.ts";
 import type { SimulatedProcess, VirtualTime } from "./virtual-time.ts";
 
-/** How a service of the platform behaves at the moment. */
+/** The current faults of a platform service. */
 export interface PlatformConditions {
   outage: boolean;
-  /** Extra time for each request, in ms. */
+  /** Additional latency in each direction, in ms. */
   slowMs: number;
-  /** Part of the answers that are lost after the request was carried out. */
+  /** Fraction of the requests whose response is lost after the request was executed. */
   lostAnswers: number;
 }
 
@@ -21,13 +21,13 @@
 const JITTER_MS = 2;
 const TIMEOUT_MS = 3_000;
 
-/** One service of the platform, reached by simulated processes with delay, outage and loss. */
+/** A platform service that simulated processes reach with latency, outages and lost responses. */
 class SimulatedService {
   readonly conditions: PlatformConditions = { outage: false, slowMs: 0, lostAnswers: 0 };
   readonly #time: VirtualTime;
   readonly #random: RandomSource;
   readonly #name: string;
-  /** Requests carried out since the start. */
+  /** Number of requests executed since the start. */
   requests = 0;
 
   constructor(name: string, time: VirtualTime, random: RandomSource) {
@@ -36,7 +36,7 @@
     this.#random = random;
   }
 
-  /** Carries something out on behalf of a process. Rejects when no answer comes back. */
+  /** Executes a request of a process. Rejects if no response arrives before the timeout. */
   exchange<Value>(process: SimulatedProcess, work: () => Value): Promise<Value> {
     return new Promise((resolve, reject) => {
       const giveUp = () => process.run(() => reject(platformError(`The ${this.#name} does not answer.`)));
@@ -59,7 +59,7 @@
   }
 }
 
-/** The platform of a simulation. */
+/** The table, object store and machine list of a simulation. */
 export class SimulatedPlatform {
   readonly table: SimulatedService;
   readonly objects: SimulatedService;
@@ -77,7 +77,7 @@
     this.listModel = new MachineListModel();
   }
 
-  /** The table as one process reaches it. */
+  /** A table client for one process. */
   tableFor(process: SimulatedProcess): TableStore {
     const { table, tableModel } = this;
     return {
@@ -89,7 +89,7 @@
     };
   }
 
-  /** The object store as one process reaches it. */
+  /** An object store client for one process. */
   objectsFor(process: SimulatedProcess): ObjectStore {
     const { objects, objectModel } = this;
     return {
@@ -103,7 +103,7 @@
     };
   }
 
-  /** The machine list as one process reaches it. */
+  /** A machine list client for one process. */
   machineListFor(process: SimulatedProcess): MachineList {
     const { machineList, listModel } = this;
     return {
--- a/bench/simulation/virtual-time.ts
+++ b/bench/simulation/virtual-time.ts
@@ -4,7 +4,7 @@
 /** The wall clock at the start of every simulation: 2026-01-01T00:00:00Z. */
 const START_WALL_MS = 1_767_225_600_000;
 
-/** The one virtual time line of a simulation. */
+/** The virtual clock that all processes of a simulation share. */
 export class VirtualTime {
   readonly #clock: FakeClock = createClock(0);
 
@@ -18,12 +18,12 @@
     return { timer: this.#clock.setTimeout(action, Math.max(0, Math.round(delayMs))) };
   }
 
-  /** Forgets a timer. */
+  /** Cancels a timer. */
   cancel(handle: TimerHandle): void {
     this.#clock.clearTimeout(handle.timer as never);
   }
 
-  /** Runs every timer up to a virtual time, letting promises settle after each. */
+  /** Runs all timers up to a virtual time, or until `stop` returns true, and lets promises settle after each timer. */
   async runUntil(endMs: number, stop: () => boolean = () => false): Promise<void> {
     let reached = false;
     this.#clock.setTimeout(
@@ -39,7 +39,7 @@
   }
 }
 
-/** Lets every promise that can settle do so; nothing else is waiting, so this is deterministic. */
+/** Waits until all promises that can settle have settled. This is deterministic, as nothing else is pending. */
 function settlePromises(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
@@ -47,8 +47,8 @@
 }
 
 /**
- * One simulated process: it can be killed, frozen and woken, and its clock may drift. Whatever reaches it goes
- * through {@link run}, so a dead process does nothing and a frozen one does it later.
+ * A simulated process that can be killed, frozen and woken, and whose clock may drift. All its work goes through
+ * {@link run}: a dead process discards it, and a frozen process defers it.
  */
 export class SimulatedProcess implements Clock {
   readonly name: string;
@@ -59,7 +59,7 @@
   #frozen = false;
   #deferred: (() => void)[] = [];
 
-  /** @param drift how fast the process's clock goes; 1 is exact */
+  /** @param drift speed of the process's clock; 1 is exact */
   constructor(name: string, zone: string, time: VirtualTime, drift = 1) {
     this.name = name;
     this.zone = zone;
@@ -75,25 +75,25 @@
     return this.#frozen;
   }
 
-  /** Runs something in this process: now, after it wakes, or never. */
+  /** Runs an action immediately, after the process wakes if it is frozen, or never if it is dead. */
   run(action: () => void): void {
     if (!this.#alive) return;
     if (this.#frozen) this.#deferred.push(action);
     else action();
   }
 
-  /** Ends the process for good. */
+  /** Kills the process permanently. */
   kill(): void {
     this.#alive = false;
     this.#deferred = [];
   }
 
-  /** Stops the process until {@link wake}. */
+  /** Suspends the process until {@link wake}. */
   freeze(): void {
     this.#frozen = true;
   }
 
-  /** Lets the process go on, with everything that has reached it meanwhile. */
+  /** Resumes the process and runs all deferred actions. */
   wake(): void {
     this.#frozen = false;
     const deferred = this.#deferred;
--- a/bench/simulation/window-counts.ts
+++ b/bench/simulation/window-counts.ts
@@ -1,10 +1,10 @@
-/** How many events lie in a window that ends with one of them. */
+/** The number of events in a window that ends with one of them. */
 export interface WindowCount {
   readonly endMs: number;
   readonly count: number;
 }
 
-/** For each event, in order of time: how many lie in the window of this length that ends with it, itself among them. */
+/** Counts, for each event in order of time, the events in the window that ends with it, including the event itself. */
 export function windowCounts(eventsMs: readonly number[], windowMs: number): WindowCount[] {
   const sorted = [...eventsMs].sort((left, right) => left - right);
   let first = 0;
--- a/bench/simulation/workload.ts
+++ b/bench/simulation/workload.ts
@@ -13,10 +13,10 @@
 const CHARACTERS_PER_TOKEN = 4;
 const MAX_TRIES = 6;
 const RETRY_PAUSE_MS = 700;
-/** Part of the programs that begin with two turns at once. */
+/** Probability that a program begins with two concurrent turns. */
 const PAIR_PROBABILITY = 0.5;
 
-/** A call's end as an HTTP client would see it: the result, or a broken connection. */
+/** The end of a call as an HTTP client would observe it: the result, or a broken connection. */
 type CallOutcome = CallResult | { readonly type: "cut" };
 
 interface Turn {
@@ -25,7 +25,7 @@
   readonly number?: number;
 }
 
-/** One caller with one program: turns, charges, and a sub-agent now and then. */
+/** A caller that runs one program at a time, with turns, charges and occasional sub-agents. */
 export class Caller {
   readonly #world: World;
   readonly #observations: Observations;
@@ -40,7 +40,7 @@
     this.#name = name;
   }
 
-  /** Opens programs and works with them until `endMs`. */
+  /** Opens and runs programs until `endMs`. */
   async run(endMs: number): Promise<void> {
     while (this.#world.time.nowMs < endMs) {
       const program = await this.#open(undefined);
@@ -62,7 +62,7 @@
     await this.#close(program);
   }
 
-  /** A sub-agent with a history of its own, while the parent waits. */
+  /** Runs a sub-agent that has its own history, while the parent waits. */
   async #runSubAgent(parent: string, endMs: number): Promise<void> {
     const child = await this.#open({ program: parent, afterCall: 0 });
     if (child) await this.#work(child, endMs, false);
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Two turns at once, the later one sent first: they must run in the order of their numbers. */
+  /** Sends two concurrent turns, the later one first. They must run in the order of their numbers. */
   async #takeTwoTurns(program: string): Promise<void> {
     const turns = [1, 2].map((number) => ({
       number,
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Makes a call; when the ingress dies under it, makes the same call again through another one. */
+  /** Makes a call. If its ingress dies, repeats the same call through another ingress. */
   async #call(
     program: string,
     key: string,
@@ -232,7 +232,7 @@
     return { type: "failed", problem: made.problem };
   }
 
-  /** Does something through a living ingress, and notices when that ingress dies meanwhile. */
+  /** Runs an operation through a random live ingress, and resolves to `cut` if the ingress dies meanwhile. */
   #withIngress<Value>(work: (slot: IngressSlot) => Promise<Value>): Promise<Through<Value>> {
     const living = this.#world.ingresses.filter((slot) => slot.process.alive);
     if (living.length === 0) return Promise.resolve({ type: "cut" });
--- a/bench/simulation/world.ts
+++ b/bench/simulation/world.ts
@@ -1,6 +1,6 @@
 /**
- * A whole system on virtual time: the product's own code of nodes over a simulated network, platform and
- * back ends. Everything random comes from one seed, so the same seed gives the same run, event for event.
+ * A complete system in virtual time: the production code of nodes, with a simulated network, platform and back ends.
+ * All randomness comes from one seed, so the same seed reproduces the same run, event by event.
  */
 import { pino } from "pino";
 import type { Message } from "../../src/messages/message.ts";
@@ -20,7 +20,7 @@
 import { SimulatedPlatform } from "./simulated-platform.ts";
 import { SimulatedProcess, VirtualTime } from "./virtual-time.ts";
 
-/** What a simulated system is made of. */
+/** Sizes of a simulated system. */
 export interface WorldOptions {
   readonly seed: number;
   readonly nodes: number;
@@ -29,11 +29,11 @@
   readonly services: number;
   readonly shards: number;
   readonly replicas: number;
-  /** Nodes that only take callers' requests, so that they and leaders fail apart. */
+  /** Number of nodes that only accept callers' requests, so that they fail independently of shard leaders. */
   readonly ingresses: number;
 }
 
-/** Sizes that are small enough to run fast, and large enough to lose two machines. */
+/** Default sizes: small enough to run fast, and large enough to survive the loss of two machines. */
 export const DEFAULT_WORLD: Omit<WorldOptions, "seed"> = {
   nodes: 6,
   zones: 3,
@@ -51,7 +51,7 @@
 const MAX_DRIFT = 0.002;
 const TOKEN_LENGTH = 8;
 
-/** A node's place; several processes may hold it one after another. */
+/** A node's name and address. Several processes may use them, one after another. */
 export interface NodeSlot {
   readonly name: string;
   readonly zone: string;
@@ -60,7 +60,7 @@
   daemon: NodeDaemon;
 }
 
-/** The place of a node that only takes callers' requests. */
+/** The name and address of a node that only accepts callers' requests. */
 export interface IngressSlot {
   readonly name: string;
   readonly zone: string;
@@ -69,7 +69,7 @@
   ingress: Ingress;
 }
 
-/** See the module's comment. */
+/** Creates the system's machines, and kills, restarts and lists them. */
 export class World {
   readonly time = new VirtualTime();
   readonly random: SeededRandomSource;
@@ -98,22 +98,22 @@
     for (let index = 0; index < options.ingresses; index++) this.ingresses.push(this.#newIngress(index));
   }
 
-  /** Writes an event down. The trace of a run is the same for the same seed. */
+  /** Appends an event to the trace, which is the same for the same seed. */
   note(event: string): void {
     this.trace.push(`${String(Math.round(this.time.nowMs)).padStart(7)} ${event}`);
   }
 
-  /** Whether every living node is ready. */
+  /** Whether every live node is ready. */
   get ready(): boolean {
     return this.nodes.every((node) => !node.process.alive || node.daemon.ready);
   }
 
-  /** Ends a node as if its machine had failed. */
+  /** Kills a node as if its machine had failed. */
   killNode(slot: NodeSlot): void {
     slot.process.kill();
   }
 
-  /** Starts a node anew, empty, in the place of one that was killed. */
+  /** Replaces a node by a new process with empty state. */
   restartNode(slot: NodeSlot): void {
     slot.process.kill();
     const fresh = this.#newNode(this.nodes.indexOf(slot));
@@ -121,7 +121,7 @@
     slot.daemon = fresh.daemon;
   }
 
-  /** Starts an ingress anew in the place of one that was killed. */
+  /** Replaces an ingress by a new process. */
   restartIngress(slot: IngressSlot): void {
     slot.process.kill();
     const fresh = this.#newIngress(this.ingresses.indexOf(slot));
@@ -129,7 +129,7 @@
     slot.ingress = fresh.ingress;
   }
 
-  /** Puts a machine on the platform's list, or changes it there. */
+  /** Adds or updates a machine in the platform's list. */
   listMachine(
     machine: Partial<Machine> & Pick<Machine, "name" | "kind" | "pool" | "zone" | "address">,
   ): void {
@@ -137,7 +137,7 @@
     this.platform.listModel.put(whole, this.time.nowMs);
   }
 
-  /** Puts an engine on the list as it is now. */
+  /** Adds or updates an engine in the platform's list, with the given state. */
   listEngine(engine: SimulatedEngine, state: Machine["state"]): void {
     const { name, models } = engine.options;
     this.listMachine({
@@ -259,7 +259,7 @@
   }
 }
 
-/** What a node does with the messages that are for its side towards callers. */
+/** Passes an ingress's messages to its RPC endpoint or to its calls. */
 function deliver(message: Message, from: Sender, rpc: RpcEndpoint, ingress: Ingress): void {
   switch (message.type) {
     case "rpcResponse":
--- a/test/simulation/configuration.test.ts
+++ b/test/simulation/configuration.test.ts
@@ -1,4 +1,4 @@
-/** Confirmed configurations come into force in time at every gateway that has had a path to a calm store for long enough. */
+/** Confirmed configurations must be in force in time at every gateway that has reached the store for long enough. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import { type GatewayFleet, GatewayWorld } from "../../bench/simulation/gateways/gateway-world.ts";
@@ -9,10 +9,10 @@
 const START_MS = 5_000;
 const CHANGE_EVERY_MS = 130;
 const LOOK_MS = 20;
-/** Calm time between two troubles, in ms: what is late shows at its end. */
+/** Time without faults after each fault, in ms. A late configuration is detected at its end. */
 const CALM_MS = REACHABLE_AFTER_MS + 1_200;
 const FAULT_COUNT = 60;
-/** Lengths of troubles, in ms: the step goes round in the span, so that every phase of a wait is met. */
+/** Durations of faults, in ms. The step wraps around in the range, so that faults end in every phase of a wait. */
 const LEAST_MS = 300;
 const SPAN_MS = 4_500;
 const STEP_MS = 1_373;
@@ -22,29 +22,29 @@
 const FAULTY = 0;
 const PEER = 1;
 
-/** Strikes, and returns how the trouble ends. */
+/** Injects a fault, and returns a function that ends it. */
 type InjectFault = (world: GatewayWorld) => () => void;
 
 const cutStruck: InjectFault = (world) => cut(world, FAULTY);
 
 const FAULTS: Record<string, { readonly fleet: GatewayFleet; readonly strike: InjectFault }> = {
   "a cut of one gateway among others": { fleet: FEW, strike: cutStruck },
-  "a cut of a gateway that is alone": { fleet: ALONE, strike: cutStruck },
-  "answers that are lost on the way to one gateway": {
+  "a cut of a single gateway": { fleet: ALONE, strike: cutStruck },
+  "responses that are lost on the way to one gateway": {
     fleet: FEW,
     strike: (world) => cut(world, FAULTY, "answersLost"),
   },
-  "a silence of the whole store": { fleet: FEW, strike: (world) => failStore(world, "silent") },
-  "a silence of the whole store before a gateway that is alone": {
+  "an unresponsive store": { fleet: FEW, strike: (world) => failStore(world, "silent") },
+  "an unresponsive store in a fleet of one gateway": {
     fleet: ALONE,
     strike: (world) => failStore(world, "silent"),
   },
-  "a store that turns everybody away": { fleet: FEW, strike: (world) => failStore(world, "busy") },
-  "connections that fall silent": {
+  "a store that refuses all calls": { fleet: FEW, strike: (world) => failStore(world, "busy") },
+  "connections that become silent": {
     fleet: ALONE,
     strike: (world) => () => world.gateways[FAULTY]?.store.silenceConnections(),
   },
-  "a cut of a gateway, and then of those that made its calls": { fleet: FEW, strike: cutThenItsPeers },
+  "a cut of a gateway, and then of those that relayed its calls": { fleet: FEW, strike: cutThenItsPeers },
 };
 
 function cut(world: GatewayWorld, index: number, path: "cut" | "answersLost" = "cut"): () => void {
@@ -63,7 +63,7 @@
   };
 }
 
-/** The others are cut off for a while as the first one's own trouble is over, and do not count as reached themselves. */
+/** When the first gateway's fault ends, cuts off the others for a while. They are not checked themselves. */
 function cutThenItsPeers(world: GatewayWorld): () => void {
   const heal = cutStruck(world);
   return () => {
@@ -76,7 +76,7 @@
   };
 }
 
-/** The first gateway's looks at which it had an older version in force than is promised. */
+/** The checks at which the first gateway had an older version in force than guaranteed. */
 async function findLateChecks(hash: TextHash, name: string): Promise<string[]> {
   const { fleet, strike } = FAULTS[name] as (typeof FAULTS)[string];
   const world = new GatewayWorld(1, hash, fleet);
--- a/test/simulation/gateway-relays.test.ts
+++ b/test/simulation/gateway-relays.test.ts
@@ -1,4 +1,4 @@
-/** The promises of gateways.test.ts where gateways are so many that relays carry their heartbeats. */
+/** The guarantees of gateways.test.ts with so many gateways that relays forward their heartbeats. */
 import { before, describe, it } from "node:test";
 import type { GatewayFault } from "../../bench/simulation/gateways/gateway-faults.ts";
 import { RELAYED_FLEET } from "../../bench/simulation/gateways/gateway-world.ts";
@@ -6,9 +6,9 @@
 import { knownRed } from "../support/known-red.ts";
 import { expectGatewaysKeep } from "./support/expect-gateways-keep.ts";
 
-/** Seeds that once broke a promise, with the cause. */
+/** Seeds that have violated a guarantee, each with the cause. */
 const REGRESSIONS: [seed: number, faults: GatewayFault[], cause: string][] = [
-  [202, ["store-slow", "store-slow"], "a status was dropped while its gateway was heard directly"],
+  [202, ["store-slow", "store-slow"], "a status was dropped while its gateway's heartbeats arrived directly"],
   [205, ["cut-store-answers", "history-dropped"], "an owner that was forgotten was not named again"],
   [300, ["store-slow", "store-slow"], "gateways chose different owners from different statuses"],
   [306, ["planned-stop", "kill-all"], "an owner that was forgotten was not named again"],
@@ -24,7 +24,7 @@
   ["messages-lost", "kill"],
 ];
 
-describe("what gateways must always keep when relays carry their heartbeats", () => {
+describe("guarantees of gateways whose heartbeats are relayed", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
--- a/test/simulation/gateways.test.ts
+++ b/test/simulation/gateways.test.ts
@@ -1,4 +1,4 @@
-/** Gateways' partitions and configuration under every kind of fault, alone and in pairs, on virtual time. */
+/** Gateways' partitions and configuration under every kind of fault, alone and in pairs, in virtual time. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import { GATEWAY_FAULTS, type GatewayFault } from "../../bench/simulation/gateways/gateway-faults.ts";
@@ -7,17 +7,21 @@
 import { knownRed } from "../support/known-red.ts";
 import { DURATION_MS, expectGatewaysKeep } from "./support/expect-gateways-keep.ts";
 
-/** Seeds that once broke a promise, with the cause. */
+/** Seeds that have violated a guarantee, each with the cause. */
 const REGRESSIONS: [seed: number, faults: GatewayFault[], cause: string][] = [
-  [2, ["lost-answers"], "partitions that an owner had let go of stayed booked to it"],
-  [1009, ["kill", "part-peers"], "a gateway that heard nobody took partitions from living owners"],
+  [2, ["lost-answers"], "partitions that an owner had released stayed assigned to it"],
+  [1009, ["kill", "part-peers"], "a gateway that received no heartbeats took partitions from live owners"],
   [2007, ["lost-answers", "store-silent"], "a take-over whose answer was lost blocked the partition"],
   [4, ["freeze", "store-busy"], "an owner that woke committed to the store while a replica had taken over"],
-  [3, ["kill", "store-silent"], "a partition whose replicas were dead never went on"],
-  [6, ["part-peers", "store-silent"], "a replica took over from an owner that another replica still heard"],
+  [3, ["kill", "store-silent"], "a partition whose replicas were dead never resumed"],
+  [
+    6,
+    ["part-peers", "store-silent"],
+    "a replica took over from an owner whose heartbeats another replica still received",
+  ],
 ];
 
-/** Pairs of a fault of the store and one of gateways; `npm run simulate:gateways` draws all others. */
+/** Pairs of a store fault and a gateway fault; `npm run simulate:gateways` draws other pairs. */
 const PAIRS: [GatewayFault, GatewayFault][] = [
   ["kill-all", "store-silent"],
   ["kill", "late-writes"],
@@ -40,16 +44,16 @@
 ];
 
 /**
- * Turns that are granted at least, by three seeds together, while the store is away for four of every five seconds;
- * measured 3,249 (busy) and 3,156 (silent).
+ * Minimum number of turns granted, in total for three seeds, while the store is unavailable for four of every five
+ * seconds.
  */
 const LEAST_GRANTED_IN_OUTAGES = 3_000;
 const OUTAGE_SEEDS = [3, 4, 5];
 
-/** Turns that may go unanswered until a gateway has noticed that it does not reach the store; 13 before relays. */
+/** Turns that may be unavailable until a gateway has detected that it cannot reach the store; 13 without relays. */
 const MOST_UNAVAILABLE = 4;
 
-describe("what gateways must always keep", () => {
+describe("guarantees of gateways", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
@@ -65,13 +69,13 @@
     const name = `holds under ${faults.join(" and ")}`;
     it(name, knownRed(name), () => expectKept(100 + index, faults));
   }
-  it("leaves partitions with owners that live through an outage of the store", async () => {
+  it("keeps partitions with their owners through an outage of the store", async () => {
     for (const fault of ["store-busy", "store-silent"] as const) {
       const result = await runGatewaySimulation({ seed: 7, faults: [fault], durationMs: DURATION_MS }, hash);
       expect([fault, result.ownerChanges]).toEqual([fault, 0]);
     }
   });
-  it("goes on with what is set aside while the store is away", async () => {
+  it("continues to grant turns from reserved budgets while the store is unavailable", async () => {
     for (const fault of ["store-busy", "store-silent"] as const) {
       let granted = 0;
       for (const seed of OUTAGE_SEEDS)
@@ -80,7 +84,7 @@
       expect([fault, granted >= LEAST_GRANTED_IN_OUTAGES]).toEqual([fault, true]);
     }
   });
-  it("serves programs of owners that do not reach the store themselves", async () => {
+  it("serves programs whose owners cannot reach the store directly", async () => {
     for (const fault of ["cut-store", "cut-store-answers"] as const) {
       const result = await runGatewaySimulation({ seed: 2, faults: [fault], durationMs: DURATION_MS }, hash);
       expect([fault, result.unavailable <= MOST_UNAVAILABLE]).toEqual([fault, true]);
--- a/test/simulation/promises.test.ts
+++ b/test/simulation/promises.test.ts
@@ -1,4 +1,4 @@
-/** A few seeds of the simulation, fixed so that every run reaches the same verdict. `npm run simulate` runs more. */
+/** Runs a few fixed seeds of the simulation, so that the result is reproducible. `npm run simulate` runs more. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import { runSimulation } from "../../bench/simulation/run-simulation.ts";
@@ -6,7 +6,7 @@
 
 const DURATION_MS = 30_000;
 
-describe("what must always hold, on virtual time", () => {
+describe("guarantees in virtual time", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
@@ -19,12 +19,12 @@
     }
   });
 
-  it("cuts no request and shows no error when nodes stop as planned", async () => {
+  it("interrupts no request and returns no error when nodes stop as planned", async () => {
     const result = await runSimulation({ seed: 500, durationMs: DURATION_MS, kinds: ["drain-node"] }, hash);
     expect(result.observations.failures).toEqual(0);
   });
 
-  it("gives the same trace for the same seed, byte for byte", async () => {
+  it("produces exactly the same trace for the same seed", async () => {
     const [first, second] = [
       await runSimulation({ seed: 600, durationMs: 25_000 }, hash),
       await runSimulation({ seed: 600, durationMs: 25_000 }, hash),
@@ -32,7 +32,7 @@
     expect(first.trace).toEqual(second.trace);
   });
 
-  it("never lets a tenant spend more than its budget, and says so to who comes too late", async () => {
+  it("never lets a tenant exceed its budget, and refuses further turns", async () => {
     const budgetTokens = 9_000;
     const result = await runSimulation(
       { seed: 700, durationMs: DURATION_MS, kinds: ["kill-node"], budgetTokens },
--- a/test/simulation/recovery.test.ts
+++ b/test/simulation/recovery.test.ts
@@ -1,4 +1,4 @@
-/** Every replica of every shard is lost at once: what was archived must come back. */
+/** Recovery of archived data after all replicas of all shards are lost at the same time. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import { Observations } from "../../bench/simulation/observations.ts";
@@ -15,7 +15,7 @@
 const QUIET_MS = 6_000;
 const LIMIT_MS = 60_000;
 
-/** A system with finished programs, and an operator's connection. */
+/** Creates a system with finished programs, and an RPC endpoint for an operator. */
 async function worldWithHistory(seed: number, hash: TextHash) {
   const world = new World({ ...DEFAULT_WORLD, seed }, hash);
   const observations = new Observations();
@@ -65,7 +65,7 @@
     hash = await loadTextHash();
   });
 
-  it("brings every history back after all nodes were lost at once", async () => {
+  it("restores every history after all nodes were lost at the same time", async () => {
     const { world, observations, open, rpc } = await worldWithHistory(42, hash);
     for (const node of world.nodes) world.killNode(node);
     await world.time.runUntil(world.time.nowMs + 5_000);
--- a/test/simulation/support/expect-gateways-keep.ts
+++ b/test/simulation/support/expect-gateways-keep.ts
@@ -6,10 +6,10 @@
 
 /** Virtual time under faults of one run, in ms. */
 export const DURATION_MS = 20_000;
-/** A run in which fewer turns are granted than this has shown nothing. */
+/** A run that grants fewer turns is too small to be meaningful. */
 const LEAST_GRANTED = 100;
 
-/** Runs gateways under faults; fails when a promise is broken, or when too little was done to tell. */
+/** Runs gateways under faults. Fails if a guarantee is violated, or if too few turns were granted to tell. */
 export async function expectGatewaysKeep(
   hash: TextHash,
   seed: number,
--- a/test/simulation/support/expect-kinds.ts
+++ b/test/simulation/support/expect-kinds.ts
@@ -6,12 +6,12 @@
 
 const DURATION_MS = 25_000;
 const SEED = 300;
-/** Turns that a run must have had, so that a system that stands still does not pass. */
+/** Minimum number of turns in a run, so that a stalled system does not pass. */
 const LEAST_TURNS = 50;
 
-/** Defines one test for each kind of fault: it comes about twice within two seconds, and every promise must hold. */
+/** Defines a test for each kind of fault: the fault occurs twice within two seconds, and every guarantee must hold. */
 export function expectPromisesUnder(name: string, kinds: readonly FaultKind[]): void {
-  describe(`what must always hold, under ${name}`, () => {
+  describe(`guarantees under ${name}`, () => {
     let hash: TextHash;
     before(async () => {
       hash = await loadTextHash();
--- a/test/simulation/tenants.test.ts
+++ b/test/simulation/tenants.test.ts
@@ -1,4 +1,4 @@
-/** Keys and limits of tenants under every kind of fault, alone and in pairs, on virtual time. */
+/** Keys and limits of tenants under every kind of fault, alone and in pairs, in virtual time. */
 import { before, describe, it } from "node:test";
 import { expect } from "earl";
 import { GATEWAY_FAULTS, type GatewayFault } from "../../bench/simulation/gateways/gateway-faults.ts";
@@ -23,10 +23,10 @@
   ["messages-lost", "cut-store-answers"],
   ["messages-lost", "kill"],
 ];
-/** A run in which fewer requests are admitted has shown nothing. */
+/** A run that admits fewer requests is too small to be meaningful. */
 const LEAST_ADMITTED = 300;
 
-describe("what gateways must always keep of keys and limits", () => {
+describe("guarantees of tenants' keys and limits", () => {
   let hash: TextHash;
   before(async () => {
     hash = await loadTextHash();
