--- a/bench/simulation/faults.ts
+++ b/bench/simulation/faults.ts
@@ -1,7 +1,7 @@
 import type { RandomSource } from "../../src/runtime/random-source.ts";
 import type { World } from "./world.ts";
 
-/** The kinds of faults that can be brought about. */
+/** The kinds of faults that can be injected. */
 export const FAULT_KINDS = [
   "kill-node",
   "freeze-node",
@@ -27,22 +27,22 @@
 /** The kind of a fault. */
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-/** One fault of a plan. */
+/** A fault with its start and duration. */
 export interface Fault {
   readonly kind: FaultKind;
   readonly atMs: number;
   readonly durationMs: number;
-  /** Which machine, by its number modulo the machines of that kind. */
+  /** Selects the machine: an index, modulo the number of machines of that kind. */
   readonly target: number;
 }
 
 const MIN_DURATION_MS = 500;
 const MAX_DURATION_MS = 9_000;
-/** Quiet time after a pair of faults, in which lost replicas are made up for. */
+/** Time without faults after a pair of faults, in which lost replicas are replaced. */
 const RECOVERY_MS = 14_000;
 const PAIR_SPREAD_MS = 1_500;
 
-/** Draws a plan: pairs of faults close together, with time to recover in between. */
+/** Draws a plan of pairs of faults that are close together, with time to recover between the pairs. */
 export function drawFaultPlan(
   random: RandomSource,
   startMs: number,
@@ -69,11 +69,11 @@
   };
 }
 
-/** Brings the faults of a plan about, each at its time, and undoes them. */
+/** Schedules the start and the end of each fault of a plan. */
 export function scheduleFaults(world: World, plan: readonly Fault[]): void {
   for (const fault of plan) {
     world.time.after(fault.atMs - world.time.nowMs, () => {
-      const undo = bringAbout(world, fault);
+      const undo = startFault(world, fault);
       world.note(`fault ${fault.kind} of ${fault.target} for ${fault.durationMs} ms`);
       world.time.after(fault.durationMs, () => {
         undo();
@@ -83,7 +83,7 @@
   }
 }
 
-function bringAbout(world: World, { kind, target }: Fault): () => void {
+function startFault(world: World, { kind, target }: Fault): () => void {
   const node = world.nodes[target % world.nodes.length];
   const engine = world.engines[target % world.engines.length];
   const ingress = world.ingresses[target % world.ingresses.length];
@@ -138,25 +138,27 @@
       ingress.process.kill();
       return () => world.restartIngress(ingress);
     case "table-outage":
-      return setFor(table.conditions, "outage", true);
+      return setCondition(table.conditions, "outage", true);
     case "table-slow":
-      return setFor(table.conditions, "slowMs", 400);
+      return setCondition(table.conditions, "slowMs", 400);
     case "table-loses-answers":
-      return setFor(table.conditions, "lostAnswers", 0.5);
+      return setCondition(table.conditions, "lostAnswers", 0.5);
     case "list-outage":
-      return setFor(machineList.conditions, "outage", true);
+      return setCondition(machineList.conditions, "outage", true);
     case "platform-outage": {
-      const undo = [table, machineList, objects].map((service) => setFor(service.conditions, "outage", true));
+      const undo = [table, machineList, objects].map((service) =>
+        setCondition(service.conditions, "outage", true),
+      );
       return () => {
         for (const one of undo) one();
       };
     }
     case "network-loss":
-      return setFor(network.conditions, "loss", 0.1);
+      return setCondition(network.conditions, "loss", 0.1);
     case "network-duplicates":
-      return setFor(network.conditions, "duplication", 0.3);
+      return setCondition(network.conditions, "duplication", 0.3);
     case "network-reorders":
-      return setFor(network.conditions, "reordering", 0.3);
+      return setCondition(network.conditions, "reordering", 0.3);
     case "service-hangs":
       service.hanging = true;
       return () => {
@@ -165,18 +167,18 @@
   }
 }
 
-function setFor<Conditions extends object, Key extends keyof Conditions>(
+function setCondition<Conditions extends object, Key extends keyof Conditions>(
   conditions: Conditions,
   key: Key,
   value: Conditions[Key],
 ): () => void {
-  const calm = CALM.get(conditions) ?? { ...conditions };
-  CALM.set(conditions, calm);
+  const calm = INITIAL_CONDITIONS.get(conditions) ?? { ...conditions };
+  INITIAL_CONDITIONS.set(conditions, calm);
   conditions[key] = value;
   return () => {
     conditions[key] = (calm as Conditions)[key];
   };
 }
 
-/** Conditions as they were before any fault: two faults of one kind may overlap. */
-const CALM = new WeakMap<object, object>();
+/** Conditions before any fault, to be restored even if two faults of one kind overlap. */
+const INITIAL_CONDITIONS = new WeakMap<object, object>();
--- a/bench/simulation/gateways/gateway-workload.ts
+++ b/bench/simulation/gateways/gateway-workload.ts
@@ -1,4 +1,4 @@
-/** Programs that take turns through whichever gateway, and what was seen of them from outside. */
+/** Programs that take turns through random gateways, and what their callers observe. */
 
 import type { EndTurnRequest } from "../../../src/gateway/gateway-messages.ts";
 import type { ProgramId } from "../../../src/scheduling/ids/program-id.ts";
@@ -6,56 +6,56 @@
 import type { GatewayWorld } from "./gateway-world.ts";
 import type { SimulatedGateway } from "./simulated-gateway.ts";
 
-/** What callers have seen of one program. */
+/** What callers observed of one program. */
 export interface ProgramObservation {
   readonly name: ProgramId;
   readonly budget: number;
-  /** Tokens that callers were handed, those of turns that broke off included. */
-  handed: number;
-  /** The same, but that a turn that did not end whole counts with its most. */
+  /** Tokens that callers received, including those of turns that were interrupted. */
+  delivered: number;
+  /** The same, but a turn that was not completed counts with its maximum. */
   charged: number;
 }
 
-/** A turn whose answer was whole. */
-export interface WholeTurn {
+/** A turn whose answer was completed. */
+export interface CompletedTurn {
   readonly turn: RequestId;
-  /** Everything that was said up to its end. */
-  readonly said: string;
-  /** The turn that it went on from. */
-  readonly previous: WholeTurn | undefined;
-  /** Virtual time of its end. */
+  /** All inputs and outputs up to the end of the turn. */
+  readonly transcript: string;
+  /** The turn that it continues. */
+  readonly previous: CompletedTurn | undefined;
+  /** Virtual time at the end of the turn. */
   readonly endedAtMs: number;
 }
 
-/** What came of a simulation. */
+/** The results of a simulation. */
 export interface GatewayObservations {
   readonly programs: ProgramObservation[];
-  readonly whole: WholeTurn[];
-  /** Broken promises. */
+  readonly completedTurns: CompletedTurn[];
+  /** Violated guarantees. */
   readonly broken: string[];
   granted: number;
   exhausted: number;
-  /** Refusals of programs whose budget held one more turn, as callers count. */
+  /** Programs refused as exhausted although, by their callers' count, the budget allowed one more turn. */
   exhaustedEarly: number;
   unavailable: number;
-  /** The same by reason. */
+  /** Unavailable turns by reason. */
   readonly unavailableFor: Map<string, number>;
-  /** Times that a partition was seen with another owner than before. */
+  /** Number of times that a partition's owner changed. */
   ownerChanges: number;
-  /** Why the last turn was not answered. */
+  /** Description of the last unavailable turn. */
   lastUnavailable: string;
 }
 
-/** The most tokens that a turn may generate. */
-export const MOST = 100;
+/** Maximum number of tokens that a turn may generate. */
+export const MAX_TURN_TOKENS = 100;
 const BUDGET_TURNS = 6;
 const MAX_TURN_MS = 300;
 const PATIENCE_MS = 1_500;
 const RETRY_MS = 300;
-/** Every so many turns goes on from a turn of another program. */
-const FOREIGN_EVERY = 12;
+/** One in this many turns continues a turn of another program. */
+const FOREIGN_TURN_INTERVAL = 12;
 
-/** Runs one program after the other until `untilMs`; they loop until their budget is spent. */
+/** Runs one program after another until `untilMs`. Each takes turns until its budget is exhausted. */
 export async function runPrograms(
   world: GatewayWorld,
   observations: GatewayObservations,
@@ -63,7 +63,7 @@
 ): Promise<void> {
   while (world.time.nowMs < untilMs) {
     const name = `program-${observations.programs.length}` as ProgramId;
-    const program = { name, budget: MOST * BUDGET_TURNS, handed: 0, charged: 0 };
+    const program = { name, budget: MAX_TURN_TOKENS * BUDGET_TURNS, delivered: 0, charged: 0 };
     observations.programs.push(program);
     await runProgram(world, observations, program, untilMs);
   }
@@ -75,10 +75,11 @@
   program: ProgramObservation,
   untilMs: number,
 ): Promise<void> {
-  let last: WholeTurn | undefined;
+  let last: CompletedTurn | undefined;
   for (let count = 0; world.time.nowMs < untilMs; count += 1) {
-    const { whole } = observations;
-    if (count % FOREIGN_EVERY === 1 && whole.length > 0) last = whole[world.random.below(whole.length)];
+    const { completedTurns } = observations;
+    if (count % FOREIGN_TURN_INTERVAL === 1 && completedTurns.length > 0)
+      last = completedTurns[world.random.below(completedTurns.length)];
     const outcome = await takeTurn(
       world,
       observations,
@@ -97,43 +98,43 @@
   observations: GatewayObservations,
   program: ProgramObservation,
   turn: RequestId,
-  last: WholeTurn | undefined,
-): Promise<WholeTurn | "exhausted" | "failed"> {
+  last: CompletedTurn | undefined,
+): Promise<CompletedTurn | "exhausted" | "failed"> {
   const gateway = world.drawServing();
   if (!gateway) return "failed";
-  const budget = { tokens: program.budget, most: MOST };
+  const budget = { tokens: program.budget, most: MAX_TURN_TOKENS };
   const partition = gateway.client.partitionOf(program.name);
   const context = { partition, program: program.name, session: "main", turn, budget };
   const history = { previousTurn: last?.turn };
   const untilMs = gateway.process.monotonicMs() + PATIENCE_MS;
   const asked = gateway.client.admit({ ...context, history }, untilMs, () => false);
-  const answer = await orDeath(gateway, world, asked);
+  const answer = await unlessKilled(gateway, world, asked);
   if (!answer) return "failed";
   if (answer.type === "exhausted") {
     observations.exhausted += 1;
-    if (program.charged + MOST <= program.budget) observations.exhaustedEarly += 1;
+    if (program.charged + MAX_TURN_TOKENS <= program.budget) observations.exhaustedEarly += 1;
     return "exhausted";
   }
   if (answer.type === "noSuchTurn") {
-    observations.broken.push(`history: ${history.previousTurn} was answered whole, and is not there`);
+    observations.broken.push(`history: ${history.previousTurn} was completed, and is missing`);
     return "failed";
   }
   if (answer.type === "unavailable") {
     observations.unavailable += 1;
     const { unavailableFor } = observations;
     unavailableFor.set(answer.detail, (unavailableFor.get(answer.detail) ?? 0) + 1);
-    // As a gateway does whose call is over.
+    // A gateway does the same when a call is over.
     void gateway.client.end({ ...context, tokens: 0, runner: undefined, retained: undefined });
     observations.lastUnavailable = `${world.time.nowMs} ms, partition ${partition} at ${gateway.process.name}: ${answer.detail}`;
     return "failed";
   }
   observations.granted += 1;
-  program.charged += MOST;
+  program.charged += MAX_TURN_TOKENS;
   const said = Buffer.concat(answer.history).toString();
-  if (said !== (last?.said ?? "")) observations.broken.push(`history: ${turn} got what was not said`);
+  if (said !== (last?.transcript ?? "")) observations.broken.push(`history: ${turn} got a wrong history`);
   await pause(world, world.random.unit() * MAX_TURN_MS);
-  const tokens = world.random.below(MOST + 1);
-  program.handed += tokens;
+  const tokens = world.random.below(MAX_TURN_TOKENS + 1);
+  program.delivered += tokens;
   const retained = {
     previousTurn: last?.turn,
     input: Buffer.from(`[${turn}]`),
@@ -141,21 +142,26 @@
     tokens,
   };
   const request: EndTurnRequest = { ...context, tokens, runner: undefined, retained: undefined };
-  const isKept = await orDeath(gateway, world, gateway.client.storeTurn(turn, retained, PATIENCE_MS));
+  const isKept = await unlessKilled(gateway, world, gateway.client.storeTurn(turn, retained, PATIENCE_MS));
   if (!isKept) {
     void gateway.client.end(request);
     return "failed";
   }
-  await orDeath(gateway, world, gateway.client.endRetained({ ...request, retained }));
+  await unlessKilled(gateway, world, gateway.client.endRetained({ ...request, retained }));
   if (!gateway.process.alive) return "failed";
-  const whole = { turn, previous: last, said: `${said}[${turn}](${tokens})`, endedAtMs: world.time.nowMs };
-  program.charged -= MOST - tokens;
-  observations.whole.push(whole);
+  const whole = {
+    turn,
+    previous: last,
+    transcript: `${said}[${turn}](${tokens})`,
+    endedAtMs: world.time.nowMs,
+  };
+  program.charged -= MAX_TURN_TOKENS - tokens;
+  observations.completedTurns.push(whole);
   return whole;
 }
 
-/** The answer, or nothing when the gateway dies first. */
-function orDeath<Answer>(
+/** Resolves to the answer, or to undefined if the gateway's process is killed first. */
+function unlessKilled<Answer>(
   gateway: SimulatedGateway,
   world: GatewayWorld,
   asked: Promise<Answer>,
--- a/bench/simulation/simulated-back-ends.ts
+++ b/bench/simulation/simulated-back-ends.ts
@@ -17,12 +17,12 @@
 import { SimulatedProcess, type VirtualTime } from "./virtual-time.ts";
 
 const REQUEST_TIMEOUT_MS = 3_000;
-const STREAM_SILENCE_MS = 15_000;
+const STREAM_IDLE_TIMEOUT_MS = 15_000;
 const HANG_MS = 60_000;
-const SHORTEST_SERVICE_MS = 20;
-const SERVICE_SPREAD_MS = 800;
+const MIN_SERVICE_MS = 20;
+const SERVICE_RANGE_MS = 800;
 
-/** An engine on a simulated machine. */
+/** An engine that runs in a simulated process. */
 export class SimulatedEngine {
   readonly address: string;
   readonly options: EngineModelOptions;
@@ -30,12 +30,12 @@
   readonly #hash: TextHash;
   process: SimulatedProcess;
   model: EngineModel;
-  #stepping = false;
-  /** Since when the platform lists the engine as leaving. */
+  #stepScheduled = false;
+  /** The time since which the platform lists the engine as leaving. */
   leavingSinceMs: number | undefined;
-  /** Longest time after the listing at which work was still taken. */
+  /** The longest time after that listing at which a request was still accepted, in ms. */
   latestAfterLeavingMs = 0;
-  /** Tokens worked on for each program, cached prompt tokens included. */
+  /** Tokens processed for each program, including cached prompt tokens. */
   readonly tokensByProgram = new Map<string, number>();
 
   constructor(options: EngineModelOptions, zone: string, address: string, time: VirtualTime, hash: TextHash) {
@@ -47,14 +47,14 @@
     this.model = new EngineModel(options, hash);
   }
 
-  /** Starts again, empty, after a kill. */
+  /** Restarts with empty state after a kill. */
   restart(): void {
     this.process = new SimulatedProcess(this.options.name, this.process.zone, this.#time);
     this.model = new EngineModel(this.options, this.#hash);
-    this.#stepping = false;
+    this.#stepScheduled = false;
   }
 
-  /** Takes a request; see {@link EngineModel.submit}. */
+  /** Submits a request to the model, and records whether the engine was already leaving. */
   submit(request: GenerateRequest, sink: Parameters<EngineModel["submit"]>[1]) {
     const refusal = this.model.submit(request, sink, this.#time.nowMs);
     if (refusal) return refusal;
@@ -62,33 +62,33 @@
       const afterMs = this.#time.nowMs - this.leavingSinceMs;
       this.latestAfterLeavingMs = Math.max(this.latestAfterLeavingMs, afterMs);
     }
-    this.#step();
+    this.#scheduleStep();
     return undefined;
   }
 
-  /** Counts what a program cost. */
-  charge(program: string, tokens: number): void {
+  /** Adds tokens to a program's total. */
+  addTokens(program: string, tokens: number): void {
     this.tokensByProgram.set(program, (this.tokensByProgram.get(program) ?? 0) + tokens);
   }
 
-  #step(): void {
-    if (this.#stepping || !this.model.busy) return;
-    this.#stepping = true;
+  #scheduleStep(): void {
+    if (this.#stepScheduled || !this.model.hasWork) return;
+    this.#stepScheduled = true;
     const { model, process } = this;
     process.schedule(model.beginStep(), () => {
-      this.#stepping = false;
+      this.#stepScheduled = false;
       model.finishStep(this.#time.nowMs);
-      this.#step();
+      this.#scheduleStep();
     });
   }
 }
 
-/** The services of a simulation, with one ledger for all machines of a service. */
+/** A machine of a service. All machines of a service share one ledger. */
 export class SimulatedServiceMachine {
   readonly address: string;
   readonly process: SimulatedProcess;
   readonly model: ServiceModel;
-  /** Whether requests are carried out and never answered. */
+  /** Whether requests are executed, but not answered in time. */
   hanging = false;
 
   constructor(name: string, zone: string, address: string, time: VirtualTime, model: ServiceModel) {
@@ -98,7 +98,7 @@
   }
 }
 
-/** How simulated processes reach back ends. */
+/** Connects simulated processes to engines and services. */
 export class SimulatedBackEnds {
   readonly engines = new Map<string, SimulatedEngine>();
   readonly services = new Map<string, SimulatedServiceMachine>();
@@ -112,7 +112,7 @@
     this.#random = random;
   }
 
-  /** Engines as one process reaches them. */
+  /** An engine client for one process. */
   engineClientFor(process: SimulatedProcess): EngineClient {
     const exchange = <Value>(address: string, work: (engine: SimulatedEngine) => Value) =>
       this.#exchange(process, address, work);
@@ -130,7 +130,7 @@
     };
   }
 
-  /** Services as one process reaches them. */
+  /** A service client for one process. */
   serviceClientFor(process: SimulatedProcess): ServiceClient {
     return {
       send: (address, request, callId, timeoutMs) => this.#send(process, address, request, callId, timeoutMs),
@@ -148,9 +148,9 @@
         process.run(() => reject(platformError(`The engine at ${address} does not answer.`)));
       const timer = this.#time.after(REQUEST_TIMEOUT_MS, giveUp);
       if (!engine) return;
-      this.#travel(process, engine.process, () => {
+      this.#deliver(process, engine.process, () => {
         const value = work(engine);
-        this.#travel(engine.process, process, () => {
+        this.#deliver(engine.process, process, () => {
           this.#time.cancel(timer);
           resolve(value);
         });
@@ -169,14 +169,16 @@
       const engine = this.engines.get(address);
       const engineProcess = engine?.process;
       const stream = new OrderedStream(this.#time);
-      let silence = this.#time.after(STREAM_SILENCE_MS, () => end({ type: "broken", detail: "silence" }));
+      let silence = this.#time.after(STREAM_IDLE_TIMEOUT_MS, () =>
+        end({ type: "broken", detail: "silence" }),
+      );
       const end = (result: GenerateResult) => {
         this.#time.cancel(silence);
         process.run(() => resolve(result));
       };
       const heard = () => {
         this.#time.cancel(silence);
-        silence = this.#time.after(STREAM_SILENCE_MS, () => end({ type: "broken", detail: "silence" }));
+        silence = this.#time.after(STREAM_IDLE_TIMEOUT_MS, () => end({ type: "broken", detail: "silence" }));
       };
       if (!engine || !engineProcess?.alive) return end({ type: "refused", reason: "unreachable" });
       watchEnd(this.#time, engineProcess, () => end({ type: "broken", detail: "connection reset" }));
@@ -187,9 +189,9 @@
       };
       cancellation.onCancel(() => {
         end({ type: "cancelled" });
-        this.#travel(process, engineProcess, () => engine.model.cancel(request.requestId));
+        this.#deliver(process, engineProcess, () => engine.model.cancel(request.requestId));
       });
-      this.#travel(process, engineProcess, () => {
+      this.#deliver(process, engineProcess, () => {
         const counter = new TokenCounter(engine, request);
         const refusal = engine.submit(request, {
           onChunk: (offset, text) => {
@@ -220,8 +222,8 @@
       if (!machine?.process.alive) return end({ type: "not-sent", detail: "connection refused" });
       const timer = this.#time.after(timeoutMs, () => end({ type: "unknown", detail: "no answer in time" }));
       const workMs = this.#serviceWorkMs();
-      this.#travel(process, machine.process, () => {
-        const reply = machine.model.carryOut({
+      this.#deliver(process, machine.process, () => {
+        const reply = machine.model.execute({
           method: request.method,
           path: request.path,
           body: request.body,
@@ -229,7 +231,7 @@
           idempotencyKey: request.idempotencyKey ?? "",
         });
         const answer = () => {
-          this.#travel(machine.process, process, () => {
+          this.#deliver(machine.process, process, () => {
             this.#time.cancel(timer);
             end({ type: "answered", answer: { type: "service", ...reply } });
           });
@@ -239,12 +241,12 @@
     });
   }
 
-  /** Services take a while, so that faults find calls of theirs in flight. */
+  /** Duration of a service call, long enough that faults affect calls in flight. */
   #serviceWorkMs(): number {
-    return SHORTEST_SERVICE_MS + this.#random.unit() * SERVICE_SPREAD_MS;
+    return MIN_SERVICE_MS + this.#random.unit() * SERVICE_RANGE_MS;
   }
 
-  #travel(from: SimulatedProcess, to: SimulatedProcess, arrive: () => void): void {
+  #deliver(from: SimulatedProcess, to: SimulatedProcess, arrive: () => void): void {
     if (!from.alive) return;
     this.#time.after(this.#network.latencyMs(from.zone, to.zone), () => {
       if (this.#network.passes(from.name, to.name)) to.run(arrive);
@@ -252,7 +254,7 @@
   }
 }
 
-/** A connection delivers in order, whatever the time of each piece on its way. */
+/** Delivers in the order of sending, like a connection, whatever the latency of each part. */
 class OrderedStream {
   readonly #time: VirtualTime;
   #lastArrivalMs = 0;
@@ -279,17 +281,17 @@
 
   prompt(): void {
     const characters = this.#request.messages.reduce((sum, { content }) => sum + content.length, 0);
-    this.#engine.charge(this.#request.program, Math.ceil(characters / 4));
+    this.#engine.addTokens(this.#request.program, Math.ceil(characters / 4));
   }
 
   generated(tokens: number): void {
-    this.#engine.charge(this.#request.program, tokens);
+    this.#engine.addTokens(this.#request.program, tokens);
   }
 }
 
 const WATCH_MS = 20;
 
-/** A connection breaks soon after the process at its other end is gone. */
+/** Calls `onEnd` soon after a process dies, as a connection to it would break. */
 function watchEnd(time: VirtualTime, process: SimulatedProcess, onEnd: () => void): void {
   const untilMs = time.nowMs + HANG_MS;
   const look = () => {
--- a/standins/engine/engine-model.ts
+++ b/standins/engine/engine-model.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine without a model: continuous batching over steps, chunked prefill, a prefix cache in limited memory,
- * priorities, resumption, cancellation, fenced orders, and reports that lag. Pure: time comes in as a value, so the
- * same engine serves HTTP, the simulation and the emulator.
+ * Simulates an inference engine without running a model: continuous batching in steps, chunked prefill, a prefix cache
+ * of limited size, priorities, resumption, cancellation, orders with fencing tokens, and delayed load reports. It does
+ * no I/O and takes the time as an argument, so the HTTP stand-in, the simulation and the emulator share it.
  */
 import type {
   CacheEvent,
@@ -14,38 +14,38 @@
 } from "../../src/ports/engine/engine-client.ts";
 import { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import type { TextHash } from "../../src/runtime/text-hash.ts";
-import { answerTokens, GeneratedText } from "./generated-text.ts";
+import { answerTokenCount, GeneratedText } from "./generated-text.ts";
 import { type CacheChange, CHARACTERS_PER_TOKEN, countTokens, PrefixCache } from "./prefix-cache.ts";
 
 /** Options of an {@link EngineModel}. */
 export interface EngineModelOptions {
   readonly name: string;
   readonly models: readonly string[];
-  /** Sequences in a batch. Default 16. */
+  /** Maximum number of sequences in a batch. Default 16. */
   readonly slots?: number;
-  /** Tokens of key-value memory for the prefix cache. Default 200,000. */
+  /** Capacity of the prefix cache, in tokens of key-value memory. Default 200,000. */
   readonly kvTokens?: number;
-  /** Time of a step with an empty batch, in ms. Default 10. */
+  /** Duration of a step with an empty batch, in ms. Default 10. */
   readonly stepMs?: number;
-  /** Time that each further sequence adds to a step, in ms. Default 0.1. */
+  /** Time that each sequence adds to a step, in ms. Default 0.1. */
   readonly stepMsPerSequence?: number;
-  /** Prompt tokens worked on in a step. Default 2,048. */
+  /** Maximum number of prompt tokens processed in a step. Default 2,048. */
   readonly prefillTokensPerStep?: number;
   /** Time that each prompt token adds to a step, in ms. Default 0.01. */
   readonly prefillMsPerToken?: number;
-  /** Age of the load that is reported, in ms. Default 500. */
+  /** Maximum age of the reported load, in ms. Default 500. */
   readonly loadLagMs?: number;
-  /** Time until a cache event can be read, in ms. Default 1,000. */
+  /** Delay before a cache event can be read, in ms. Default 1,000. */
   readonly eventDelayMs?: number;
-  /** Part of the cache events that are lost. Default 0.05. */
+  /** Fraction of the cache events that are lost. Default 0.05. */
   readonly eventLoss?: number;
-  /** Requests that may wait inside the engine. Default 64. */
+  /** Maximum number of requests in the engine's queue. Default 64. */
   readonly maxWaiting?: number;
-  /** Whether two engines answer the same prompt alike. Default true. */
+  /** Whether all engines generate the same text for the same prompt. Default true. */
   readonly sameTextEverywhere?: boolean;
 }
 
-/** Who is told of a generation's progress. */
+/** Receives the progress of a generation. */
 export interface GenerationSink {
   onChunk(offset: number, text: string): void;
   onEnd(result: Extract<GenerateResult, { type: "completed" }>): void;
@@ -59,12 +59,12 @@
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly arrivedMs: number;
-  prefillLeft: number;
+  prefillTokensLeft: number;
   generated: string;
   generatedTokens: number;
 }
 
-/** Totals since the engine's start. */
+/** Totals since the engine started. */
 export interface EngineTotals {
   promptTokens: number;
   cachedTokens: number;
@@ -75,7 +75,7 @@
   refused: number;
 }
 
-const DEFAULTS = {
+const DEFAULT_OPTIONS = {
   slots: 16,
   kvTokens: 200_000,
   stepMs: 10,
@@ -89,9 +89,9 @@
   sameTextEverywhere: true,
 };
 
-const EVENTS_KEPT = 1_000;
+const MAX_EVENTS = 1_000;
 
-/** See the module's comment. */
+/** An engine's queue, batch, prefix cache and reports. */
 export class EngineModel {
   readonly options: Required<EngineModelOptions>;
   readonly totals: EngineTotals = {
@@ -110,64 +110,64 @@
   #running: Sequence[] = [];
   #waiting: Sequence[] = [];
   #events: (CacheEvent & { readonly atMs: number })[] = [];
-  #nextEvent = 1;
-  #newestToken = 0;
+  #nextEventNumber = 1;
+  #newestFencingToken = 0;
   #leaving = false;
   #role: "mixed" | "prefill" | "decode" = "mixed";
   #reported: EngineLoad = { running: [], waiting: 0, usedKvTokens: 0, leaving: false, ageMs: 0 };
   #reportedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: EngineModelOptions, hash: TextHash) {
-    this.options = { ...DEFAULTS, ...options };
+    this.options = { ...DEFAULT_OPTIONS, ...options };
     this.#hash = hash;
     this.#random = new SeededRandomSource(hash.hash32(options.name));
     this.#cache = new PrefixCache(this.options.kvTokens, hash.hash64);
     this.#models = new Set(options.models);
   }
 
-  /** Whether a step has anything to do. */
-  get busy(): boolean {
+  /** Whether any request is running or waiting. */
+  get hasWork(): boolean {
     return this.#running.length > 0 || this.#waiting.length > 0;
   }
 
-  /** Sequences in the batch. */
+  /** Number of sequences in the batch. */
   get runningCount(): number {
     return this.#running.length;
   }
 
-  /** What the engine is used for at present. */
+  /** The engine's current role. */
   get role(): "mixed" | "prefill" | "decode" {
     return this.#role;
   }
 
-  /** The models that can be asked for. */
+  /** The models that are loaded. */
   get models(): readonly string[] {
     return [...this.#models];
   }
 
-  /** Whether the engine refuses new work. */
+  /** Whether the engine is leaving and refuses new requests. */
   get leaving(): boolean {
     return this.#leaving;
   }
 
-  /** From now on new requests are refused, or taken again. */
+  /** Sets whether the engine is leaving. While it is, new requests are refused. */
   setLeaving(leaving: boolean): void {
     this.#leaving = leaving;
   }
 
-  /** Takes a request. Returns why not, when it is not taken. */
+  /** Adds a request to the queue. Returns the reason if the request is refused. */
   submit(request: GenerateRequest, sink: GenerationSink, nowMs: number): EngineRefusal | undefined {
-    const refusal = this.#checkSubmit(request);
+    const refusal = this.#findRefusal(request);
     if (refusal) {
       this.totals.refused += 1;
       return refusal;
     }
-    this.#newestToken = request.fencingToken;
-    this.#waiting.push(this.#sequenceOf(request, sink, nowMs));
+    this.#newestFencingToken = request.fencingToken;
+    this.#waiting.push(this.#createSequence(request, sink, nowMs));
     return undefined;
   }
 
-  /** Takes a request out, wherever it is. */
+  /** Removes a request from the batch or the queue. Returns whether it was found. */
   cancel(requestId: string): boolean {
     const before = this.#running.length + this.#waiting.length;
     this.#running = this.#running.filter((sequence) => sequence.request.requestId !== requestId);
@@ -177,7 +177,7 @@
     return cancelled;
   }
 
-  /** Begins a step and returns how long it takes, in ms; {@link finishStep} must follow after that time. */
+  /** Begins a step and returns its duration, in ms. Call {@link finishStep} after that time. */
   beginStep(): number {
     this.#fillBatch();
     const { stepMs, stepMsPerSequence, prefillMsPerToken } = this.options;
@@ -185,20 +185,20 @@
     return stepMs + stepMsPerSequence * this.#running.length + prefillMsPerToken * prefill;
   }
 
-  /** Ends a step: prompts get on, and every other sequence has one token more. */
+  /** Ends a step: advances the prefill of prompts, and generates one token for every other sequence. */
   finishStep(nowMs: number): void {
     const planned = this.#planPrefill();
     const prefilling = new Set(planned.map(({ sequence }) => sequence));
     for (const { sequence, tokens } of planned) {
-      sequence.prefillLeft -= tokens;
+      sequence.prefillTokensLeft -= tokens;
       this.totals.prefilledTokens += tokens;
     }
     for (const sequence of [...this.#running]) {
-      if (sequence.prefillLeft === 0 && !prefilling.has(sequence)) this.#decode(sequence, nowMs);
+      if (sequence.prefillTokensLeft === 0 && !prefilling.has(sequence)) this.#decode(sequence, nowMs);
     }
   }
 
-  /** Load as it was a while ago. */
+  /** The load as of the last refresh, up to `loadLagMs` old. */
   load(nowMs: number): EngineLoad {
     if (nowMs - this.#reportedAtMs >= this.options.loadLagMs) {
       this.#reportedAtMs = nowMs;
@@ -213,12 +213,12 @@
     return { ...this.#reported, leaving: this.#leaving, ageMs: nowMs - this.#reportedAtMs };
   }
 
-  /** What is held for programs. */
+  /** Cached tokens per program. */
   holds(): EngineHold[] {
     return [...this.#cache.holds()].map(([program, tokens]) => ({ program, tokens }));
   }
 
-  /** Cache events that can be read by now. */
+  /** Cache events with a number above `after` that are old enough to be read. */
   cacheEvents(after: number, nowMs: number): CacheEvent[] {
     const readable = this.#events.filter(
       (event) => event.number > after && nowMs - event.atMs >= this.options.eventDelayMs,
@@ -226,10 +226,10 @@
     return readable.map(({ number, type, program, tokens }) => ({ number, type, program, tokens }));
   }
 
-  /** Carries an order out. Returns false when its token is older than the newest seen. */
+  /** Executes an order. Returns false if its fencing token is older than the newest one seen. */
   order(order: EngineOrder, fencingToken: number, nowMs: number): boolean {
-    if (fencingToken < this.#newestToken) return false;
-    this.#newestToken = fencingToken;
+    if (fencingToken < this.#newestFencingToken) return false;
+    this.#newestFencingToken = fencingToken;
     switch (order.type) {
       case "release":
         this.#publish(this.#cache.release(order.program), nowMs);
@@ -247,21 +247,21 @@
     return true;
   }
 
-  /** Puts another engine's cache of a program in. */
+  /** Imports a program's cache from another engine. Returns false if the fencing token is stale. */
   importCache(
     program: string,
     messages: GenerateRequest["messages"],
     fencingToken: number,
     nowMs: number,
   ): boolean {
-    if (fencingToken < this.#newestToken) return false;
-    this.#newestToken = fencingToken;
+    if (fencingToken < this.#newestFencingToken) return false;
+    this.#newestFencingToken = fencingToken;
     this.#publish(this.#cache.store(program, messages, nowMs), nowMs);
     return true;
   }
 
-  #checkSubmit(request: GenerateRequest): EngineRefusal | undefined {
-    if (request.fencingToken < this.#newestToken) return "stale-token";
+  #findRefusal(request: GenerateRequest): EngineRefusal | undefined {
+    if (request.fencingToken < this.#newestFencingToken) return "stale-token";
     if (this.#leaving) return "leaving";
     if (!this.#models.has(request.model)) return "unknown-model";
     const known = [...this.#running, ...this.#waiting].some(
@@ -270,7 +270,7 @@
     return known || this.#waiting.length >= this.options.maxWaiting ? "full" : undefined;
   }
 
-  #sequenceOf(request: GenerateRequest, sink: GenerationSink, nowMs: number): Sequence {
+  #createSequence(request: GenerateRequest, sink: GenerationSink, nowMs: number): Sequence {
     const { messages, resumeText, maxTokens } = request;
     const prompt = JSON.stringify(messages) + (this.options.sameTextEverywhere ? "" : this.options.name);
     const seed = this.#hash.hash32(prompt);
@@ -284,13 +284,13 @@
       sink,
       text: new GeneratedText(seed, resumed),
       targetTokens: Math.max(
-        answerTokens(messages, maxTokens, this.#hash.hash32(JSON.stringify(messages))),
+        answerTokenCount(messages, maxTokens, this.#hash.hash32(JSON.stringify(messages))),
         resumed,
       ),
       promptTokens,
       cachedTokens,
       arrivedMs: nowMs,
-      prefillLeft: promptTokens - cachedTokens + resumed,
+      prefillTokensLeft: promptTokens - cachedTokens + resumed,
       generated: resumeText,
       generatedTokens: resumed,
     };
@@ -312,7 +312,7 @@
     const planned: { sequence: Sequence; tokens: number }[] = [];
     let budget = this.options.prefillTokensPerStep;
     for (const sequence of this.#running) {
-      const tokens = Math.min(sequence.prefillLeft, budget);
+      const tokens = Math.min(sequence.prefillTokensLeft, budget);
       if (tokens <= 0) continue;
       planned.push({ sequence, tokens });
       budget -= tokens;
@@ -348,11 +348,11 @@
 
   #publish(changes: readonly CacheChange[], nowMs: number): void {
     for (const change of changes) {
-      const number = this.#nextEvent;
-      this.#nextEvent += 1;
+      const number = this.#nextEventNumber;
+      this.#nextEventNumber += 1;
       if (this.#random.unit() < this.options.eventLoss) continue;
       this.#events.push({ ...change, number, atMs: nowMs });
     }
-    if (this.#events.length > EVENTS_KEPT) this.#events = this.#events.slice(-EVENTS_KEPT);
+    if (this.#events.length > MAX_EVENTS) this.#events = this.#events.slice(-MAX_EVENTS);
   }
 }
--- a/standins/http/http-standin.ts
+++ b/standins/http/http-standin.ts
@@ -1,24 +1,24 @@
 /**
- * What all stand-ins have in common: a small JSON server on loopback whose answers can be made late, lost or
- * refused while it runs, by `POST /faults`.
+ * The server that the HTTP stand-ins share: JSON over HTTP, with faults that `POST /faults` sets at run time. Responses
+ * can be delayed, lost or refused.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { listenAt } from "../../src/runtime/listen-at.ts";
 
-/** How a stand-in misbehaves. */
+/** The faults that a stand-in injects. */
 export interface Faults {
-  /** Answers nothing and carries nothing out. */
+  /** Drops each request's connection without executing the request. */
   outage: boolean;
-  /** Waits before each request is carried out, in ms. */
+  /** Delay before each request is executed, in ms. */
   delayMs: number;
-  /** Carries writes out, and then drops the connection instead of answering. */
+  /** Executes writes, but drops the connection instead of responding. */
   loseWriteAnswers: boolean;
-  /** Requests a second that are answered; more get status 429. 0 for no limit. */
+  /** Maximum number of requests per second; further requests get status 429. 0 means no limit. */
   requestsPerSecond: number;
 }
 
-/** One request, read whole. */
+/** A request whose body has been read completely. */
 export interface StandinRequest {
   readonly method: string;
   readonly path: string;
@@ -27,13 +27,13 @@
   readonly headers: IncomingMessage["headers"];
 }
 
-/** Answers a request; `undefined` for status 404. */
+/** Handles a request. Returns `undefined` for status 404, or `streaming` if it writes the response itself. */
 export type StandinHandler = (
   request: StandinRequest,
   response: ServerResponse,
 ) => StandinAnswer | undefined | "streaming";
 
-/** A whole answer. */
+/** A complete response. */
 export interface StandinAnswer {
   readonly status: number;
   readonly body?: unknown;
@@ -46,7 +46,7 @@
 const NOT_FOUND = 404;
 const TOO_MANY_REQUESTS = 429;
 
-/** See the module's comment. */
+/** An HTTP server that passes requests to a handler and injects faults. */
 export class HttpStandin {
   readonly faults: Faults = { outage: false, delayMs: 0, loseWriteAnswers: false, requestsPerSecond: 0 };
   readonly #server: Server;
@@ -54,7 +54,7 @@
   readonly #handler: StandinHandler;
   #windowStartMs = 0;
   #windowRequests = 0;
-  /** Requests carried out. */
+  /** Number of requests executed. */
   requests = 0;
 
   constructor(handler: StandinHandler) {
@@ -67,12 +67,12 @@
     });
   }
 
-  /** Listens at `IP:port`; port 0 takes a free one. Returns the address. */
+  /** Starts listening at `IP:port` and returns the address. Port 0 selects a free port. */
   listen(address: string): Promise<string> {
     return listenAt(this.#server, address);
   }
 
-  /** Ends at once, with all connections. */
+  /** Stops immediately and closes all connections. */
   close(): Promise<void> {
     for (const socket of this.#sockets) socket.destroy();
     return new Promise((resolve) => {
@@ -84,15 +84,15 @@
     try {
       const read = await readRequest(request);
       if (read.path === "/faults") return this.#setFaults(read, response);
-      await this.#misbehaveBefore();
+      await this.#applyDelay();
       if (this.faults.outage) return void request.socket.destroy();
-      if (this.#overRate())
-        return answer(response, { status: TOO_MANY_REQUESTS, body: { error: "rate-limit" } });
+      if (this.#isOverRateLimit())
+        return sendAnswer(response, { status: TOO_MANY_REQUESTS, body: { error: "rate-limit" } });
       this.requests += 1;
       const result = this.#handler(read, response);
       if (result === "streaming") return;
       if (this.faults.loseWriteAnswers && read.method !== "GET") return void request.socket.destroy();
-      answer(response, result ?? { status: NOT_FOUND, body: { error: "not-found" } });
+      sendAnswer(response, result ?? { status: NOT_FOUND, body: { error: "not-found" } });
     } catch {
       request.socket.destroy();
     }
@@ -100,14 +100,14 @@
 
   #setFaults(request: StandinRequest, response: ServerResponse): void {
     if (request.method === "POST") Object.assign(this.faults, JSON.parse(request.body.toString()));
-    answer(response, { status: OK, body: this.faults });
+    sendAnswer(response, { status: OK, body: this.faults });
   }
 
-  async #misbehaveBefore(): Promise<void> {
+  async #applyDelay(): Promise<void> {
     if (this.faults.delayMs > 0) await new Promise((resolve) => setTimeout(resolve, this.faults.delayMs));
   }
 
-  #overRate(): boolean {
+  #isOverRateLimit(): boolean {
     if (this.faults.requestsPerSecond === 0) return false;
     const nowMs = performance.now();
     if (nowMs - this.#windowStartMs > RATE_WINDOW_MS) {
@@ -119,8 +119,8 @@
   }
 }
 
-/** Reads JSON out of a request. */
-export function jsonOf<Value>(request: StandinRequest): Value {
+/** Parses a request's body as JSON. */
+export function parseJsonBody<Value>(request: StandinRequest): Value {
   return JSON.parse(request.body.toString("utf8")) as Value;
 }
 
@@ -137,7 +137,7 @@
   };
 }
 
-function answer(response: ServerResponse, { status, body, bytes, contentType }: StandinAnswer): void {
+function sendAnswer(response: ServerResponse, { status, body, bytes, contentType }: StandinAnswer): void {
   const content = bytes ?? Buffer.from(JSON.stringify(body ?? {}));
   response.writeHead(status, {
     "content-type": contentType ?? "application/json",
--- a/standins/http/platform-standins.ts
+++ b/standins/http/platform-standins.ts
@@ -5,22 +5,23 @@
 import { ObjectModel } from "../objects/object-model.ts";
 import { ServiceModel } from "../service/service-model.ts";
 import { TableModel } from "../table/table-model.ts";
-import { HttpStandin, jsonOf, type StandinAnswer, type StandinRequest } from "./http-standin.ts";
+import { HttpStandin, parseJsonBody, type StandinAnswer, type StandinRequest } from "./http-standin.ts";
 
 const OK = 200;
 const CONFLICT = 409;
 
-/** The table service over HTTP. */
+/** Serves the table over HTTP. */
 export function tableStandin(model: TableModel = new TableModel()): HttpStandin {
   return new HttpStandin((request) => {
     if (request.path === "/transactions") return transact(model, request);
     if (request.path === "/rows") return { status: OK, body: listRows(model, request) };
-    if (request.path.startsWith("/rows/")) return { status: OK, body: model.get(restOf(request, "/rows/")) };
+    if (request.path.startsWith("/rows/"))
+      return { status: OK, body: model.get(keyAfterPrefix(request, "/rows/")) };
     return undefined;
   });
 }
 
-/** The machine list over HTTP. */
+/** Serves the machine list over HTTP. */
 export function machineListStandin(options: MachineListModelOptions = {}): {
   standin: HttpStandin;
   model: MachineListModel;
@@ -29,7 +30,7 @@
   const standin = new HttpStandin((request) => {
     if (request.path === "/machines") return { status: OK, body: model.read(performance.now()) };
     if (!request.path.startsWith("/machines/")) return undefined;
-    const machine = jsonOf<Machine>(request);
+    const machine = parseJsonBody<Machine>(request);
     if (machine.kind === "node") model.report(machine, performance.now());
     else model.put(machine, performance.now());
     return { status: OK };
@@ -37,21 +38,21 @@
   return { standin, model };
 }
 
-/** The object store over HTTP. */
+/** Serves the object store over HTTP. */
 export function objectStandin(model: ObjectModel = new ObjectModel()): HttpStandin {
   return new HttpStandin((request) => {
     if (request.path === "/objects")
       return { status: OK, body: model.list(request.query.get("prefix") ?? "") };
     if (!request.path.startsWith("/objects/")) return undefined;
-    return objectAnswer(model, request, restOf(request, "/objects/"));
+    return handleObjectRequest(model, request, keyAfterPrefix(request, "/objects/"));
   });
 }
 
-/** A service over HTTP; `GET /ledger` shows what it carried out. */
+/** Serves a service over HTTP. `GET /ledger` returns the requests that it has executed. */
 export function serviceStandin(model: ServiceModel = new ServiceModel()): HttpStandin {
   return new HttpStandin((request) => {
     if (request.path === "/ledger") return { status: OK, body: model.ledger };
-    const reply = model.carryOut({
+    const reply = model.execute({
       method: request.method,
       path: request.path,
       body: request.body.toString("utf8"),
@@ -62,7 +63,7 @@
   });
 }
 
-/** The weight store over HTTP: `GET /weights`. */
+/** Serves the weight store over HTTP, at `GET /weights`. */
 export function weightStandin(weights: readonly WeightSet[]): HttpStandin {
   return new HttpStandin((request) =>
     request.path === "/weights" ? { status: OK, body: weights } : undefined,
@@ -70,7 +71,7 @@
 }
 
 function transact(model: TableModel, request: StandinRequest): StandinAnswer {
-  const result = model.transact(jsonOf<Transaction>(request));
+  const result = model.transact(parseJsonBody<Transaction>(request));
   if (result.type === "committed") return { status: OK, body: {} };
   return { status: CONFLICT, body: { rows: result.rows } };
 }
@@ -83,7 +84,11 @@
   );
 }
 
-function objectAnswer(model: ObjectModel, request: StandinRequest, key: string): StandinAnswer | undefined {
+function handleObjectRequest(
+  model: ObjectModel,
+  request: StandinRequest,
+  key: string,
+): StandinAnswer | undefined {
   switch (request.method) {
     case "PUT":
       return model.put(key, request.body) ? { status: OK } : { status: CONFLICT, body: { error: "exists" } };
@@ -97,6 +102,6 @@
   }
 }
 
-function restOf(request: StandinRequest, prefix: string): string {
+function keyAfterPrefix(request: StandinRequest, prefix: string): string {
   return decodeURIComponent(request.path.slice(prefix.length));
 }
--- a/standins/platform/row-store-standin.ts
+++ b/standins/platform/row-store-standin.ts
@@ -1,22 +1,22 @@
-/** The platform's metadata store over HTTP, with faults that tests switch on. */
+/** Serves the platform's metadata store over HTTP, with faults that tests enable. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { type ModelKey, type ModelRow, RowStoreModel } from "./row-store-model.ts";
 
-/** What may go wrong with the calls to come. */
+/** A fault that affects the following calls. */
 export type StoreFault =
   | "none"
-  /** 503: nothing is done. */
+  /** Responds with 503 and does not execute the call. */
   | "busy"
-  /** 429: nothing is done. */
+  /** Responds with 429 and does not execute the call. */
   | "throttled"
-  /** Nothing is done, and no answer comes. */
+  /** Neither executes the call nor responds. */
   | "silent"
-  /** The connection is reset, and nothing is done. */
+  /** Resets the connection without executing the call. */
   | "reset"
-  /** Writes are done, and no answer comes. */
+  /** Executes writes, but does not respond. */
   | "lostAnswer"
-  /** Writes are done after a while, and no answer comes. */
+  /** Executes writes after a delay, and does not respond. */
   | "lateWrite";
 
 interface WireKey {
@@ -34,19 +34,19 @@
 const MAX_ENTRIES = 100;
 const MAX_ROWS_READ = 500;
 
-/** See the module's comment. */
+/** An HTTP server in front of a {@link RowStoreModel}. */
 export class RowStoreStandin {
   readonly model = new RowStoreModel();
-  /** Delay of every answer, in ms. */
+  /** Delay before each call is executed, in ms. */
   delayMs = 0;
   /** Delay of a write under the fault `lateWrite`, in ms. */
   lateWriteMs = 200;
   fault: StoreFault = "none";
-  /** What goes wrong with calls of single parts, in place of {@link fault}. */
+  /** Faults of calls to individual parts; they take precedence over {@link fault}. */
   readonly partFaults = new Map<string, StoreFault>();
-  /** Calls that were taken, by kind. */
+  /** Number of calls accepted, by kind. */
   readonly counts = { writes: 0, reads: 0, watches: 0 };
-  /** Calls that were answered with 503 or 429. */
+  /** Number of calls that got 503 or 429. */
   refused = 0;
   readonly #server: Server;
 
@@ -54,7 +54,7 @@
     this.#server = createServer((request, response) => void this.#serve(request, response));
   }
 
-  /** Listens on a free port of the loopback; returns `IP:port`. */
+  /** Listens on the loopback interface and returns `IP:port`. Port 0 selects a free port. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>((resolve) => this.#server.listen(port, "127.0.0.1", resolve));
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
@@ -65,14 +65,14 @@
     this.#server.closeAllConnections();
   }
 
-  /** Writes a row with an empty part, as operators and runners do. */
+  /** Writes a row with an empty part name, as operators and runners do. */
   put(table: string, key: string, value: unknown): number {
     const text = Buffer.from(JSON.stringify(value)).toString("base64");
     return this.model.transact({ conditions: [], puts: [{ table, part: "", key, value: text }], removes: [] })
       .version;
   }
 
-  /** Takes a row with an empty part away. */
+  /** Removes a row with an empty part name. */
   remove(table: string, key: string): void {
     this.model.transact({ conditions: [], puts: [], removes: [{ table, part: "", key }] });
   }
@@ -85,8 +85,8 @@
     if (fault === "silent") return;
     if (this.delayMs > 0) await pause(this.delayMs);
     if (fault === "busy" || fault === "throttled") this.refused += 1;
-    if (fault === "busy") return answer(response, 503, { error: "busy" });
-    if (fault === "throttled") return answer(response, 429, { error: "throttled" });
+    if (fault === "busy") return sendJson(response, 503, { error: "busy" });
+    if (fault === "throttled") return sendJson(response, 429, { error: "throttled" });
     switch (url.pathname) {
       case "/tulipwheel/rows-tx":
         return this.#transact(JSON.parse(body) as WireTransaction, response, fault);
@@ -95,7 +95,7 @@
       case "/tulipwheel/rows-feed":
         return this.#watch(url.searchParams, response);
       default:
-        return answer(response, 404, { error: "no such call" });
+        return sendJson(response, 404, { error: "no such call" });
     }
   }
 
@@ -106,7 +106,7 @@
     const removes = wire.remove ?? [];
     const entries = [...conditions, ...puts, ...removes];
     const parts = new Set(entries.map((entry) => entry.part));
-    if (entries.length > MAX_ENTRIES || parts.size > 1) return answer(response, 400, { error: "too much" });
+    if (entries.length > MAX_ENTRIES || parts.size > 1) return sendJson(response, 400, { error: "too much" });
     if (fault === "lateWrite") await pause(this.lateWriteMs);
     const outcome = this.model.transact({
       conditions: conditions.map((entry) => ({ ...keyOf(entry), version: entry.ver })),
@@ -114,8 +114,8 @@
       removes: removes.map(keyOf),
     });
     if (fault === "lostAnswer" || fault === "lateWrite") return;
-    if (outcome.committed) return answer(response, 200, { ver: outcome.version });
-    answer(response, 412, { ver: outcome.version, rows: outcome.rows.map(wireRow) });
+    if (outcome.committed) return sendJson(response, 200, { ver: outcome.version });
+    sendJson(response, 412, { ver: outcome.version, rows: outcome.rows.map(toWireRow) });
   }
 
   #read(query: URLSearchParams, response: ServerResponse): void {
@@ -129,7 +129,7 @@
       until,
     );
     const more = rows.length > limit;
-    answer(response, 200, { rows: rows.slice(0, limit).map(wireRow), more, ver: this.model.version });
+    sendJson(response, 200, { rows: rows.slice(0, limit).map(toWireRow), more, ver: this.model.version });
   }
 
   async #watch(query: URLSearchParams, response: ServerResponse): Promise<void> {
@@ -139,17 +139,17 @@
     const untilMs = performance.now() + Number(query.get("wait-ms"));
     for (;;) {
       const changes = this.model.changes(table, after);
-      if (!changes) return answer(response, 410, { error: "history gone" });
+      if (!changes) return sendJson(response, 410, { error: "history gone" });
       const leftMs = untilMs - performance.now();
       if (changes.length > 0 || leftMs <= 0) {
-        return answer(response, 200, { rows: changes.map(wireRow), ver: this.model.version });
+        return sendJson(response, 200, { rows: changes.map(toWireRow), ver: this.model.version });
       }
       await Promise.race([pause(leftMs), new Promise<void>((wake) => this.model.onNextChange(wake))]);
     }
   }
 }
 
-/** The part that a call is about; no part where it names none. */
+/** The part that a call addresses, or an empty string if it names none. */
 function partOf(url: URL, body: string): string {
   if (body === "") return url.searchParams.get("part") ?? "";
   const { put = [], remove = [], "expected-rev": expected = [] } = JSON.parse(body) as WireTransaction;
@@ -160,12 +160,12 @@
   return { table: entry.table, part: entry.part, key: entry["tls-key"] };
 }
 
-function wireRow({ table, part, key, value, version }: ModelRow) {
+function toWireRow({ table, part, key, value, version }: ModelRow) {
   const row = { table, part, "tls-key": key, ver: version };
   return value === undefined ? { ...row, gone: true } : { ...row, value };
 }
 
-function answer(response: ServerResponse, status: number, body: unknown): void {
+function sendJson(response: ServerResponse, status: number, body: unknown): void {
   response.writeHead(status, { "Content-Type": "application/json" }).end(JSON.stringify(body));
 }
 
--- a/standins/platform/runner-standin.ts
+++ b/standins/platform/runner-standin.ts
@@ -1,4 +1,4 @@
-/** A runner over HTTP: plain answers and streams of events, with faults that tests switch on. */
+/** A runner over HTTP that sends plain responses and event streams, with faults that tests enable. */
 import {
   createServer,
   type IncomingHttpHeaders,
@@ -8,30 +8,30 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** What may go wrong with the requests to come. */
+/** A fault that affects the following requests. */
 export type RunnerFault =
   | "none"
-  /** 503, not run. */
+  /** Responds with 503 and does not execute the request. */
   | "full"
-  /** The request runs, and the connection is reset without an answer. */
+  /** Executes the request, and resets the connection without a response. */
   | "lostAnswer"
-  /** The request runs, and no answer comes. */
+  /** Executes the request, and does not respond. */
   | "silent"
-  /** A stream is reset in the middle of an event. */
+  /** Resets a stream in the middle of an event. */
   | "breakStream"
-  /** A second answer follows the first at once. */
+  /** Sends a second, unrequested response directly after the first. */
   | "surplus"
-  /** The answer has no length and ends with its connection. */
+  /** Sends a response without a length, which ends when the connection closes. */
   | "unframed"
-  /** Like `unframed`, and the connection is reset before the end. */
+  /** Like `unframed`, but resets the connection before the end. */
   | "unframedReset"
-  /** The answer names another request. */
+  /** Sends a response with the identifier of another request. */
   | "otherRequest"
-  /** 500 of the runner's own. */
+  /** Executes the request and responds with 500. */
   | "error";
 
-/** A request that a runner has run. */
-export interface RanRequest {
+/** A request that a runner has executed. */
+export interface ExecutedRequest {
   readonly id: string;
   readonly method: string;
   readonly target: string;
@@ -39,30 +39,30 @@
   readonly deadlineMs: number;
   readonly lastEventId: number | undefined;
   readonly headers: IncomingHttpHeaders;
-  /** Set when the caller ended the connection before the answer was whole. */
+  /** Set if the caller closed the connection before the response was complete. */
   cancelled: boolean;
 }
 
 const MISDIRECTED = 421;
-/** With it a test asks for so many bytes more in each event or answer. */
-const FILLING_HEADER = "x-test-filling-bytes";
+/** Request header in which a test gives the number of padding bytes to add to each event or response. */
+const PADDING_BYTES_HEADER = "x-test-filling-bytes";
 
-/** See the module's comment. */
+/** A runner that records the requests it executes. */
 export class RunnerStandin {
   readonly id: string;
   fault: RunnerFault = "none";
-  /** How many requests more the fault strikes. */
-  faultCount = Number.POSITIVE_INFINITY;
-  /** Events of a stream. */
+  /** Number of further requests that the fault affects. */
+  remainingFaults = Number.POSITIVE_INFINITY;
+  /** Number of events in a stream. */
   events = 4;
-  /** Time between events, and before a plain answer, in ms. */
+  /** Time before each event, and before a plain response, in ms. */
   stepMs = 1;
-  /** How long a stream may stay unread until it is reset, in ms. */
-  unreadMs = 5_000;
-  readonly ran: RanRequest[] = [];
-  /** The most requests that ran at once. */
-  mostBusy = 0;
-  #busy = 0;
+  /** Time after which a stream that is not read is reset, in ms. */
+  unreadTimeoutMs = 5_000;
+  readonly executedRequests: ExecutedRequest[] = [];
+  /** The largest number of requests that ran at the same time. */
+  maxRunningCount = 0;
+  #runningCount = 0;
   readonly #server: Server;
 
   constructor(id: string) {
@@ -72,15 +72,15 @@
     });
   }
 
-  /** Listens on a free port of the loopback; returns `IP:port`. */
+  /** Listens on the loopback interface and returns `IP:port`. Port 0 selects a free port. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>((resolve) => this.#server.listen(port, "127.0.0.1", resolve));
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Requests that run now. */
-  get busy(): number {
-    return this.#busy;
+  /** Number of requests that are running. */
+  get runningCount(): number {
+    return this.#runningCount;
   }
 
   close(): void {
@@ -88,7 +88,7 @@
     this.#server.closeAllConnections();
   }
 
-  /** The text that an event carries. */
+  /** The data of an event. */
   static eventData(requestId: string, event: number): string {
     return `${requestId}-${event}`;
   }
@@ -108,25 +108,30 @@
       response.writeHead(503, { "X-Request-Id": requestId, "X-Not-Executed": "1" }).end();
       return;
     }
-    const ran = this.#run(request, requestId, body, response);
+    const executed = this.#recordRequest(request, requestId, body, response);
     if (fault === "lostAnswer") return void request.socket.resetAndDestroy();
     if (fault === "silent") return;
     if (fault === "error") return void response.writeHead(500, base).end("failed");
     if (fault === "otherRequest") base["X-Request-Id"] = "another";
-    if (request.headers["x-token-usage"] !== undefined) return this.#stream(ran, base, fault, response);
+    if (request.headers["x-token-usage"] !== undefined) return this.#stream(executed, base, fault, response);
     await pause(this.stepMs);
-    this.#answerPlain(`done ${requestId}${fillingOf(ran)}`, base, fault, response);
+    this.#answerPlain(`done ${requestId}${paddingOf(executed)}`, base, fault, response);
   }
 
   #takeFault(): RunnerFault {
-    if (this.fault === "none" || this.faultCount <= 0) return "none";
-    this.faultCount -= 1;
+    if (this.fault === "none" || this.remainingFaults <= 0) return "none";
+    this.remainingFaults -= 1;
     return this.fault;
   }
 
-  #run(request: IncomingMessage, id: string, body: string, response: ServerResponse): RanRequest {
+  #recordRequest(
+    request: IncomingMessage,
+    id: string,
+    body: string,
+    response: ServerResponse,
+  ): ExecutedRequest {
     const lastEventId = request.headers["last-event-id"];
-    const ran: RanRequest = {
+    const executed: ExecutedRequest = {
       id,
       method: request.method ?? "",
       target: request.url ?? "",
@@ -136,29 +141,29 @@
       lastEventId: lastEventId === undefined ? undefined : Number(lastEventId),
       cancelled: false,
     };
-    this.ran.push(ran);
-    this.#busy += 1;
-    this.mostBusy = Math.max(this.mostBusy, this.#busy);
+    this.executedRequests.push(executed);
+    this.#runningCount += 1;
+    this.maxRunningCount = Math.max(this.maxRunningCount, this.#runningCount);
     response.on("close", () => {
-      this.#busy -= 1;
-      ran.cancelled = !response.writableFinished;
+      this.#runningCount -= 1;
+      executed.cancelled = !response.writableFinished;
     });
-    return ran;
+    return executed;
   }
 
   async #stream(
-    ran: RanRequest,
+    executed: ExecutedRequest,
     headers: Record<string, string>,
     fault: RunnerFault,
     response: ServerResponse,
   ): Promise<void> {
     response.writeHead(200, { ...headers, "Content-Type": "text/event-stream" });
-    const first = (ran.lastEventId ?? 0) + 1;
-    const filling = fillingOf(ran);
+    const first = (executed.lastEventId ?? 0) + 1;
+    const padding = paddingOf(executed);
     for (let event = first; event <= this.events; event += 1) {
       await pause(this.stepMs);
       if (response.destroyed) return;
-      const text = `id: ${event}\ndata: ${RunnerStandin.eventData(ran.id, event)}${filling}\n\n`;
+      const text = `id: ${event}\ndata: ${RunnerStandin.eventData(executed.id, event)}${padding}\n\n`;
       if (fault === "breakStream" && event > this.events / 2) {
         response.write(text.slice(0, text.length / 2));
         await pause(this.stepMs);
@@ -170,10 +175,10 @@
     response.end();
   }
 
-  /** Waits until the answer is read on; false when it was not in time, or its connection has ended. */
+  /** Waits until the caller reads on. Resolves to false if the wait times out or the connection closes. */
   #drained(response: ServerResponse): Promise<boolean> {
     return new Promise((resolve) => {
-      const timer = setTimeout(() => response.socket?.resetAndDestroy(), this.unreadMs);
+      const timer = setTimeout(() => response.socket?.resetAndDestroy(), this.unreadTimeoutMs);
       const settle = () => {
         clearTimeout(timer);
         response.off("drain", settle).off("close", settle);
@@ -205,8 +210,8 @@
   }
 }
 
-function fillingOf({ headers }: RanRequest): string {
-  return "x".repeat(Number(headers[FILLING_HEADER] ?? 0));
+function paddingOf({ headers }: ExecutedRequest): string {
+  return "x".repeat(Number(headers[PADDING_BYTES_HEADER] ?? 0));
 }
 
 function pause(delayMs: number): Promise<void> {
--- a/test/process/builds-side-by-side.test.ts
+++ b/test/process/builds-side-by-side.test.ts
@@ -185,7 +185,7 @@
 
 /** Expects that no call ran twice, that refused calls did not run, and that answered calls ran once. */
 function expectAtMostOneRun(cluster: RollingCluster, { calls }: Load): void {
-  const ran = cluster.services.flatMap((service) => service.ran.map(({ id }) => id));
+  const ran = cluster.services.flatMap((service) => service.executedRequests.map(({ id }) => id));
   expect(new Set(ran).size).toEqual(ran.length);
   for (const [id, status] of calls) {
     if (status === OK) expect(ran.includes(id)).toEqual(true);
@@ -201,7 +201,7 @@
 function expectHistoryKept(cluster: RollingCluster, { kept, keptStatuses }: Load): void {
   expect(keptStatuses.filter((status) => ![OK, UNAVAILABLE, 0].includes(status))).toEqual([]);
   const last = kept.at(-1);
-  const run = cluster.engines.flatMap((engine) => engine.ran).findLast(({ id }) => id === last);
+  const run = cluster.engines.flatMap((engine) => engine.executedRequests).findLast(({ id }) => id === last);
   const before = kept.slice(0, -1).map((id) => `input of ${id}\n${keptOutput(id)}`);
   expect(run?.body === `${before.join("")}input of ${last}\n`).toEqual(true);
 }
--- a/test/process/slow-readers.test.ts
+++ b/test/process/slow-readers.test.ts
@@ -214,7 +214,7 @@
     openPartialBodies();
     const refused = await callUntilStatus(UNAVAILABLE);
     expect(Number(refused.answer.headers["retry-after"]) > 0).toEqual(true);
-    expect(service?.ran.some(({ id }) => id === refused.id)).toEqual(false);
+    expect(service?.executedRequests.some(({ id }) => id === refused.id)).toEqual(false);
     expect((await callUntilStatus(OK)).answer.status).toEqual(OK);
     closeSockets();
     await pause(500);
--- a/test/process/tenants.test.ts
+++ b/test/process/tenants.test.ts
@@ -62,19 +62,19 @@
       UNAUTHORIZED,
     );
     const [service] = cluster.services;
-    service?.ran.splice(0);
+    service?.executedRequests.splice(0);
     const claims = { "X-Tenant": "bank", "X-Hold": "h", "X-Pin-Ms": "9", "X-Kv-Backup": "b", "Kv-From": "f" };
     expect((await callWith("second-key-of-shop", PATHS.unsafe, claims)).status).toEqual(200);
     expect((await callWith("key-of-bank")).status).toEqual(200);
     expect((await callWith("key-of-shop", PATHS.public, claims)).status).toEqual(200);
     expect((await callWith(undefined, PATHS.public)).status).toEqual(200);
-    expect(service?.ran.map(({ headers }) => headers["x-tenant"])).toEqual([
+    expect(service?.executedRequests.map(({ headers }) => headers["x-tenant"])).toEqual([
       "shop",
       "bank",
       undefined,
       undefined,
     ]);
-    for (const { headers } of service?.ran ?? []) {
+    for (const { headers } of service?.executedRequests ?? []) {
       const kept = ["authorization", "x-hold", "x-pin-ms", "x-kv-backup", "kv-from"].filter(
         (name) => name in headers,
       );
@@ -89,13 +89,13 @@
     cluster.configure({ version: 2, timeoutMs: 3_000, tenants: [SHOP] });
     expect(await retryUntilStatus(() => callWith(undefined), UNAUTHORIZED, 3_000)).toEqual(UNAUTHORIZED);
     const [service] = cluster.services;
-    service?.ran.splice(0);
+    service?.executedRequests.splice(0);
     for (const key of [undefined, "key-of-nobody", "key-of-bank", "shop", ""])
       expect((await callWith(key)).status).toEqual(UNAUTHORIZED);
     expect((await callWith(undefined, PATHS.unsafe, { Authorization: "Basic key-of-shop" })).status).toEqual(
       UNAUTHORIZED,
     );
-    expect(service?.ran).toEqual([]);
+    expect(service?.executedRequests).toEqual([]);
     expect((await callWith("key-of-shop")).status).toEqual(200);
   });
 
--- a/test/soak/check-runners.ts
+++ b/test/soak/check-runners.ts
@@ -1,5 +1,5 @@
 /** Compares the requests that runners ran during a soak with the answers that callers received. */
-import type { RanRequest } from "../../standins/platform/runner-standin.ts";
+import type { ExecutedRequest } from "../../standins/platform/runner-standin.ts";
 import type { SoakCluster } from "./soak-cluster.ts";
 import type { SoakLedger } from "./soak-ledger.ts";
 
@@ -7,12 +7,12 @@
 
 /** Checks history, at-most-once execution, and that refused requests did not run. Call it once no request is active. */
 export function checkRunners(cluster: SoakCluster, ledger: SoakLedger): void {
-  const ran = [...cluster.engines, ...cluster.services].flatMap((runner) => runner.ran);
+  const ran = [...cluster.engines, ...cluster.services].flatMap((runner) => runner.executedRequests);
   checkPrompts(ran, ledger);
   checkRunCounts(ran, ledger);
 }
 
-function checkPrompts(ran: readonly RanRequest[], ledger: SoakLedger): void {
+function checkPrompts(ran: readonly ExecutedRequest[], ledger: SoakLedger): void {
   for (const { id, body } of ran) {
     const prompt = ledger.prompts.get(id);
     if (prompt !== undefined && prompt !== body)
@@ -23,7 +23,7 @@
   }
 }
 
-function checkRunCounts(ran: readonly RanRequest[], ledger: SoakLedger): void {
+function checkRunCounts(ran: readonly ExecutedRequest[], ledger: SoakLedger): void {
   const counts = new Map<string, number>();
   for (const { id } of ran) counts.set(id, (counts.get(id) ?? 0) + 1);
   const known = new Set<string>();
--- a/test/soak/tenant-watch.ts
+++ b/test/soak/tenant-watch.ts
@@ -3,7 +3,7 @@
  * limit. The requests that runners ran show whether removed keys and limits are enforced.
  */
 
-import { mostInWindow } from "../../bench/simulation/most-in-window.ts";
+import { maxRequestsInWindow } from "../../bench/simulation/max-requests-in-window.ts";
 import { windowCounts } from "../../bench/simulation/window-counts.ts";
 import type { SeededRandomSource } from "../../src/runtime/random-source.ts";
 import { PATHS, pause, type TestGateway } from "../process/support/gateway-cluster.ts";
@@ -59,7 +59,7 @@
 
   /** Checks which requests runners ran. Call it once no request is active. */
   check(): void {
-    const ran = this.#cluster.services.flatMap((runner) => runner.ran);
+    const ran = this.#cluster.services.flatMap((runner) => runner.executedRequests);
     const wildAtMs: number[] = [];
     for (const { id, headers } of ran) {
       const sent = this.#sent.get(id);
@@ -79,7 +79,7 @@
   }
 
   #checkWindows(sentAtMs: readonly number[]): void {
-    const bound = mostInWindow(FLOODING_LIMIT, TOLERANCE);
+    const bound = maxRequestsInWindow(FLOODING_LIMIT, TOLERANCE);
     const beyond = windowCounts(sentAtMs, TOLERANCE.windowMs).find(({ count }) => count > bound);
     if (!beyond) return;
     const { count, endMs } = beyond;
