--- a/test/soak/soak-tenants.ts
+++ b/test/soak/soak-tenants.ts
@@ -11,8 +11,8 @@
 
 /** Limit of the flooding tenant: requests per second, and burst. */
 export const FLOODING_LIMIT = { perSecond: 10, burst: 10 };
-export const FLOODING_KEY = "key-of-flooding";
-export const FLOODING_NAME = "flooding";
+export const FLOODING_KEY = "key-of-wild";
+export const FLOODING_NAME = "wild";
 const FLOODING: TestTenant = {
   name: FLOODING_NAME,
   keys: [FLOODING_KEY],
